--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -24,7 +24,8 @@
 Settings fleet_settings(int gateways) {
     Settings s;
     ClassSettings c;
-    c.aim = 1500, c.aim_per_1000 = 40, c.deadline = 6000, c.token_aim = 60;
+    c.latency_objective = 1500, c.latency_objective_per_1000_tokens = 40, c.deadline = 6000,
+    c.inter_token_objective = 60;
     s.classes = {c};
     s.kinds = {{Role::read, 200000}, {Role::write, 150000}};
     s.zones = 2, s.gateways = gateways, s.max_attempts = 6, s.cancel = true, s.resume = true;
--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -32,12 +32,12 @@
 enum class Discovery { push, ask };              // list changes come by themselves, or must be asked for
 
 struct ClassSettings {
-    Millis aim = 0;           // first token wanted within this ...
-    Millis aim_per_1000 = 0;  // ... plus this for each 1,000 prompt tokens
-    Millis deadline = 0;      // how long a client waits over all its tries
-    double worth = 1;         // of a request (or of a unit of its work)
-    double late_share = 0;    // share of the worth for an answer after the aim
-    Millis token_aim = 0;     // wanted time between tokens of a stream
+    Millis latency_objective = 0;                  // first token wanted within this ...
+    Millis latency_objective_per_1000_tokens = 0;  // ... plus this for each 1,000 prompt tokens
+    Millis deadline = 0;                           // how long a client waits over all its tries
+    double priority_weight = 1;                    // of a request (or of a unit of its work)
+    double late_value_fraction = 0;                // share of the worth for an answer after the aim
+    Millis inter_token_objective = 0;              // wanted time between tokens of a stream
     Effect effect = Effect::repeatable;
     Group group = Group::all;  // by_key only
     Millis window = 0;         // by_key only: for how long repeats are dropped
@@ -71,8 +71,8 @@
     bool local_read = false;  // a writer reads a prompt itself when there is no state to fetch
     bool resume = false;      // a broken stream can go on elsewhere
     Millis max_retry_after = 0;
-    Millis dial_timeout = 0;      // the host gives up a connection that has not come up by then
-    double over_share_worth = 1;  // worth of a request beyond its tenant's quota, as a share
+    Millis dial_timeout = 0;       // the host gives up a connection that has not come up by then
+    double over_quota_weight = 1;  // worth of a request beyond its tenant's quota, as a share
     // guarantees
     Millis answer_slack = 0;
     Millis drain_grace = 0;
--- a/src/invariants/record_checker.cpp
+++ b/src/invariants/record_checker.cpp
@@ -509,7 +509,7 @@
             Turn& turn = turns[a.turn];
             const auto* cls = settings(a.cls);
             if (!cls) continue;
-            turn.cls = a.cls, turn.worth = cls->worth;
+            turn.cls = a.cls, turn.worth = cls->priority_weight;
             turn.began = std::min(turn.began, a.at);
             ++s.asked;
             s.gone += a.gone;
@@ -526,8 +526,10 @@
             if (!cls) continue;
             Turn& turn = turns[a.turn];
             const Millis took = (a.first >= 0 ? a.first : a.answered) - turn.began;
-            const Millis aim = cls->aim + cls->aim_per_1000 * a.record->number("prompt") / 1000;
-            turn.earned = std::max(turn.earned, cls->worth * (took <= aim ? 1 : cls->late_share));
+            const Millis aim = cls->latency_objective +
+                               cls->latency_objective_per_1000_tokens * a.record->number("prompt") / 1000;
+            turn.earned =
+                std::max(turn.earned, cls->priority_weight * (took <= aim ? 1 : cls->late_value_fraction));
         }
         double worth = 0, earned = 0;
         std::map<std::string, std::pair<double, double>> by_class;
--- a/src/platform/access_log.cpp
+++ b/src/platform/access_log.cpp
@@ -41,14 +41,15 @@
 
 Disposition AccessLog::served(const RequestRecord& p) const {
     const ClassSettings& c = settings_.classes[static_cast<std::size_t>(p.cls)];
-    const Millis aim = c.aim + c.aim_per_1000 * p.prompt_tokens / 1000;
+    const Millis aim = c.latency_objective + c.latency_objective_per_1000_tokens * p.prompt_tokens / 1000;
     if (p.first > aim) {
         const bool read_late = std::any_of(p.attempts.begin(), p.attempts.end(), [&](const AttemptRecord& l) {
             return l.result == Result::read_done && !l.out && l.ended > aim;
         });
         return read_late ? Disposition::late_read : Disposition::late_write;
     }
-    const bool slow = p.tokens > 1 && c.token_aim > 0 && p.ended - p.first > c.token_aim * (p.tokens - 1);
+    const bool slow = p.tokens > 1 && c.inter_token_objective > 0 &&
+                      p.ended - p.first > c.inter_token_objective * (p.tokens - 1);
     return slow ? Disposition::slow_stream : Disposition::in_time;
 }
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -41,16 +41,19 @@
         for (const auto& k : s_.kinds) read |= k.role != Role::write, write |= k.role != Role::read;
         need(write && (read || s_.local_read), "kinds: some must read and some must write");
         for (const auto& c : s_.classes) {
-            need(c.aim > 0, "classes: aim must be above 0");
+            need(c.latency_objective > 0, "classes: aim must be above 0");
             need(c.deadline > 0, "classes: deadline must be above 0");
-            min_aim_ = std::min(min_aim_, c.aim);
-            max_worth_ = std::max(max_worth_, c.worth);
+            min_latency_objective_ = std::min(min_latency_objective_, c.latency_objective);
+            max_priority_weight_ = std::max(max_priority_weight_, c.priority_weight);
             // Until seen: 1,000 tokens are read in what the aim grows by, a wait takes a twelfth of the aim,
             // a stream 100 tokens at half pace.
-            completion_times_[reading].emplace_back(c.aim_per_1000 > 0 ? c.aim_per_1000 : c.aim / 20,
+            completion_times_[reading].emplace_back(c.latency_objective_per_1000_tokens > 0
+                                                        ? c.latency_objective_per_1000_tokens
+                                                        : c.latency_objective / 20,
                                                     kPriorWeight);
-            completion_times_[waiting].emplace_back(c.aim / 12, kPriorWeight);
-            completion_times_[streaming].emplace_back(std::max(50 * c.token_aim, c.aim), kPriorWeight);
+            completion_times_[waiting].emplace_back(c.latency_objective / 12, kPriorWeight);
+            completion_times_[streaming].emplace_back(
+                std::max(50 * c.inter_token_objective, c.latency_objective), kPriorWeight);
         }
         low_quantile_ = {
             QuantileEstimate(kLowQuantile, kQuantileStep, completion_times_[reading][0].prior()),
@@ -295,7 +298,8 @@
         // Guards against writers kept busy with late answers, which earn little: when others wait and the aim
         // is out of reach, the read is given up. May do harm where late answers are worth much.
         if (r.state && !r.a.resumed && to->out[waiting] > 1 &&
-            now_ - r.arrived + completion_time(waiting, r).value() * (to->out[waiting] + 1) > aim(r)) {
+            now_ - r.arrived + completion_time(waiting, r).value() * (to->out[waiting] + 1) >
+                latency_objective(r)) {
             return end(r, EndCause::late_write);
         }
         send(r, *to, stage);
@@ -327,11 +331,12 @@
     Millis limit(const Request& r, Stage stage) {
         const Millis left = r.a.deadline - now_;
         if (r.attempts >= s_.max_attempts) return left;
-        if (!sparse()) return std::min(left, std::max(6 * expected(r, stage), 0.6 * aim(r)));
+        if (!sparse()) return std::min(left, std::max(6 * expected(r, stage), 0.6 * latency_objective(r)));
         // A read is work that is done anew elsewhere, so in a jam early time-outs double the load. Does harm
         // where a reader is silent: its reads are late, the first from each gateway.
-        return std::min(left, std::max(kTimeoutQuantiles * low_quantile_[stage].value() * span(r, stage),
-                                       kPatience[stage == reading && blind() ? 0 : 1] * aim(r)));
+        return std::min(left,
+                        std::max(kTimeoutQuantiles * low_quantile_[stage].value() * span(r, stage),
+                                 kPatience[stage == reading && blind() ? 0 : 1] * latency_objective(r)));
     }
 
     // What a stage's time is measured by: the tokens to read, those ahead too, or the prompt to fetch.
@@ -345,7 +350,7 @@
         const Server* server = find(r.server);
         if (reader && server && (r.stage == reading || reader->entry.cell != server->entry.cell)) {
             Cell& c = cells_[reader->entry.cell];
-            c.spent += done || !blind() ? std::min(1.0, (now_ - r.sent) / aim(r)) : 1;
+            c.spent += done || !blind() ? std::min(1.0, (now_ - r.sent) / latency_objective(r)) : 1;
             c.reads += r.stage == reading;
         }
         const double took = (now_ - r.sent) / span(r, r.stage);
@@ -369,7 +374,7 @@
     void move(Server& s, Request& r, Stage to) {
         take_off(s, r);
         r.stage = to;
-        const double pace = s_.classes[cls(r)].token_aim;
+        const double pace = s_.classes[cls(r)].inter_token_objective;
         r.units = r.a.length_hint > 0 && pace > 0 ? std::clamp(r.a.length_hint / pace / 100, 0.3, 3.0) : 1;
         ++s.out[to];
         r.stage_since = now_;
@@ -623,7 +628,7 @@
         int n = 0;
         for (const auto& [id, r] : requests_) {
             if (!r.out || r.stage != streaming || r.server != s.entry.server) continue;
-            n += now_ - r.stage_since < kQuantum * s_.classes[cls(r)].token_aim;
+            n += now_ - r.stage_since < kQuantum * s_.classes[cls(r)].inter_token_objective;
         }
         return n;
     }
@@ -772,8 +777,8 @@
     // A suspect gets nothing for a while, then one request at a time, doubling with each success.
     void suspect_server(Server& s) {
         // A trial of a down server costs little, one of a slow server a late answer; many trials add up.
-        const Millis longest = (s.was_down && !sparse() ? 2 : 8) * min_aim_;
-        s.pause = std::clamp(2 * s.pause, sparse() ? longest : min_aim_, longest);
+        const Millis longest = (s.was_down && !sparse() ? 2 : 8) * min_latency_objective_;
+        s.pause = std::clamp(2 * s.pause, sparse() ? longest : min_latency_objective_, longest);
         s.suspect = true;
         s.suspected = now_;
         s.retry_at = now_ + s.pause;
@@ -828,7 +833,7 @@
                 e = std::min(2 * kSlowEvidence, e + dt / expects * (1 - 1 / kSlowFactor));
             }
             if (!s->suspect) completion_time(r.stage, r).add_time(dt / r.units);
-            if (r.stage == streaming || age > 0.5 * aim(r)) harmed[r.server][r.stage] = true;
+            if (r.stage == streaming || age > 0.5 * latency_objective(r)) harmed[r.server][r.stage] = true;
         }
         survey_in_time();
         const double keep = std::exp(-dt / kCompletionSpan / 10);
@@ -970,7 +975,8 @@
         for (auto& [id, r] : requests_) {
             if (!r.out || r.stopped || r.server != s.entry.server || retries_ < 1) continue;
             // A slow read is moved only while its aim can be met, as it is lost work; a silent one always.
-            if (r.stage == reading && s.answered >= r.sent && now_ - r.sent > 0.8 * aim(r)) continue;
+            if (r.stage == reading && s.answered >= r.sent && now_ - r.sent > 0.8 * latency_objective(r))
+                continue;
             if (r.stage == streaming && s_.resume) {
                 retries_ -= 1;
                 r.stopped = true;
@@ -1029,7 +1035,7 @@
 
     // Sheds what earns least first: as the wait nears the aim, over-share tenants, then cheap classes.
     bool shed(const Request& r) {
-        double value = s_.classes[cls(r)].worth / max_worth_;
+        double value = s_.classes[cls(r)].priority_weight / max_priority_weight_;
         const auto t = static_cast<std::size_t>(r.a.tenant);
         if (r.a.tenant >= 0 && t < quota_left_.size() && s_.tenants[t].quota_per_s > 0) {
             const double gain = s_.tenants[t].quota_per_s / s_.gateways / 1000;
@@ -1038,13 +1044,14 @@
             if (quota_left_[t] >= 1) {
                 quota_left_[t] -= 1;
             } else {
-                value *= s_.over_share_worth;
+                value *= s_.over_quota_weight;
             }
         }
         if (r.a.resumed) return false;
         // What it takes by itself is no queue: guards against long prompts refused whatever the load.
         const Millis pace = std::min(low_quantile_[reading].value(), completion_time(reading, r).value());
-        const Millis room = std::max(aim(r) - pace * fresh(r), kRoomLeast * aim(r));
+        const Millis room =
+            std::max(latency_objective(r) - pace * fresh(r), kRoomLeast * latency_objective(r));
         const Millis queue = wait(r) - pace * std::min(fresh(r), fresh_);
         // Guards against a gateway that met a jammed server and refuses while others idle: what it foresees
         // from few visits may be double the truth. May do harm by late answers where all are overloaded.
@@ -1067,11 +1074,11 @@
     }
     Millis expected(const Request& r, Stage stage) { return completion_time(stage, r).value() * r.units; }
     std::size_t cls(const Request& r) const { return static_cast<std::size_t>(r.a.cls); }
-    Millis aim(const Request& r) const {
+    Millis latency_objective(const Request& r) const {
         const ClassSettings& c = s_.classes[cls(r)];
-        return c.aim + c.aim_per_1000 * r.a.prompt_tokens / 1000;
+        return c.latency_objective + c.latency_objective_per_1000_tokens * r.a.prompt_tokens / 1000;
     }
-    Millis tick() const { return std::max(s_.step, min_aim_ / 20); }
+    Millis tick() const { return std::max(s_.step, min_latency_objective_ / 20); }
     Server* find(ServerId id) {
         const auto it = servers_.find(id);
         return it == servers_.end() ? nullptr : &it->second;
@@ -1089,8 +1096,8 @@
     Millis now_ = 0;
     std::vector<Action>* actions_ = nullptr;
     bool ticking_ = false;
-    Millis asked_ = 0, checked_ = 0, tick_due_ = 0, min_aim_ = kNever;
-    double max_worth_ = 1e-9;
+    Millis asked_ = 0, checked_ = 0, tick_due_ = 0, min_latency_objective_ = kNever;
+    double max_priority_weight_ = 1e-9;
     std::map<ServerId, Server> servers_;
     // The healthy ones.
     std::array<HashRing<Server>, 3> by_role_;
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -70,12 +70,13 @@
     for (std::size_t i = 0; i < count(info, "Lanes.count"); ++i) {
         const std::string p = "Lanes." + std::to_string(i) + ".";
         ClassSettings c;
-        c.aim = info.num(p + "SloMs", 0);
-        c.aim_per_1000 = item(info, "FamilyInfo.AimUsPer1000PromptTokens", i, 0) / 1000.0;
+        c.latency_objective = info.num(p + "SloMs", 0);
+        c.latency_objective_per_1000_tokens =
+            item(info, "FamilyInfo.AimUsPer1000PromptTokens", i, 0) / 1000.0;
         c.deadline = info.num(p + "DeadlineMs", 0);
-        c.worth = info.num(p + "Importance", 1);
-        c.late_share = info.num(p + "LateShare", 0);
-        c.token_aim = item(info, "FamilyInfo.TokenAimMs", i, 0);
+        c.priority_weight = info.num(p + "Importance", 1);
+        c.late_value_fraction = info.num(p + "LateShare", 0);
+        c.inter_token_objective = item(info, "FamilyInfo.TokenAimMs", i, 0);
         c.effect = choice<Effect>(
             p + "Effect", info.text(p + "Effect", "once"),
             {{"repeatable", Effect::repeatable}, {"by_key", Effect::by_key}, {"once", Effect::once}});
@@ -119,7 +120,7 @@
     s.resume = info.yes("FamilyInfo.Resume");
     s.max_retry_after = info.num("Ceilings.MaxRetryAfterMs", 0);
     s.dial_timeout = info.num("Ceilings.DialTimeoutMs", 0);
-    s.over_share_worth = info.num("OverShareWorth", 1);
+    s.over_quota_weight = info.num("OverShareWorth", 1);
     s.answer_slack = info.num("Guarantees.AnswerSlackMs", 0);
     s.drain_grace = info.num("Guarantees.DrainGraceMs", 0);
     s.release_within = info.num("FamilyInfo.LetGoByMs", 0);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -61,19 +61,19 @@
         names(list, "class", p_.classes);
         for (const auto& e : list.children("class")) {
             ClassSettings c;
-            c.aim = e.number("aim-ms");
-            c.aim_per_1000 = e.number("aim-ms-per-1000-tokens");
+            c.latency_objective = e.number("aim-ms");
+            c.latency_objective_per_1000_tokens = e.number("aim-ms-per-1000-tokens");
             c.deadline = e.number("deadline-ms");
-            c.worth = e.number("worth");
-            c.late_share = e.number("late-share");
-            c.token_aim = e.number("token-aim-ms");
+            c.priority_weight = e.number("worth");
+            c.late_value_fraction = e.number("late-share");
+            c.inter_token_objective = e.number("token-aim-ms");
             const std::string effect = e.text("effect"), group = e.text("group");
             c.effect = effect == "by_key" ? Effect::by_key
                        : effect == "once" ? Effect::once
                                           : Effect::repeatable;
             c.group = group == "zone" ? Group::zone : group == "cell" ? Group::cell : Group::all;
             c.window = e.number("window-ms");
-            if (c.aim > c.deadline) fault(e, "aim-ms is beyond deadline-ms");
+            if (c.latency_objective > c.deadline) fault(e, "aim-ms is beyond deadline-ms");
             // A second send could come after the servers have forgotten the first.
             if (c.effect == Effect::by_key && c.window <= 0)
                 fault(e, "effect 'by_key' needs window-ms: how long engines remember a key");
@@ -165,7 +165,7 @@
     void routing(const Element& e, const Element& g) {
         Settings& s = p_.module;
         s.max_attempts = 6, s.cancel = true, s.retry_after = true;
-        s.max_retry_after = 5000, s.dial_timeout = 250, s.over_share_worth = 0.05;
+        s.max_retry_after = 5000, s.dial_timeout = 250, s.over_quota_weight = 0.05;
         s.answer_slack = 50, s.drain_grace = 250, s.release_within = 1000;
         s.fall_multiple = 2.5, s.fall_window = 2000, s.start_capacity = 0.3, s.warm_within = 10000;
         s.step = 2;  // the loop's timers are whole milliseconds; events come at once
@@ -175,7 +175,7 @@
             s.cancel = e.yes("cancel"), s.local_read = e.yes("local-read");
             s.retry_after = e.yes("retry-after"), s.max_retry_after = e.number("max-retry-after-ms");
             s.dial_timeout = e.number("dial-timeout-ms");
-            s.over_share_worth = e.number("over-share-worth");
+            s.over_quota_weight = e.number("over-share-worth");
             p_.source = e.text("source");
             if (e.has("seed")) p_.seed = e.large("seed");
             for (const auto& c : s.classes) {
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -159,7 +159,7 @@
 void journal(std::string_view bytes) {
     Settings s;
     s.classes = {ClassSettings{}};
-    s.classes[0].aim = 500, s.classes[0].deadline = 3000;
+    s.classes[0].latency_objective = 500, s.classes[0].deadline = 3000;
     s.kinds = {{Role::read, 1000}, {Role::write, 1000}};
     std::istringstream in{std::string(bytes)};
     try {
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -108,7 +108,7 @@
     p.classes = {"chat", "once", "keyed"};
     p.zones = {"z"}, p.kinds = {"prefill", "decode"};
     ClassSettings c;
-    c.aim = 500, c.deadline = 3000, c.token_aim = 50;
+    c.latency_objective = 500, c.deadline = 3000, c.inter_token_objective = 50;
     p.module.classes = {c, c, c};
     p.module.classes[1].effect = Effect::once;
     p.module.classes[2].effect = Effect::by_key;
--- a/tests/invariants/record_checker_test.cpp
+++ b/tests/invariants/record_checker_test.cpp
@@ -14,7 +14,7 @@
     Terms t;
     t.classes = {"chat", "pay", "order"};
     t.of.resize(3);
-    for (auto& c : t.of) c.aim = 500, c.deadline = 2000, c.worth = 1;
+    for (auto& c : t.of) c.latency_objective = 500, c.deadline = 2000, c.priority_weight = 1;
     t.of[1].effect = Effect::once;
     t.of[2].effect = Effect::by_key, t.of[2].group = Group::cell;
     return t;
--- a/tests/platform/access_log_test.cpp
+++ b/tests/platform/access_log_test.cpp
@@ -11,7 +11,8 @@
 Settings chat() {
     Settings s;
     ClassSettings c;
-    c.aim = 1000, c.aim_per_1000 = 100, c.deadline = 5000, c.token_aim = 50;
+    c.latency_objective = 1000, c.latency_objective_per_1000_tokens = 100, c.deadline = 5000,
+    c.inter_token_objective = 50;
     s.classes = {c};
     return s;
 }
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -19,8 +19,8 @@
     EXPECT_EQ(c.sockets, 512u);
     const Settings& s = c.named.settings;
     ASSERT_EQ(s.classes.size(), 2u);
-    EXPECT_EQ(s.classes[0].aim_per_1000, 40);
-    EXPECT_EQ(s.classes[1].token_aim, 50);
+    EXPECT_EQ(s.classes[0].latency_objective_per_1000_tokens, 40);
+    EXPECT_EQ(s.classes[1].inter_token_objective, 50);
     EXPECT_EQ(s.classes[1].effect, Effect::once);
     EXPECT_EQ(c.named.classes.at("bulk job"), 1);
     EXPECT_EQ(s.own_zone, 1);
--- a/tests/router/guards_test.cpp
+++ b/tests/router/guards_test.cpp
@@ -532,7 +532,7 @@
 TEST_F(Guards, OverloadShedsOverShareTenantsFirst) {
     Settings s = plain_settings();
     s.tenants = {{1}, {1000}};
-    s.over_share_worth = 0.05;
+    s.over_quota_weight = 0.05;
     start(s, {reader(1), writer(11)});
     int refused[2] = {0, 0};
     for (int i = 0; i < 26; ++i) {
@@ -641,8 +641,8 @@
 // their length.
 TEST_F(Guards, ALongPromptIsNotRefusedForItsLength) {
     Settings s = plain_settings();
-    s.classes[1].worth = s.classes[0].worth / 3;
-    for (auto& c : s.classes) c.aim_per_1000 = 40;
+    s.classes[1].priority_weight = s.classes[0].priority_weight / 3;
+    for (auto& c : s.classes) c.latency_objective_per_1000_tokens = 40;
     start(s, {reader(1), reader(2), writer(11), writer(12)});
     Millis now = 10;
     for (int i = 0; i < 40; ++i, now += 150) {
@@ -705,7 +705,7 @@
     s.kinds = {{Role::read, 1000}};
     EXPECT_NE(why(s).find("kinds"), std::string::npos);
     s = plain_settings();
-    s.classes[1].aim = 0;
+    s.classes[1].latency_objective = 0;
     EXPECT_NE(why(s).find("aim"), std::string::npos);
     EXPECT_EQ(why(plain_settings()), "");
 }
--- a/tests/router/hung_endpoint_test.cpp
+++ b/tests/router/hung_endpoint_test.cpp
@@ -113,7 +113,7 @@
     for (const int gateways : {2, 6, 12}) {
         Settings settings = plain_settings();
         settings.gateways = gateways;
-        settings.classes[0].aim = 1500;
+        settings.classes[0].latency_objective = 1500;
         std::vector<ServerEntry> servers;
         for (ServerId id = 1; id <= 6; ++id) servers.push_back(reader(id));
         for (ServerId id = 11; id <= 18; ++id) servers.push_back(writer(id));
--- a/tests/router/large_fleet_test.cpp
+++ b/tests/router/large_fleet_test.cpp
@@ -212,10 +212,11 @@
     bench.feed(10, arrival("a", 10));
     ASSERT_EQ(bench.all<Attempt>().size(), 1u);
     const Attempt read = bench.all<Attempt>()[0];
-    EXPECT_GE(read.limit, 2 * s.classes[0].aim);
+    EXPECT_GE(read.limit, 2 * s.classes[0].latency_objective);
     bench.feed(30, outcome("a", 0, read.server, Result::read_done));
     ASSERT_EQ(bench.all<Attempt>().size(), 1u);
-    EXPECT_LT(bench.all<Attempt>()[0].limit, s.classes[0].aim) << "a wait is short work, and is moved soon";
+    EXPECT_LT(bench.all<Attempt>()[0].limit, s.classes[0].latency_objective)
+        << "a wait is short work, and is moved soon";
     // Where servers report their load the next pick is an informed one, and a read is moved sooner.
     Outcome heard = outcome("a", 1, bench.all<Attempt>()[0].server, Result::served, true);
     heard.report.memory_share = 0.3;
@@ -223,7 +224,7 @@
     bench.feed(50, heard);
     bench.feed(60, arrival("b", 60));
     ASSERT_EQ(bench.all<Attempt>().size(), 1u);
-    EXPECT_LT(bench.all<Attempt>()[0].limit, 2 * s.classes[0].aim);
+    EXPECT_LT(bench.all<Attempt>()[0].limit, 2 * s.classes[0].latency_objective);
 }
 
 // Found there too: the gateways of a zone whose readers jam never looked into the other zone, as what they
@@ -251,7 +252,7 @@
             if (sends.size() != 1) continue;
             const ServerId at = sends[0].server;
             (i < 3 ? first : away) += i < 3 || i >= 20 ? at > 3 : 0;
-            const Millis took = at > 3 ? 30 : 1.2 * s.classes[0].aim;
+            const Millis took = at > 3 ? 30 : 1.2 * s.classes[0].latency_objective;
             bench.run_to(now + took);
             bench.feed(now + took, outcome(id, 0, at, Result::read_done));
             for (const auto& w : bench.all<Attempt>()) {
@@ -277,9 +278,9 @@
         bench.feed(10 + age, arrival("b", 10 + age));
         return !bench.all<Refuse>().empty();
     };
-    EXPECT_FALSE(refuses_after(0.5 * s.classes[0].aim));
-    EXPECT_FALSE(refuses_after(1.2 * s.classes[0].aim));
-    EXPECT_TRUE(refuses_after(4 * s.classes[0].aim)) << "and then it does";
+    EXPECT_FALSE(refuses_after(0.5 * s.classes[0].latency_objective));
+    EXPECT_FALSE(refuses_after(1.2 * s.classes[0].latency_objective));
+    EXPECT_TRUE(refuses_after(4 * s.classes[0].latency_objective)) << "and then it does";
 }
 
 TEST(Many, ASessionKeepsItsReaderAtAllGateways) {
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -174,9 +174,9 @@
 Settings plain_settings() {
     Settings s;
     ClassSettings c;
-    c.aim = 1000, c.deadline = 5000, c.worth = 3, c.token_aim = 60;
+    c.latency_objective = 1000, c.deadline = 5000, c.priority_weight = 3, c.inter_token_objective = 60;
     s.classes = {c, c};
-    s.classes[1].worth = 1;
+    s.classes[1].priority_weight = 1;
     s.kinds = {{Role::read, 100000}, {Role::write, 100000}, {Role::both, 100000}};
     s.zones = 2;
     s.gateways = 2;
--- a/tests/state/state_test.cpp
+++ b/tests/state/state_test.cpp
@@ -82,7 +82,7 @@
 
 Settings plain() {
     Settings s;
-    s.classes = {{.aim = 500, .deadline = 3000}};
+    s.classes = {{.latency_objective = 500, .deadline = 3000}};
     s.kinds = {{Role::read, 1000}, {Role::write, 1000}};
     s.max_attempts = 4, s.cancel = true;
     return s;
