--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -25,11 +25,11 @@
 using RequestId = std::string;
 using ServerId = std::uint32_t;
 
-enum class Effect { repeatable, by_key, once };  // what a repeat of the request may do
-enum class Group { all, zone, cell };            // which servers drop a repeat of a by_key request
-enum class Role { read, write, both };           // reads prompts, writes answers, or does either
-enum class Mode { healthy, draining, gone };     // as discovery lists a server
-enum class Discovery { push, ask };              // list changes come by themselves, or must be asked for
+enum class Idempotency { idempotent, with_key, unsafe };  // what a repeat of the request may do
+enum class DedupScope { all, zone, cell };                // which servers drop a repeat of a with_key request
+enum class Role { read, write, both };                    // reads prompts, writes answers, or does either
+enum class Mode { healthy, draining, gone };              // as discovery lists a server
+enum class Discovery { push, ask };  // list changes come by themselves, or must be asked for
 
 struct ClassSettings {
     Millis latency_objective = 0;                  // first token wanted within this ...
@@ -38,9 +38,9 @@
     double priority_weight = 1;                    // of a request (or of a unit of its work)
     double late_value_fraction = 0;                // share of the worth for an answer after the aim
     Millis inter_token_objective = 0;              // wanted time between tokens of a stream
-    Effect effect = Effect::repeatable;
-    Group group = Group::all;  // by_key only
-    Millis window = 0;         // by_key only: for how long repeats are dropped
+    Idempotency idempotency = Idempotency::idempotent;
+    DedupScope dedup_scope = DedupScope::all;  // with_key only
+    Millis dedup_window = 0;                   // with_key only: for how long repeats are dropped
 };
 
 struct TenantSettings {
--- a/src/control/invariant_checker.cpp
+++ b/src/control/invariant_checker.cpp
@@ -67,12 +67,12 @@
 void Audit::check_repeat(Handle handle, const Request& request, const Sent& before, const ServerEntry& to,
                          Millis now) {
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(request.cls)];
-    if (cls.effect == Effect::once) breach(Rule::repeated_effect, handle, "");
-    if (cls.effect != Effect::by_key) return;
-    if ((cls.group == Group::zone && before.to.zone != to.zone) ||
-        (cls.group == Group::cell && before.to.cell != to.cell))
+    if (cls.idempotency == Idempotency::unsafe) breach(Rule::repeated_effect, handle, "");
+    if (cls.idempotency != Idempotency::with_key) return;
+    if ((cls.dedup_scope == DedupScope::zone && before.to.zone != to.zone) ||
+        (cls.dedup_scope == DedupScope::cell && before.to.cell != to.cell))
         breach(Rule::outside_group, handle, "");
-    if (now - before.at > cls.window + kHeldUp)
+    if (now - before.at > cls.dedup_window + kHeldUp)
         breach(Rule::outside_window, handle, std::to_string(now - before.at) + " ms");
 }
 
@@ -95,7 +95,9 @@
         breach(Rule::late_answer, handle, std::to_string(now - request.deadline) + " ms after its time");
     if (!refused) return;
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(request.cls)];
-    if (cls.effect == Effect::repeatable || (cls.effect == Effect::by_key && cls.group == Group::all)) return;
+    if (cls.idempotency == Idempotency::idempotent ||
+        (cls.idempotency == Idempotency::with_key && cls.dedup_scope == DedupScope::all))
+        return;
     if (std::any_of(request.sent.begin(), request.sent.end(),
                     [](const Sent& sent) { return sent.write && !sent.never_ran; }))
         breach(Rule::harmless_promised, handle, "");
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -177,13 +177,14 @@
                                      "--record",
                                      o_.out + "/records/engine-" + id + ".ndjson"};
     // Engines of one group drop each other's repeats; the widest group that any class names is used.
-    Group group = Group::cell;
+    DedupScope group = DedupScope::cell;
     for (const auto& c : p.module.classes) {
-        if (c.effect == Effect::by_key && c.group != Group::cell) group = std::min(group, c.group);
+        if (c.idempotency == Idempotency::with_key && c.dedup_scope != DedupScope::cell)
+            group = std::min(group, c.dedup_scope);
     }
     std::string keys = o_.out + "/keys/all";
-    if (group == Group::zone) keys = o_.out + "/keys/zone-" + std::to_string(s.engine.entry.zone);
-    if (group == Group::cell) keys = o_.out + "/keys/cell-" + std::to_string(s.engine.entry.cell);
+    if (group == DedupScope::zone) keys = o_.out + "/keys/zone-" + std::to_string(s.engine.entry.zone);
+    if (group == DedupScope::cell) keys = o_.out + "/keys/cell-" + std::to_string(s.engine.entry.cell);
     std::error_code error;
     std::filesystem::create_directories(keys, error);
     args.insert(args.end(), {"--keys", keys});
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -410,7 +410,7 @@
             if (client) client->whole(200, std::move(bytes), -1, std::nullopt);
         } else {
             const bool harmless =
-                p_.module.classes[static_cast<std::size_t>(r->r.cls)].effect == Effect::repeatable;
+                p_.module.classes[static_cast<std::size_t>(r->r.cls)].idempotency == Idempotency::idempotent;
             close(*r, 500, "broken");
             if (client) client->whole(500, std::move(bytes), -1, harmless);
         }
@@ -431,8 +431,8 @@
             // Told that a repeat is harmless only where that is sure.
             const bool ran =
                 std::any_of(r->tries.begin(), r->tries.end(), [](const Try& t) { return !t.read; });
-            const bool harmless =
-                !ran || p_.module.classes[static_cast<std::size_t>(r->r.cls)].effect == Effect::repeatable;
+            const bool harmless = !ran || p_.module.classes[static_cast<std::size_t>(r->r.cls)].idempotency ==
+                                              Idempotency::idempotent;
             refuse(*r, harmless ? 529 : 500, harmless ? kOverloaded : kFailed, harmless ? 0 : -1, harmless);
         }
         for (std::size_t n = 0; (r = find(id)) && n < r->tries.size(); ++n) {
--- a/src/invariants/record_checker.cpp
+++ b/src/invariants/record_checker.cpp
@@ -286,9 +286,10 @@
         }
         for (const auto& [request, list] : attempts_) {
             const auto* cls = list.empty() ? nullptr : settings(list[0].recv->text("cls"));
-            if (!cls || cls->effect == Effect::repeatable) continue;
+            if (!cls || cls->idempotency == Idempotency::idempotent) continue;
             ++f.cases;
-            const bool keyed = cls->effect == Effect::by_key && !list[0].recv->text("key").empty();
+            const bool keyed =
+                cls->idempotency == Idempotency::with_key && !list[0].recv->text("key").empty();
             int ran = 0, writes = 0;
             const Attempt* last = nullptr;
             for (const auto& a : list) {
@@ -301,7 +302,7 @@
                 broken(f, request + ": run " + std::to_string(ran) + " times, last " + place(last->recv));
             const auto it = by_request.find(request);
             const bool refused = it != by_request.end() && it->second->status == 529;
-            if (refused && last && !(keyed && cls->group == Group::all))
+            if (refused && last && !(keyed && cls->dedup_scope == DedupScope::all))
                 broken(f, request + ": told that a repeat is harmless, but it ran " + place(last->recv));
         }
         return f;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -283,7 +283,7 @@
     void advance(Request& r) {
         if (r.a.deadline <= now_) return end(r, EndCause::deadline);
         if (r.attempts >= s_.max_attempts) return end(r, EndCause::attempts_used);
-        if (r.may_have_run && s_.classes[cls(r)].effect == Effect::once)
+        if (r.may_have_run && s_.classes[cls(r)].idempotency == Idempotency::unsafe)
             return end(r, EndCause::may_have_run);
         // Guards against retry storms: each attempt past the ordinary read and write takes from the budget.
         if (r.attempts > (r.state ? 1 : 0)) {
@@ -323,7 +323,7 @@
         s.sends.add(now_);
         s.recent.push_back(now_);
         prune(s);
-        act(Attempt{r.a.request, s.entry.server, limit(r, stage), std::min(r.a.deadline, repeat_until(r))});
+        act(Attempt{r.a.request, s.entry.server, limit(r, stage), std::min(r.a.deadline, retry_deadline(r))});
     }
 
     // How long to wait for this attempt. Guards against silence: a request at a dead server must still reach
@@ -391,8 +391,8 @@
         if (r.ended) return;
         const ClassSettings& c = s_.classes[cls(r)];
         // An attempt still out, a read too, may count as run.
-        const bool harmless = c.effect == Effect::repeatable || !(r.may_have_run || r.out) ||
-                              (c.effect == Effect::by_key && c.group == Group::all);
+        const bool harmless = c.idempotency == Idempotency::idempotent || !(r.may_have_run || r.out) ||
+                              (c.idempotency == Idempotency::with_key && c.dedup_scope == DedupScope::all);
         if (harmless) {
             act(Refuse{r.a.request, s_.retry_after ? std::min(s_.max_retry_after, wait(r)) : 0, cause});
         } else {
@@ -640,13 +640,13 @@
         if (!cold_room(s, r)) return false;
         // Guards against a repeat that reaches a server which does not drop it: outside the group, or after
         // the window has closed while the connection came up. Holds for reads too, as they are sends.
-        if (now_ + s_.dial_timeout >= repeat_until(r)) return false;
-        if (repeats_by_key(r)) {
-            const Group group = s_.classes[cls(r)].group;
+        if (now_ + s_.dial_timeout >= retry_deadline(r)) return false;
+        if (is_keyed_retry(r)) {
+            const DedupScope group = s_.classes[cls(r)].dedup_scope;
             const Server* ran = find(r.ran_at);
-            if (!ran && group != Group::all) return false;
-            if (group == Group::zone && ran->entry.zone != s.entry.zone) return false;
-            if (group == Group::cell && ran->entry.cell != s.entry.cell) return false;
+            if (!ran && group != DedupScope::all) return false;
+            if (group == DedupScope::zone && ran->entry.zone != s.entry.zone) return false;
+            if (group == DedupScope::cell && ran->entry.cell != s.entry.cell) return false;
         }
         if (!strict) return true;
         // Guards against a request spent on one server that, sick or full, looks idle from here.
@@ -659,14 +659,14 @@
         return now_ >= s.retry_at && s.total() < s.allow;
     }
 
-    bool repeats_by_key(const Request& r) const {
-        return r.may_have_run && s_.classes[cls(r)].effect == Effect::by_key;
+    bool is_keyed_retry(const Request& r) const {
+        return r.may_have_run && s_.classes[cls(r)].idempotency == Idempotency::with_key;
     }
 
     // When the last byte of a further attempt may be sent at the latest.
-    Millis repeat_until(const Request& r) const {
-        if (!repeats_by_key(r)) return kNever;
-        return r.ran_sent + s_.classes[cls(r)].window - kTransit * s_.dial_timeout;
+    Millis retry_deadline(const Request& r) const {
+        if (!is_keyed_retry(r)) return kNever;
+        return r.ran_sent + s_.classes[cls(r)].dedup_window - kTransit * s_.dial_timeout;
     }
 
     bool has_room(const Server& s) const { return s.memory_share < kNearFull; }
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -77,12 +77,14 @@
         c.priority_weight = info.num(p + "Importance", 1);
         c.late_value_fraction = info.num(p + "LateShare", 0);
         c.inter_token_objective = item(info, "FamilyInfo.TokenAimMs", i, 0);
-        c.effect = choice<Effect>(
-            p + "Effect", info.text(p + "Effect", "once"),
-            {{"repeatable", Effect::repeatable}, {"by_key", Effect::by_key}, {"once", Effect::once}});
-        c.group = choice<Group>(p + "Group", info.text(p + "Group", "all"),
-                                {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
-        c.window = info.num(p + "WindowMs", 0);
+        c.idempotency = choice<Idempotency>(p + "Effect", info.text(p + "Effect", "once"),
+                                            {{"repeatable", Idempotency::idempotent},
+                                             {"by_key", Idempotency::with_key},
+                                             {"once", Idempotency::unsafe}});
+        c.dedup_scope = choice<DedupScope>(
+            p + "Group", info.text(p + "Group", "all"),
+            {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
+        c.dedup_window = info.num(p + "WindowMs", 0);
         s.classes.push_back(c);
         named.classes.emplace(info.text(p + "Name", ""), static_cast<int>(i));
     }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -68,23 +68,26 @@
             c.late_value_fraction = e.number("late-share");
             c.inter_token_objective = e.number("token-aim-ms");
             const std::string effect = e.text("effect"), group = e.text("group");
-            c.effect = effect == "by_key" ? Effect::by_key
-                       : effect == "once" ? Effect::once
-                                          : Effect::repeatable;
-            c.group = group == "zone" ? Group::zone : group == "cell" ? Group::cell : Group::all;
-            c.window = e.number("window-ms");
+            c.idempotency = effect == "by_key" ? Idempotency::with_key
+                            : effect == "once" ? Idempotency::unsafe
+                                               : Idempotency::idempotent;
+            c.dedup_scope = group == "zone"   ? DedupScope::zone
+                            : group == "cell" ? DedupScope::cell
+                                              : DedupScope::all;
+            c.dedup_window = e.number("window-ms");
             if (c.latency_objective > c.deadline) fault(e, "aim-ms is beyond deadline-ms");
             // A second send could come after the servers have forgotten the first.
-            if (c.effect == Effect::by_key && c.window <= 0)
+            if (c.idempotency == Idempotency::with_key && c.dedup_window <= 0)
                 fault(e, "effect 'by_key' needs window-ms: how long engines remember a key");
-            if (c.effect != Effect::by_key && c.window > 0) fault(e, "window-ms is for effect 'by_key' only");
+            if (c.idempotency != Idempotency::with_key && c.dedup_window > 0)
+                fault(e, "window-ms is for effect 'by_key' only");
             p_.module.classes.push_back(c);
         }
         // Without a key nothing tells an engine of a repeat: such a request counts as one to be run once.
         for (std::size_t i = 0, n = p_.module.classes.size(); i < n; ++i) {
             ClassSettings twin = p_.module.classes[i];
-            if (twin.effect != Effect::by_key) continue;
-            twin.effect = Effect::once, twin.window = 0;
+            if (twin.idempotency != Idempotency::with_key) continue;
+            twin.idempotency = Idempotency::unsafe, twin.dedup_window = 0;
             p_.keyless[static_cast<int>(i)] = static_cast<int>(p_.module.classes.size());
             p_.module.classes.push_back(twin);
             p_.classes.push_back(p_.classes[i]);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -48,7 +48,7 @@
     std::vector<std::string> models, tenants, classes, zones, kinds;  // names, by index
     std::vector<std::pair<Digest, int>> keys;                         // SHA-256 of a key, its tenant
     std::vector<std::vector<std::string>> tenant_models;              // by tenant; empty: all
-    std::map<int, int> keyless;  // class by_key -> its twin of effect once, for requests without a key
+    std::map<int, int> keyless;  // class with_key -> its twin of effect once, for requests without a key
     std::vector<Route> routes;
     std::vector<Engine> engines;
     Settings module;
--- a/tests/control/run_time_invariants_test.cpp
+++ b/tests/control/run_time_invariants_test.cpp
@@ -46,8 +46,9 @@
     Settings settings = [] {
         Settings s;
         ClassSettings repeatable, keyed, once;
-        keyed.effect = Effect::by_key, keyed.group = Group::zone, keyed.window = 1000;
-        once.effect = Effect::once;
+        keyed.idempotency = Idempotency::with_key, keyed.dedup_scope = DedupScope::zone,
+        keyed.dedup_window = 1000;
+        once.idempotency = Idempotency::unsafe;
         s.classes = {repeatable, keyed, once};
         s.drain_grace = 250, s.answer_slack = 50;
         return s;
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -110,9 +110,9 @@
     ClassSettings c;
     c.latency_objective = 500, c.deadline = 3000, c.inter_token_objective = 50;
     p.module.classes = {c, c, c};
-    p.module.classes[1].effect = Effect::once;
-    p.module.classes[2].effect = Effect::by_key;
-    p.module.classes[2].group = Group::cell, p.module.classes[2].window = 2000;
+    p.module.classes[1].idempotency = Idempotency::unsafe;
+    p.module.classes[2].idempotency = Idempotency::with_key;
+    p.module.classes[2].dedup_scope = DedupScope::cell, p.module.classes[2].dedup_window = 2000;
     p.module.tenants = {{0}};
     p.module.kinds = {{Role::read, 100000}, {Role::write, 100000}};
     p.module.max_attempts = 6, p.module.cancel = true, p.module.retry_after = true;
--- a/tests/invariants/record_checker_test.cpp
+++ b/tests/invariants/record_checker_test.cpp
@@ -15,8 +15,8 @@
     t.classes = {"chat", "pay", "order"};
     t.of.resize(3);
     for (auto& c : t.of) c.latency_objective = 500, c.deadline = 2000, c.priority_weight = 1;
-    t.of[1].effect = Effect::once;
-    t.of[2].effect = Effect::by_key, t.of[2].group = Group::cell;
+    t.of[1].idempotency = Idempotency::unsafe;
+    t.of[2].idempotency = Idempotency::with_key, t.of[2].dedup_scope = DedupScope::cell;
     return t;
 }
 
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -21,7 +21,7 @@
     ASSERT_EQ(s.classes.size(), 2u);
     EXPECT_EQ(s.classes[0].latency_objective_per_1000_tokens, 40);
     EXPECT_EQ(s.classes[1].inter_token_objective, 50);
-    EXPECT_EQ(s.classes[1].effect, Effect::once);
+    EXPECT_EQ(s.classes[1].idempotency, Idempotency::unsafe);
     EXPECT_EQ(c.named.classes.at("bulk job"), 1);
     EXPECT_EQ(s.own_zone, 1);
     EXPECT_EQ(s.kinds[1].role, Role::write);
--- a/tests/router/guards_test.cpp
+++ b/tests/router/guards_test.cpp
@@ -336,7 +336,7 @@
     EXPECT_EQ(cause(), EndCause::shutdown);
 
     Settings once = plain_settings();
-    once.classes[0].effect = Effect::once;
+    once.classes[0].idempotency = Idempotency::unsafe;
     start(once, {reader(1), writer(11)});
     bench->feed(20, outcome("a", 0, read_at("a", 10), Result::read_done));
     bench->feed(30, outcome("a", 1, 11, Result::reset));
@@ -408,7 +408,7 @@
 
 TEST_F(Guards, AOnceRequestThatMayHaveRunIsFailedNotRefused) {
     Settings s = plain_settings();
-    s.classes[0].effect = Effect::once;
+    s.classes[0].idempotency = Idempotency::unsafe;
     start(s, {reader(1), writer(11), writer(12)});
     const ServerId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
@@ -420,9 +420,9 @@
 
 TEST_F(Guards, AKeyedRequestStaysInItsGroup) {
     Settings s = plain_settings();
-    s.classes[0].effect = Effect::by_key;
-    s.classes[0].group = Group::zone;
-    s.classes[0].window = 5000;
+    s.classes[0].idempotency = Idempotency::with_key;
+    s.classes[0].dedup_scope = DedupScope::zone;
+    s.classes[0].dedup_window = 5000;
     start(s, {reader(1, 0), writer(11, 0), writer(12, 1), writer(13, 0)});
     const ServerId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
@@ -433,9 +433,9 @@
 
 TEST_F(Guards, AKeyedRequestIsReadAnewInItsGroupOnly) {
     Settings s = plain_settings();
-    s.classes[0].effect = Effect::by_key;
-    s.classes[0].group = Group::zone;
-    s.classes[0].window = 5000;
+    s.classes[0].idempotency = Idempotency::with_key;
+    s.classes[0].dedup_scope = DedupScope::zone;
+    s.classes[0].dedup_window = 5000;
     start(s, {reader(1, 0), writer(11, 1), reader(2, 0), reader(3, 0)});
     const ServerId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
@@ -451,8 +451,8 @@
 
 TEST_F(Guards, AKeyedRequestIsNotRepeatedWhereItsWindowMayCloseOnTheWay) {
     Settings s = plain_settings();
-    s.classes[0].effect = Effect::by_key;
-    s.classes[0].window = 1000;
+    s.classes[0].idempotency = Idempotency::with_key;
+    s.classes[0].dedup_window = 1000;
     s.dial_timeout = 250;
     for (const Millis reset_at : {600.0, 700.0}) {
         start(s, {reader(1), reader(2), writer(11), writer(12)});
@@ -476,17 +476,18 @@
 
 TEST_F(Guards, AShutdownRefusesWhatNeverRanAndFailsWhatMayHaveRun) {
     struct Case {
-        Effect effect;
-        Group group;
+        Idempotency effect;
+        DedupScope group;
         bool refused_unsent, refused_sent;
     };
-    const Case cases[] = {{Effect::repeatable, Group::all, true, true},
-                          {Effect::by_key, Group::all, true, true},
-                          {Effect::by_key, Group::cell, true, false},
-                          {Effect::once, Group::all, true, false}};
+    const Case cases[] = {{Idempotency::idempotent, DedupScope::all, true, true},
+                          {Idempotency::with_key, DedupScope::all, true, true},
+                          {Idempotency::with_key, DedupScope::cell, true, false},
+                          {Idempotency::unsafe, DedupScope::all, true, false}};
     for (const Case& c : cases) {
         Settings s = plain_settings();
-        s.classes[0].effect = c.effect, s.classes[0].group = c.group, s.classes[0].window = 5000;
+        s.classes[0].idempotency = c.effect, s.classes[0].dedup_scope = c.group,
+        s.classes[0].dedup_window = 5000;
         start(s, {reader(1), reader(2), writer(11), writer(12)});
         // One was read and its connection to the writer did not come up; one waits for the writer's answer.
         const ServerId unsent = read_at("unsent", 10);
--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -51,15 +51,15 @@
 
 TEST_F(Planted, OnceSentTwice) {
     Settings once = s;
-    once.classes[0].effect = Effect::once;
+    once.classes[0].idempotency = Idempotency::unsafe;
     EXPECT_EQ(breaches_sending_again(once, 11), 1u);
 }
 
 TEST_F(Planted, KeyedOutsideItsGroup) {
     Settings keyed = s;
-    keyed.classes[0].effect = Effect::by_key;
-    keyed.classes[0].group = Group::zone;
-    keyed.classes[0].window = 1000;
+    keyed.classes[0].idempotency = Idempotency::with_key;
+    keyed.classes[0].dedup_scope = DedupScope::zone;
+    keyed.classes[0].dedup_window = 1000;
     EXPECT_EQ(breaches_sending_again(keyed, 12), 1u);
 }
 
@@ -129,9 +129,9 @@
     s.ask_within = 10000;
     s.tenants = {{5}, {5}};
     for (auto& c : s.classes) {
-        c.effect = static_cast<Effect>(dice(3));
-        c.group = static_cast<Group>(dice(3));
-        c.window = 200 + 1000 * dice(4);
+        c.idempotency = static_cast<Idempotency>(dice(3));
+        c.dedup_scope = static_cast<DedupScope>(dice(3));
+        c.dedup_window = 200 + 1000 * dice(4);
     }
     std::vector<ServerEntry> entries;
     for (ServerId i = 0; i < 4; ++i) entries.push_back(reader(1 + i, dice(2)));
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -83,12 +83,14 @@
         const ServerEntry& to = servers_.at(a->server).entry;
         for (const Try& t : r.tries) {
             if (t.proven_not_run) continue;
-            if (c.effect == Effect::once) breach(now, "twice: a once request sent again");
-            if (c.effect != Effect::by_key) continue;
+            if (c.idempotency == Idempotency::unsafe) breach(now, "twice: a once request sent again");
+            if (c.idempotency != Idempotency::with_key) continue;
             const ServerEntry& ran = servers_.at(t.server).entry;
-            if (now - t.sent > c.window) breach(now, "twice: sent again after the window");
-            if (c.group == Group::zone && ran.zone != to.zone) breach(now, "twice: sent to another zone");
-            if (c.group == Group::cell && ran.cell != to.cell) breach(now, "twice: sent to another cell");
+            if (now - t.sent > c.dedup_window) breach(now, "twice: sent again after the window");
+            if (c.dedup_scope == DedupScope::zone && ran.zone != to.zone)
+                breach(now, "twice: sent to another zone");
+            if (c.dedup_scope == DedupScope::cell && ran.cell != to.cell)
+                breach(now, "twice: sent to another cell");
         }
         Try t;
         t.server = a->server, t.sent = now, t.reader = role(a->server) == Role::read;
@@ -125,11 +127,12 @@
     r.ended = true;
     if (now > r.a.deadline + s_.answer_slack && r.a.deadline > 0) breach(now, "lost: answered too late");
     const ClassSettings& c = s_.classes[static_cast<std::size_t>(r.a.cls)];
-    if (!refusal || c.effect == Effect::repeatable) return;
+    if (!refusal || c.idempotency == Idempotency::idempotent) return;
     for (const Try& t : r.tries) {
         if (t.proven_not_run || (t.reader && !t.out)) continue;
-        if (c.effect == Effect::once) breach(now, "twice: a once request refused that may have run");
-        if (c.effect == Effect::by_key && c.group != Group::all)
+        if (c.idempotency == Idempotency::unsafe)
+            breach(now, "twice: a once request refused that may have run");
+        if (c.idempotency == Idempotency::with_key && c.dedup_scope != DedupScope::all)
             breach(now, "twice: a keyed request refused");
     }
 }
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -105,7 +105,7 @@
     ASSERT_EQ(p->keyless.size(), 1u);
     const auto [keyed, twin] = *p->keyless.begin();
     EXPECT_EQ(p->classes[static_cast<std::size_t>(keyed)], p->classes[static_cast<std::size_t>(twin)]);
-    EXPECT_EQ(p->module.classes[static_cast<std::size_t>(twin)].effect, Effect::once);
+    EXPECT_EQ(p->module.classes[static_cast<std::size_t>(twin)].idempotency, Idempotency::unsafe);
 }
 
 TEST(FleetFile, ReadBackAndRefused) {
