--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -34,9 +34,9 @@
     return s;
 }
 
-ServerEntry entry(int rank) {
-    ServerEntry e;
-    e.server = static_cast<ServerId>(rank * 2654435761u);
+Endpoint entry(int rank) {
+    Endpoint e;
+    e.id = static_cast<EndpointId>(rank * 2654435761u);
     e.zone = rank / 6 % 2, e.kind = rank % 2, e.cell = static_cast<std::uint64_t>(rank / 6 + 1);
     return e;
 }
@@ -52,13 +52,13 @@
     std::vector<Action> actions;
     std::multimap<Millis, Event> events;
     std::mt19937 random(1);
-    ListEvent list;
-    for (int i = 0; i < servers; ++i) list.entries.push_back(entry(i));
+    EndpointUpdate list;
+    for (int i = 0; i < servers; ++i) list.endpoints.push_back(entry(i));
     events.emplace(0, list);
     for (Millis at = kListChange; at < seconds * kSecond; at += kListChange) {
-        ListEvent change;
-        change.form = ListEvent::Form::changes;
-        change.entries.push_back(entry(static_cast<int>(random() % static_cast<unsigned>(servers))));
+        EndpointUpdate change;
+        change.kind = EndpointUpdate::Kind::incremental;
+        change.endpoints.push_back(entry(static_cast<int>(random() % static_cast<unsigned>(servers))));
         events.emplace(at, change);
     }
     long count = 0;
@@ -86,16 +86,16 @@
             const auto* attempt = std::get_if<Attempt>(&action);
             if (!attempt) continue;
             played.decisions =
-                (played.decisions ^ attempt->server) * 0x100000001B3ULL + attempt->request.size();
+                (played.decisions ^ attempt->endpoint) * 0x100000001B3ULL + attempt->request.size();
             Outcome o;
             o.request = attempt->request, o.attempt = attempts[attempt->request]++,
-            o.server = attempt->server;
+            o.endpoint = attempt->endpoint;
             if (o.attempt == 0) {
                 o.result = Result::read_done, o.took = kReadTime;
                 events.emplace(now + kReadTime, o);
             } else {
                 events.emplace(now + kFirstTokenTime,
-                               FirstToken{o.request, o.attempt, o.server, kFirstTokenTime});
+                               FirstToken{o.request, o.attempt, o.endpoint, kFirstTokenTime});
                 o.result = Result::served, o.closed = true;
                 events.emplace(now + kStreamTime, o);
             }
--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -23,13 +23,13 @@
 
 using Millis = double;
 using RequestId = std::string;
-using ServerId = std::uint32_t;
+using EndpointId = std::uint32_t;
 
 enum class Idempotency { idempotent, with_key, unsafe };  // what a repeat of the request may do
 enum class DedupScope { all, zone, cell };                // which servers drop a repeat of a with_key request
 enum class Role { read, write, both };                    // reads prompts, writes answers, or does either
-enum class Mode { healthy, draining, gone };              // as discovery lists a server
-enum class Discovery { push, ask };  // list changes come by themselves, or must be asked for
+enum class EndpointStatus { healthy, draining, removed };  // as discovery lists a server
+enum class Discovery { watch, poll };  // list changes come by themselves, or must be asked for
 
 struct ClassSettings {
     Millis latency_objective = 0;                  // first token wanted within this ...
@@ -59,8 +59,8 @@
     int zones = 1;
     int own_zone = 0;
     int gateways = 1;
-    Discovery discovery = Discovery::push;
-    Millis ask_within = 0;  // `ask`: how old the last call may be
+    Discovery discovery = Discovery::watch;
+    Millis poll_interval = 0;  // `ask`: how old the last call may be
     // what the deployment permits
     int max_attempts = 1;
     bool cancel = false;
@@ -118,7 +118,7 @@
 struct Outcome {  // how an attempt ended; exactly one for each attempt
     RequestId request;
     int attempt = 0;
-    ServerId server = 0;
+    EndpointId endpoint = 0;
     Result result = Result::served;
     Millis took = 0;
     bool closed = false;  // nothing more is owed for the request
@@ -129,13 +129,13 @@
 struct FirstToken {  // the stream has begun; the client's deadline stops running
     RequestId request;
     int attempt = 0;
-    ServerId server = 0;
+    EndpointId endpoint = 0;
     Millis took = 0;
 };
 
 struct PlaceNote {  // answer to HoldPlace
     RequestId request;
-    ServerId server = 0;
+    EndpointId endpoint = 0;
     bool held = false;
 };
 
@@ -143,23 +143,28 @@
     RequestId request;
 };
 
-struct ServerEntry {
-    ServerId server = 0;
+struct Endpoint {
+    EndpointId id = 0;
     int zone = 0;
     int kind = 0;
     std::uint64_t cell = 0;
-    Mode mode = Mode::healthy;
+    EndpointStatus status = EndpointStatus::healthy;
     double weight = 1;
-    Millis started = 0;  // 0: long ago
+    Millis started_at = 0;  // 0: long ago
 };
 
-struct ListEvent {
-    enum class Form { changes, full, saved, failed } form = Form::full;  // saved: as last held, maybe stale
-    std::vector<ServerEntry> entries;
+struct EndpointUpdate {
+    enum class Kind {
+        incremental,
+        full,
+        cached,
+        failed
+    } kind = Kind::full;  // saved: as last held, maybe stale
+    std::vector<Endpoint> endpoints;
 };
 
 struct ProbeResult {
-    ServerId server = 0;
+    EndpointId endpoint = 0;
     bool good = false;
     Millis took = 0;
     LoadReport report;
@@ -177,14 +182,14 @@
 
 struct Shutdown {};  // the host is about to end: every request without an answer gets its final one at once
 
-using Event = std::variant<Arrival, Outcome, FirstToken, PlaceNote, ClientGone, ListEvent, ProbeResult, Due,
-                           StateReleased, Shutdown>;
+using Event = std::variant<Arrival, Outcome, FirstToken, PlaceNote, ClientGone, EndpointUpdate, ProbeResult,
+                           Due, StateReleased, Shutdown>;
 
 // ---- actions --------------------------------------------------------------------------------------------
 
 struct Attempt {  // send the request; attempts of a request count from 0
     RequestId request;
-    ServerId server = 0;
+    EndpointId endpoint = 0;
     Millis limit = 0;    // time-out of this attempt; 0: until the client leaves
     Millis send_by = 0;  // clock time after which no byte of it may go out (its Outcome: not_sent); 0: none
 };
@@ -194,7 +199,7 @@
 };
 struct HoldPlace {
     RequestId request;
-    ServerId server = 0;
+    EndpointId endpoint = 0;
 };
 struct DropState {  // let go of every state and place held that no attempt waits for
     RequestId request;
@@ -226,20 +231,20 @@
     RequestId request;
 };
 struct Probe {
-    ServerId server = 0;
+    EndpointId endpoint = 0;
 };
 struct SetTimer {
     std::uint64_t label = 0;
     Millis at = 0;
 };
-struct Subscribe {};  // ask for a standing list subscription
-struct FetchList {};  // ask once for the whole list
+struct WatchEndpoints {};  // ask for a standing list subscription
+struct PollEndpoints {};   // ask once for the whole list
 struct Log {
     std::string text;
 };
 
 using Action = std::variant<Attempt, StopAttempt, HoldPlace, DropState, Refuse, Fail, MoveStream, Probe,
-                            SetTimer, Subscribe, FetchList, Log>;
+                            SetTimer, WatchEndpoints, PollEndpoints, Log>;
 
 class Router {
 public:
--- a/src/cli/processes.cpp
+++ b/src/cli/processes.cpp
@@ -132,8 +132,7 @@
     std::size_t listening = 0;
     const auto fail = [&](const settings::Engine& e, const std::string& why) {
         if (code != 0) return;
-        std::cerr << "stand-in " << e.entry.server << " at " << e.address << " did not start: " << why
-                  << '\n';
+        std::cerr << "stand-in " << e.endpoint.id << " at " << e.address << " did not start: " << why << '\n';
         code = kSystem;
         loop.stop();
     };
@@ -155,7 +154,7 @@
                     e, signal ? "signal " + std::to_string(signal) : "exit code " + std::to_string(status));
             }
             log::write("warn", "standin_ended",
-                       {{"server", e.entry.server}, {"status", status}, {"signal", signal}});
+                       {{"server", e.endpoint.id}, {"status", status}, {"signal", signal}});
         }));
         engines.back()->on_line = [&](const std::string& line) {
             if (line.rfind("ready ", 0) != 0 || ++listening < all.size()) return;
@@ -166,8 +165,8 @@
             loop.stop();
         };
         const int error = engines.back()->spawn(
-            {self(), "standin", file, "--server", std::to_string(e.entry.server), "--kind",
-             p->kinds[static_cast<std::size_t>(e.entry.kind)], "--address", e.address},
+            {self(), "standin", file, "--server", std::to_string(e.endpoint.id), "--kind",
+             p->kinds[static_cast<std::size_t>(e.endpoint.kind)], "--address", e.address},
             "");
         if (error != 0) {
             fail(e, net::text(error));
--- a/src/cli/processes.h
+++ b/src/cli/processes.h
@@ -25,7 +25,7 @@
 
 struct StandinArgs {
     std::string file, kind, address, control, record, keys;
-    ServerId server = 0;
+    EndpointId server = 0;
     bool cold = false;
     std::vector<std::string> args;  // of this process, to start it anew
 };
--- a/src/control/endpoint_incarnation.h
+++ b/src/control/endpoint_incarnation.h
@@ -13,27 +13,27 @@
 
 namespace gorsenotch::control {
 
-class StartTimes {
+class EndpointIncarnations {
 public:
     // `offset`: what is added to the wall clock's ms to get the monotonic clock's.
-    explicit StartTimes(Millis offset) : offset_(offset) {}
+    explicit EndpointIncarnations(Millis offset) : clock_offset_(offset) {}
 
     // `name` is listed now, started at `born` by the wall clock; 0: long ago. Returns the start, 0 for long
     // ago.
-    Millis listed(const std::string& name, double born, Millis now);
+    Millis on_listed(const std::string& name, double born, Millis now);
     // A list from discovery has been taken whole: what is new or has changed from now on is seen as it comes
     // about.
-    void watching() { watching_ = true; }
+    void on_full_list() { watching_ = true; }
     // Forgets what has not been listed for long, where that is much of what is known.
     void forget(std::size_t listed, Millis now);
     std::size_t size() const { return known_.size(); }
 
 private:
     struct Known {
-        double born = 0;
-        Millis started = 0, listed = 0;
+        double incarnation = 0;
+        Millis started_at = 0, last_listed = 0;
     };
-    const Millis offset_;
+    const Millis clock_offset_;
     bool watching_ = false;
     std::unordered_map<std::string, Known> known_;
 };
--- a/src/control/invariant_checker.cpp
+++ b/src/control/invariant_checker.cpp
@@ -28,8 +28,8 @@
     request.deadline = deadline;
 }
 
-void Audit::listed(ServerId server, Mode mode, Millis now) {
-    if (mode == Mode::healthy) {
+void Audit::listed(EndpointId server, EndpointStatus mode, Millis now) {
+    if (mode == EndpointStatus::healthy) {
         not_up_since_.erase(server);
         return;
     }
@@ -38,23 +38,23 @@
     std::erase_if(not_up_since_, [now](const auto& entry) { return now - entry.second > kNotUpForgotten; });
 }
 
-void Audit::list_is_whole(const std::vector<ServerEntry>& entries, Millis now) {
-    std::unordered_set<ServerId> in_list;
-    for (const auto& entry : entries) in_list.insert(entry.server);
+void Audit::list_is_whole(const std::vector<Endpoint>& entries, Millis now) {
+    std::unordered_set<EndpointId> in_list;
+    for (const auto& entry : entries) in_list.insert(entry.id);
     for (const auto& [handle, request] : requests_) {
         for (const Sent& sent : request.sent) {
-            if (!in_list.count(sent.to.server)) listed(sent.to.server, Mode::gone, now);
+            if (!in_list.count(sent.to.id)) listed(sent.to.id, EndpointStatus::removed, now);
         }
     }
 }
 
-void Audit::sent(Handle handle, int attempt, const ServerEntry& to, Role role, Millis now) {
+void Audit::sent(Handle handle, int attempt, const Endpoint& to, Role role, Millis now) {
     const auto it = requests_.find(handle);
     if (it == requests_.end()) return;
     Request& request = it->second;
     if (request.answered || request.left)
         breach(Rule::sent_after_end, handle, request.left ? "left" : "answered");
-    if (const auto since = not_up_since_.find(to.server);
+    if (const auto since = not_up_since_.find(to.id);
         since != not_up_since_.end() && now - since->second > settings_.drain_grace)
         breach(Rule::sent_to_drained, handle, std::to_string(now - since->second) + " ms after it was told");
     for (const Sent& before : request.sent) {
@@ -64,7 +64,7 @@
     request.sent.push_back({attempt, to, role != Role::read, true, false, now});
 }
 
-void Audit::check_repeat(Handle handle, const Request& request, const Sent& before, const ServerEntry& to,
+void Audit::check_repeat(Handle handle, const Request& request, const Sent& before, const Endpoint& to,
                          Millis now) {
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(request.cls)];
     if (cls.idempotency == Idempotency::unsafe) breach(Rule::repeated_effect, handle, "");
--- a/src/control/invariant_checker.h
+++ b/src/control/invariant_checker.h
@@ -42,10 +42,10 @@
 
     void taken(Handle request, int cls, Millis deadline);
     // The list as it was taken: `mode` of a server, at each entry.
-    void listed(ServerId server, Mode mode, Millis now);
-    void list_is_whole(const std::vector<ServerEntry>& entries, Millis now);  // what it lacks is gone
+    void listed(EndpointId server, EndpointStatus mode, Millis now);
+    void list_is_whole(const std::vector<Endpoint>& entries, Millis now);  // what it lacks is gone
     // The first byte of an attempt goes out.
-    void sent(Handle request, int attempt, const ServerEntry& to, Role role, Millis now);
+    void sent(Handle request, int attempt, const Endpoint& to, Role role, Millis now);
     void ended(Handle request, int attempt, bool never_ran);
     void answered(Handle request, bool refused, Millis now);
     void client_left(Handle request);
@@ -76,7 +76,7 @@
 private:
     struct Sent {
         int attempt = 0;
-        ServerEntry to;
+        Endpoint to;
         bool write = false, out = true, never_ran = false;
         Millis at = 0;
     };
@@ -92,12 +92,12 @@
         int calls = 0;         // releases asked for
     };
     void breach(Rule rule, Handle request, const std::string& what);
-    void check_repeat(Handle handle, const Request& request, const Sent& before, const ServerEntry& to,
+    void check_repeat(Handle handle, const Request& request, const Sent& before, const Endpoint& to,
                       Millis now);
 
     const Settings& settings_;
     std::unordered_map<Handle, Request> requests_;
-    std::unordered_map<ServerId, Millis> not_up_since_;  // servers told not to be up, since when
+    std::unordered_map<EndpointId, Millis> not_up_since_;  // servers told not to be up, since when
     std::unordered_map<Handle, Held> held_;
     Millis answered_at_ = 0, next_check_ = 0;
     std::uint64_t held_unanswered_ = 0;
--- a/src/control/kv_lease.cpp
+++ b/src/control/kv_lease.cpp
@@ -30,7 +30,7 @@
 
 HeldState::HeldState(Millis release_within) : allowed_(release_within > 0 ? release_within : kAllowedUnset) {}
 
-void HeldState::made(Millis now, HeldOrigin origin, ServerId holder) {
+void HeldState::made(Millis now, HeldOrigin origin, EndpointId holder) {
     uncertain_ = origin == HeldOrigin::read_lost || (held_ && uncertain_);
     timeline_.origin = origin;
     timeline_.holder = holder;
@@ -41,7 +41,7 @@
     timeline_ = {origin, holder, now, -1, -1, -1, -1, timeline_.awaited};
 }
 
-void HeldState::attempt_begun(Millis now, ServerId server, bool write) {
+void HeldState::attempt_begun(Millis now, EndpointId server, bool write) {
     arrived_ = answer_begun_ = false;
     write_out_ = write;
     write_handed_ = read_handed_ = asked_ = false;
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -37,22 +37,22 @@
     // When what happened last, for logs; below 0: not.
     struct Timeline {
         HeldOrigin origin = HeldOrigin::read_done;
-        ServerId holder = 0;
-        Millis made = -1;      // it stands, or may stand, since then
-        Millis sent = -1;      // the latest attempt's last byte was handed to the kernel
-        Millis arrived = -1;   // and that attempt was proved to have arrived
-        Millis at_risk = -1;   // the time in which proof may come was over
-        Millis released = -1;  // a release was begun
-        ServerId awaited = 0;  // the server of the latest attempt
+        EndpointId holder = 0;
+        Millis made = -1;        // it stands, or may stand, since then
+        Millis sent = -1;        // the latest attempt's last byte was handed to the kernel
+        Millis arrived = -1;     // and that attempt was proved to have arrived
+        Millis at_risk = -1;     // the time in which proof may come was over
+        Millis released = -1;    // a release was begun
+        EndpointId awaited = 0;  // the server of the latest attempt
     };
 
     // `release_within`: the time that the settings allow; 0 or less: a second.
     explicit HeldState(Millis release_within);
 
     // ---- evidence ----
-    void made(Millis now, HeldOrigin origin, ServerId holder);
+    void made(Millis now, HeldOrigin origin, EndpointId holder);
     // An attempt begins. `write`: it takes what is held when it arrives.
-    void attempt_begun(Millis now, ServerId server, bool write);
+    void attempt_begun(Millis now, EndpointId server, bool write);
     // Its last byte is in the kernel's hands: no proof of anything.
     // `usual_until`: a read that is under way may well take until then, see ReadTimes.
     void attempt_handed(Millis now, Millis usual_until = 0);
--- a/src/control/send_preconditions.cpp
+++ b/src/control/send_preconditions.cpp
@@ -6,7 +6,7 @@
     if (facts.request_over) return SendDenial::request_over;
     if (facts.client_left) return SendDenial::client_left;
     if (!facts.server) return SendDenial::not_listed;
-    if (*facts.server != Mode::healthy) return SendDenial::not_up;
+    if (*facts.server != EndpointStatus::healthy) return SendDenial::not_up;
     if (facts.send_by > 0 && facts.now >= facts.send_by) return SendDenial::window_over;
     if (facts.deadline > 0 && facts.now >= facts.deadline) return SendDenial::deadline_over;
     if (facts.state_released) return SendDenial::state_released;
--- a/src/control/send_preconditions.h
+++ b/src/control/send_preconditions.h
@@ -28,10 +28,10 @@
     "request_over", "client_left", "not_listed", "not_up", "window_over", "deadline_over", "state_released"};
 
 struct SendFacts {
-    bool request_over = false;    // its client has its final answer
-    bool client_left = false;     // its connection has been closed, whether that was read or not
-    std::optional<Mode> server;   // as the latest list has it
-    bool state_released = false;  // a write whose read state was let go of since it was decided
+    bool request_over = false;             // its client has its final answer
+    bool client_left = false;              // its connection has been closed, whether that was read or not
+    std::optional<EndpointStatus> server;  // as the latest list has it
+    bool state_released = false;           // a write whose read state was let go of since it was decided
     Millis now = 0;
     Millis send_by = 0;   // the module's own bound; 0: none
     Millis deadline = 0;  // when the client's time is over
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -27,7 +27,7 @@
     std::string address, control;  // control may be empty
     std::string record;            // file; empty: none
     std::string keys;  // folder shared by the engines that drop each other's repeats; empty: own memory
-    ServerId server = 0;
+    EndpointId server = 0;
     std::string model_name = "local-model";
     Config config;
     bool cold = false;
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -36,7 +36,7 @@
     bool stopped = false;   // by SIGSTOP
     bool frozen = false;    // its list is held back
     bool expected = false;  // its end was ordered
-    std::map<ServerId, Mode> told;
+    std::map<EndpointId, EndpointStatus> told;
 };
 
 Day::Day(Plan plan, DayOptions options) : plan_(std::move(plan)), o_(std::move(options)) {
@@ -71,7 +71,7 @@
 }
 
 void Day::place_server(Server& server) {
-    const std::string host = place(server.engine.entry.zone + 1, ++next_place_);
+    const std::string host = place(server.engine.endpoint.zone + 1, ++next_place_);
     const auto addresses = free_addresses(host, 2);
     server.engine.address = addresses[0];
     server.control = addresses[1];
@@ -99,9 +99,9 @@
     for (const auto& pool : plan_.pools) {
         for (int i = 0; i < pool.count; ++i) {
             auto s = std::make_unique<Server>();
-            s->engine.entry.server = ++next_id_;
-            s->engine.entry.kind = pool.kind, s->engine.entry.zone = pool.zone,
-            s->engine.entry.cell = pool.cell;
+            s->engine.endpoint.id = ++next_id_;
+            s->engine.endpoint.kind = pool.kind, s->engine.endpoint.zone = pool.zone,
+            s->engine.endpoint.cell = pool.cell;
             place_server(*s);
             start_server(*s, false);
             servers_.push_back(std::move(s));
@@ -162,14 +162,14 @@
 
 void Day::start_server(Server& s, bool cold) {
     const auto& p = plan_.program;
-    const auto id = std::to_string(s.engine.entry.server);
+    const auto id = std::to_string(s.engine.endpoint.id);
     std::vector<std::string> args = {o_.self,
                                      "standin",
                                      plan_.settings_file,
                                      "--server",
                                      id,
                                      "--kind",
-                                     p.kinds[static_cast<std::size_t>(s.engine.entry.kind)],
+                                     p.kinds[static_cast<std::size_t>(s.engine.endpoint.kind)],
                                      "--address",
                                      s.engine.address,
                                      "--control",
@@ -183,8 +183,8 @@
             group = std::min(group, c.dedup_scope);
     }
     std::string keys = o_.out + "/keys/all";
-    if (group == DedupScope::zone) keys = o_.out + "/keys/zone-" + std::to_string(s.engine.entry.zone);
-    if (group == DedupScope::cell) keys = o_.out + "/keys/cell-" + std::to_string(s.engine.entry.cell);
+    if (group == DedupScope::zone) keys = o_.out + "/keys/zone-" + std::to_string(s.engine.endpoint.zone);
+    if (group == DedupScope::cell) keys = o_.out + "/keys/cell-" + std::to_string(s.engine.endpoint.cell);
     std::error_code error;
     std::filesystem::create_directories(keys, error);
     args.insert(args.end(), {"--keys", keys});
@@ -193,7 +193,7 @@
     s.up = true;
     const std::string log = o_.out + "/engine-" + id + ".log";
     s.child = std::make_unique<net::Child>(loop_, [this, &s, id, log](int status, int signal) {
-        recorder_->write(net::now(), "down", {{"server", s.engine.entry.server}});
+        recorder_->write(net::now(), "down", {{"server", s.engine.endpoint.id}});
         s.up = false;
         // A crash that was ordered is a kill; an engine that ends by itself is a fault of the day.
         if (signal == 0 && !ended_)
@@ -319,8 +319,8 @@
 std::vector<Day::Server*> Day::struck(const Trouble& t, std::mt19937_64& random) {
     std::vector<Server*> fit;
     for (auto& s : servers_) {
-        const auto& e = s->engine.entry;
-        if (!s->up || !s->wanted || e.mode != Mode::healthy) continue;
+        const auto& e = s->engine.endpoint;
+        if (!s->up || !s->wanted || e.status != EndpointStatus::healthy) continue;
         if (t.kind >= 0 && e.kind != t.kind) continue;
         if (t.zone >= 0 && e.zone != t.zone) continue;
         if (t.cell >= 0 && e.cell != static_cast<std::uint64_t>(t.cell)) continue;
@@ -368,7 +368,7 @@
 
 void Day::crash(Server& s, const Trouble& t) {
     s.child->kill(SIGKILL);
-    s.engine.entry.mode = Mode::gone;
+    s.engine.endpoint.status = EndpointStatus::removed;
     write_lists(t.notice);
     if (t.length <= 0) {
         s.wanted = false;
@@ -376,8 +376,8 @@
     }
     later(std::max(t.length, 100.0), [this, &s, notice = t.notice] {
         if (ended_) return;
-        s.engine.entry.mode = Mode::healthy;
-        s.engine.entry.started = wall();
+        s.engine.endpoint.status = EndpointStatus::healthy;
+        s.engine.endpoint.started_at = wall();
         start_server(s, true);
         write_lists(notice);
     });
@@ -385,18 +385,18 @@
 
 // Drained, then ended; another machine takes its place, cold and with an id of its own.
 void Day::drain(Server& s, const Trouble& t) {
-    s.engine.entry.mode = Mode::draining;
+    s.engine.endpoint.status = EndpointStatus::draining;
     s.wanted = false;
     write_lists(t.notice);
     later(std::max(t.length, t.notice + 1000), [this, &s, notice = t.notice] {
         if (ended_) return;
         s.child->kill(SIGKILL);
-        s.engine.entry.mode = Mode::gone;
+        s.engine.endpoint.status = EndpointStatus::removed;
         auto fresh = std::make_unique<Server>();
         fresh->engine = s.engine;
-        fresh->engine.entry.server = ++next_id_;
-        fresh->engine.entry.mode = Mode::healthy;
-        fresh->engine.entry.started = wall();
+        fresh->engine.endpoint.id = ++next_id_;
+        fresh->engine.endpoint.status = EndpointStatus::healthy;
+        fresh->engine.endpoint.started_at = wall();
         place_server(*fresh);
         start_server(*fresh, true);
         servers_.push_back(std::move(fresh));
@@ -410,7 +410,7 @@
     for (auto& s : servers_) {
         if (!s->up) continue;
         for (int z = 0; z < zones; ++z) {
-            if ((s->engine.entry.zone == zone) == (z == zone)) continue;
+            if ((s->engine.endpoint.zone == zone) == (z == zone)) continue;
             for (const int base : {1, 100}) {
                 const std::string from =
                     "127." + std::to_string(octet_) + "." + std::to_string(base + z) + ".";
@@ -424,7 +424,7 @@
             }
             recorder_->write(
                 net::now(), "trouble",
-                {{"server", s->engine.entry.server}, {"what", "cut"}, {"until", net::now() + length}});
+                {{"server", s->engine.endpoint.id}, {"what", "cut"}, {"until", net::now() + length}});
         }
     }
 }
@@ -508,12 +508,14 @@
     std::filesystem::rename(fresh, g.fleet, error);
     const Millis after = net::now();
     for (const auto& e : engines) {
-        Mode& told = g.told.emplace(e.entry.server, Mode::healthy).first->second;
-        if (told == e.entry.mode) continue;
-        told = e.entry.mode;
-        const char* word = told == Mode::healthy ? "healthy" : told == Mode::draining ? "draining" : "gone";
-        recorder_->write(told == Mode::healthy ? before : after, "told",
-                         {{"server", e.entry.server}, {"mode", word}, {"gateway", g.name}});
+        EndpointStatus& told = g.told.emplace(e.endpoint.id, EndpointStatus::healthy).first->second;
+        if (told == e.endpoint.status) continue;
+        told = e.endpoint.status;
+        const char* word = told == EndpointStatus::healthy    ? "healthy"
+                           : told == EndpointStatus::draining ? "draining"
+                                                              : "gone";
+        recorder_->write(told == EndpointStatus::healthy ? before : after, "told",
+                         {{"server", e.endpoint.id}, {"mode", word}, {"gateway", g.name}});
     }
 }
 
--- a/src/fault_scenario/scenario.h
+++ b/src/fault_scenario/scenario.h
@@ -107,7 +107,7 @@
     int octet_ = 1, clients_out_ = 0, next_place_ = 0;
     std::size_t starting_ = 0;  // processes that do not listen yet, before the clients come
     bool playing_ = false, interrupted_ = false, system_ = false;
-    ServerId next_id_ = 0;
+    EndpointId next_id_ = 0;
     bool ended_ = false, stopping_ = false;
     std::string error_;
 };
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -95,9 +95,9 @@
         if (!why.empty()) log("warn", "saved_list", {{"why", why}});
     }
     if (engines) {
-        core_->list(*engines, true);
+        core_->on_endpoint_list(*engines, true);
     } else if (!p_.engines.empty()) {
-        core_->list(p_.engines, !p_.fleet_file.empty());
+        core_->on_endpoint_list(p_.engines, !p_.fleet_file.empty());
     }
     if (!p_.fleet_file.empty())
         watch_ = std::make_unique<net::FileWatch>(loop_, p_.fleet_file, 20, [this] { read_fleet(); });
@@ -121,7 +121,7 @@
     }
     // Guards against a half-written or wrong list: the one in force stays.
     if (!engines) return log("error", "fleet_refused", {{"faults", settings::render(p_.fleet_file, faults)}});
-    core_->list(*engines, false);
+    core_->on_endpoint_list(*engines, false);
     log("info", "fleet", {{"engines", engines->size()}});
     if (saved_) save_list(std::move(text));
 }
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -75,17 +75,17 @@
 
 // ---- what comes in --------------------------------------------------------------------------------------
 
-void Core::list(const std::vector<settings::Engine>& engines, bool saved) {
-    ListEvent e;
-    e.form = saved ? ListEvent::Form::saved : ListEvent::Form::full;
-    servers_.clear();
+void Core::on_endpoint_list(const std::vector<settings::Engine>& engines, bool saved) {
+    EndpointUpdate e;
+    e.kind = saved ? EndpointUpdate::Kind::cached : EndpointUpdate::Kind::full;
+    endpoints_.clear();
     const Millis now = ports_.now(), wall = ports_.wall_ms();
     for (auto s : engines) {
         // Clocks of machines differ a little: a start in the future is one just now.
-        if (s.entry.started > 0)
-            s.entry.started = std::max(1e-3, now - std::max(0.0, wall - s.entry.started));
-        e.entries.push_back(s.entry);
-        servers_[s.entry.server] = s;
+        if (s.endpoint.started_at > 0)
+            s.endpoint.started_at = std::max(1e-3, now - std::max(0.0, wall - s.endpoint.started_at));
+        e.endpoints.push_back(s.endpoint);
+        endpoints_[s.endpoint.id] = s;
     }
     feed(std::move(e));
 }
@@ -175,7 +175,7 @@
                           },
                           // Timers are the driver's. The rest the settings of this program do not permit.
                           [&](const SetTimer&) {}, [&](const HoldPlace&) {}, [&](const MoveStream&) {},
-                          [&](const Probe&) {}, [&](const Subscribe&) {}, [&](const FetchList&) {}},
+                          [&](const Probe&) {}, [&](const WatchEndpoints&) {}, [&](const PollEndpoints&) {}},
                action);
 }
 
@@ -185,21 +185,21 @@
     const int n = static_cast<int>(r->tries.size());
     const Millis now = ports_.now();
     Try t;
-    t.server = a.server;
+    t.endpoint = a.endpoint;
     t.id = a.request + "." + std::to_string(n);
     t.sent = t.heard = now;
     t.time = driver_.begin(a.limit, r->deadline);
-    const auto it = servers_.find(a.server);
+    const auto it = endpoints_.find(a.endpoint);
     // Guards against a send to a server that the latest list no longer holds; nothing was sent then.
-    if (it == servers_.end() || it->second.entry.mode == Mode::gone || r->closed) {
+    if (it == endpoints_.end() || it->second.endpoint.status == EndpointStatus::removed || r->closed) {
         t.out = false;
         r->tries.push_back(std::move(t));
         Outcome o;
-        o.request = a.request, o.attempt = n, o.server = a.server, o.result = Result::not_sent;
+        o.request = a.request, o.attempt = n, o.endpoint = a.endpoint, o.result = Result::not_sent;
         o.closed = r->closed;
         return feed(o);
     }
-    const Role role = p_.module.kinds[static_cast<std::size_t>(it->second.entry.kind)].role;
+    const Role role = p_.module.kinds[static_cast<std::size_t>(it->second.endpoint.kind)].role;
     t.read = role == Role::read;
     t.address = it->second.address;
     const engine::AttemptInfo info{t.id, r->r.key, p_.classes[static_cast<std::size_t>(r->r.cls)],
@@ -222,7 +222,7 @@
     t.exchange->on_text = [this, id, n](std::string_view piece) { text(id, n, piece); };
     t.exchange->on_over = [this, id, n](Ending e) { over(id, n, std::move(e)); };
     if (t.read) r->states.push_back(n);
-    r->held.attempt_begun(now, a.server, !t.read);
+    r->held.attempt_begun(now, a.endpoint, !t.read);
     watch_held(*r);
     alarm(Kind::limit, t.time.due(), r, n);
     const auto exchange = t.exchange;
@@ -331,7 +331,7 @@
     r->held.taken();
     alarm(Kind::idle, t->heard + p_.limits.stream_idle_ms, r, attempt);
     const auto exchange = t->exchange;
-    feed(FirstToken{id, attempt, t->server, t->heard - t->sent});
+    feed(FirstToken{id, attempt, t->endpoint, t->heard - t->sent});
     r = find(id);
     if (!r) return;
     if (r->closed) {  // its client left before the first token
@@ -372,7 +372,8 @@
     r->held.attempt_over(now, never_ran(e.result));
     if (t->read && !never_ran(e.result)) {
         const bool done = e.result == Result::read_done;
-        r->held.made(now, done ? control::HeldOrigin::read_done : control::HeldOrigin::read_lost, t->server);
+        r->held.made(now, done ? control::HeldOrigin::read_done : control::HeldOrigin::read_lost,
+                     t->endpoint);
         watch_held(*r);
     }
     if (e.result == Result::read_done) {
@@ -389,12 +390,12 @@
         ports_.log("info", "attempt",
                    {{"request", id},
                     {"attempt", attempt},
-                    {"server", t->server},
+                    {"server", t->endpoint},
                     {"result", word(e.result)},
                     {"why", e.why}});
     }
     Outcome o;
-    o.request = id, o.attempt = attempt, o.server = t->server, o.result = e.result;
+    o.request = id, o.attempt = attempt, o.endpoint = t->endpoint, o.result = e.result;
     o.took = now - t->sent, o.note = e.note, o.report = e.report;
     Client* client = r->r.client;
     if (e.begun && !r->closed) {
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -74,7 +74,7 @@
     ~Core();
 
     // A whole new list; `saved`: as last held by an earlier process, perhaps stale.
-    void list(const std::vector<settings::Engine>& engines, bool saved);
+    void on_endpoint_list(const std::vector<settings::Engine>& engines, bool saved);
     // False: too many are open; nothing was taken and the client was not called.
     bool arrive(NewRequest request);
     void client_gone(const std::string& id);
@@ -95,7 +95,7 @@
 private:
     struct Try {
         std::shared_ptr<Exchange> exchange;
-        ServerId server = 0;
+        EndpointId endpoint = 0;
         std::string id, address;
         bool read = false, out = true, first = false, handed = false;
         Millis sent = 0, heard = 0;
@@ -148,7 +148,7 @@
     std::unique_ptr<engine::Dialect> dialect_;
     Driver driver_;
     std::unordered_map<std::string, Request> requests_;
-    std::map<ServerId, settings::Engine> servers_;
+    std::map<EndpointId, settings::Engine> endpoints_;
     std::vector<std::string> done_;  // closed requests to look at once the Router is at rest
 };
 
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -36,40 +36,41 @@
     return it->second;
 }
 
-Host read_host(const Json& row, const settings::Named& named) {
+DiscoveredEndpoint read_host(const Json& row, const settings::Named& named) {
     if (!row.is_object()) throw Bad{"should be an object"};
-    Host h;
+    DiscoveredEndpoint h;
     h.name = text(row, "host");
     const std::string state = text(row, "health");
-    ServerEntry& s = h.entry;
-    s.mode = state == "up"         ? Mode::healthy
-             : state == "draining" ? Mode::draining
-             : state == "removed"  ? Mode::gone
-                                   : throw Bad{"health: unknown '" + state + "'"};
-    if (s.mode == Mode::gone && !row.contains("class")) return h;  // its name is enough
-    h.dial = text(row, "dial");
+    Endpoint& s = h.endpoint;
+    s.status = state == "up"         ? EndpointStatus::healthy
+               : state == "draining" ? EndpointStatus::draining
+               : state == "removed"  ? EndpointStatus::removed
+                                     : throw Bad{"health: unknown '" + state + "'"};
+    if (s.status == EndpointStatus::removed && !row.contains("class")) return h;  // its name is enough
+    h.dial_address = text(row, "dial");
     sockaddr_storage a{};
-    if (!net::parse_address(h.dial, a)) throw Bad{"dial: no address"};
+    if (!net::parse_address(h.dial_address, a)) throw Bad{"dial: no address"};
     s.zone = index(named.zones, text(row, "site"), "site");
     s.kind = index(named.kinds, text(row, "class"), "class");
     const double cell = number(row, "block", 0);
     s.cell = cell > 0 && cell < 9e15 ? static_cast<std::uint64_t>(cell) : 0;
     s.weight = number(row, "share", 1);
-    h.born = std::max(0.0, number(row, "born_ms", 0));
+    h.incarnation = std::max(0.0, number(row, "born_ms", 0));
     return h;
 }
 
 }  // namespace
 
 // The same at every gateway, as the homes of prompts are chosen by it.
-ServerId Hosts::id_of(const std::string& name) {
+EndpointId EndpointList::id_for(const std::string& name) {
     if (const auto it = ids_.find(name); it != ids_.end()) return it->second;
-    ServerId id = XXH32(name.data(), name.size(), 0);
-    while (hosts_.count(id)) ++id;
+    EndpointId id = XXH32(name.data(), name.size(), 0);
+    while (endpoints_.count(id)) ++id;
     return id;
 }
 
-std::optional<ListEvent> Hosts::take(const std::string& body, Source source, Millis now, std::string& why) {
+std::optional<EndpointUpdate> EndpointList::take(const std::string& body, Source source, Millis now,
+                                                 std::string& why) {
     try {
         const Json v = Json::parse(body, nullptr, false);
         if (v.is_discarded() || !v.is_object()) throw Bad{"not a JSON object"};
@@ -83,14 +84,14 @@
         // A list that is older than the one held changes nothing, unless discovery stays with it. Another
         // discovery counts by itself: where its whole list was refused as older, drains that only it tells
         // would be missed.
-        const bool first_of_another = source == Source::moved && whole;
+        const bool first_of_another = source == Source::new_address && whole;
         if (version < version_ && !first_of_another && !(whole && ++older_ >= 3))
             throw Bad{"seq: went back from " + std::to_string(version_) + " to " + std::to_string(version)};
-        ListEvent e;
-        e.form = source == Source::saved ? ListEvent::Form::saved
-                 : whole                 ? ListEvent::Form::full
-                                         : ListEvent::Form::changes;
-        std::vector<Host> read;
+        EndpointUpdate e;
+        e.kind = source == Source::cached ? EndpointUpdate::Kind::cached
+                 : whole                  ? EndpointUpdate::Kind::full
+                                          : EndpointUpdate::Kind::incremental;
+        std::vector<DiscoveredEndpoint> read;
         for (std::size_t i = 0; i < rows->size(); ++i) {
             try {
                 read.push_back(read_host((*rows)[i], named_));
@@ -100,26 +101,28 @@
         }
         // All of it is good: taken from here on.
         older_ = 0, version_ = version;
-        std::map<ServerId, Host> before;
-        if (whole) before.swap(hosts_);
+        std::map<EndpointId, DiscoveredEndpoint> before;
+        if (whole) before.swap(endpoints_);
         for (auto& h : read) {
-            h.entry.server = id_of(h.name);
-            if (h.entry.mode != Mode::gone) h.entry.started = starts_.listed(h.name, h.born, now);
-            if (const auto was = before.find(h.entry.server); was != before.end())
-                h.good = was->second.good, h.bad = was->second.bad;
-            if (const Host* was = find(h.entry.server)) h.good = was->good, h.bad = was->bad;
-            e.entries.push_back(h.entry);
-            if (h.entry.mode == Mode::gone) {
-                hosts_.erase(h.entry.server);
+            h.endpoint.id = id_for(h.name);
+            if (h.endpoint.status != EndpointStatus::removed)
+                h.endpoint.started_at = starts_.on_listed(h.name, h.incarnation, now);
+            if (const auto was = before.find(h.endpoint.id); was != before.end())
+                h.last_success = was->second.last_success, h.last_failure = was->second.last_failure;
+            if (const DiscoveredEndpoint* was = find(h.endpoint.id))
+                h.last_success = was->last_success, h.last_failure = was->last_failure;
+            e.endpoints.push_back(h.endpoint);
+            if (h.endpoint.status == EndpointStatus::removed) {
+                endpoints_.erase(h.endpoint.id);
                 ids_.erase(h.name);
             } else {
-                ids_[h.name] = h.entry.server;
-                hosts_[h.entry.server] = std::move(h);
+                ids_[h.name] = h.endpoint.id;
+                endpoints_[h.endpoint.id] = std::move(h);
             }
         }
-        if (whole && source != Source::saved) starts_.watching();
-        starts_.forget(hosts_.size(), now);
-        if (whole) std::erase_if(ids_, [&](const auto& id) { return !hosts_.count(id.second); });
+        if (whole && source != Source::cached) starts_.on_full_list();
+        starts_.forget(endpoints_.size(), now);
+        if (whole) std::erase_if(ids_, [&](const auto& id) { return !endpoints_.count(id.second); });
         return e;
     } catch (const Bad& b) {
         why = b.why;
@@ -127,9 +130,9 @@
     }
 }
 
-Host* Hosts::find(ServerId id) {
-    const auto it = hosts_.find(id);
-    return it == hosts_.end() ? nullptr : &it->second;
+DiscoveredEndpoint* EndpointList::find(EndpointId id) {
+    const auto it = endpoints_.find(id);
+    return it == endpoints_.end() ? nullptr : &it->second;
 }
 
 }  // namespace gorsenotch::platform
--- a/src/platform/endpoint_list.h
+++ b/src/platform/endpoint_list.h
@@ -13,33 +13,33 @@
 
 namespace gorsenotch::platform {
 
-struct Host {
-    ServerEntry entry;
-    std::string name, dial;
-    double born = 0;                   // as listed: ms on the wall clock, 0 long ago
-    Millis good = -1e18, bad = -1e18;  // when it last answered, and when it last did not
+struct DiscoveredEndpoint {
+    Endpoint endpoint;
+    std::string name, dial_address;
+    double incarnation = 0;                             // as listed: ms on the wall clock, 0 long ago
+    Millis last_success = -1e18, last_failure = -1e18;  // when it last answered, and when it last did not
 };
 
-class Hosts {
+class EndpointList {
 public:
     // `offset`: what is added to Unix ms to get the monotonic clock's, as far as the wall clock is right.
-    Hosts(const settings::Named& named, Millis offset) : named_(named), starts_(offset) {}
+    EndpointList(const settings::Named& named, Millis offset) : named_(named), starts_(offset) {}
 
     // Where a text comes from: as last held, the same discovery as before, or one at another address.
-    enum class Source { saved, same, moved };
+    enum class Source { cached, same_address, new_address };
     // Takes a list or changes; the event for the Router, or nothing and why.
-    std::optional<ListEvent> take(const std::string& text, Source source, Millis now, std::string& why);
+    std::optional<EndpointUpdate> take(const std::string& text, Source source, Millis now, std::string& why);
     std::uint64_t version() const { return version_; }
-    Host* find(ServerId id);
-    std::map<ServerId, Host>& all() { return hosts_; }
+    DiscoveredEndpoint* find(EndpointId id);
+    std::map<EndpointId, DiscoveredEndpoint>& all() { return endpoints_; }
 
 private:
-    ServerId id_of(const std::string& name);
+    EndpointId id_for(const std::string& name);
 
     const settings::Named& named_;
-    control::StartTimes starts_;
-    std::map<ServerId, Host> hosts_;  // those listed
-    std::map<std::string, ServerId> ids_;
+    control::EndpointIncarnations starts_;
+    std::map<EndpointId, DiscoveredEndpoint> endpoints_;  // those listed
+    std::map<std::string, EndpointId> ids_;
     std::uint64_t version_ = 0;
     int older_ = 0;  // whole lists of a lower version, one after another
 };
--- a/src/platform/endpoint_watcher.h
+++ b/src/platform/endpoint_watcher.h
@@ -25,25 +25,27 @@
 
 namespace gorsenotch::platform {
 
-class Watch {
+class EndpointWatcher {
 public:
     struct Config {
-        net::Millis hold = 2000;     // asked for, of a call that waits
-        net::Millis slack = 500;     // after that it is overdue
-        net::Millis whole = 150;     // for the whole list to come, before another call is tried beside it
-        net::Millis dial = 150;      // for a connection to come up
-        net::Millis pause = 50;      // between two tries after a fault, half to one and a half of it
-        net::Millis slowest = 2000;  // for the whole list, while it keeps coming or nothing of it has come
+        net::Millis poll_hold = 2000;     // asked for, of a call that waits
+        net::Millis overdue_slack = 500;  // after that it is overdue
+        net::Millis full_list_timeout =
+            150;  // for the whole list to come, before another call is tried beside it
+        net::Millis connect_timeout = 150;  // for a connection to come up
+        net::Millis retry_backoff = 50;     // between two tries after a fault, half to one and a half of it
+        net::Millis slow_list_timeout =
+            2000;  // for the whole list, while it keeps coming or nothing of it has come
     };
     // Takes an answer's text; the version to wait beyond, or nothing where it was refused. `moved`: it is the
     // first from another address than the answers before it, whose versions say nothing of this one's.
     std::function<std::optional<std::uint64_t>(const std::string&, bool moved)> on_list;
     std::function<void(const std::string&)> on_fault;  // once for a row of faults, with the reason
 
-    Watch(net::Loop& loop, std::uint64_t seed, Config config);
-    Watch(net::Loop& loop, std::uint64_t seed) : Watch(loop, seed, Config()) {}
+    EndpointWatcher(net::Loop& loop, std::uint64_t seed, Config config);
+    EndpointWatcher(net::Loop& loop, std::uint64_t seed) : EndpointWatcher(loop, seed, Config()) {}
     // Starts, or moves to another address; the same one again changes nothing.
-    void point(const std::string& address);
+    void watch_address(const std::string& address);
 
 private:
     struct Call {
@@ -52,26 +54,27 @@
         std::string address, body;
         net::Millis began = 0;
     };
-    void begin();       // a successor, now
-    void begin_soon();  // after a pause
+    void start_call();              // a successor, now
+    void start_call_after_pause();  // after a pause
     void successor_overdue();
-    void ask(Call& call, bool whole);
-    void data(Call& call, std::string_view bytes);
-    void progressed(Call& call);
-    void answer(Call& call);
-    void fault(Call& call, const std::string& why);
-    void tell(const std::string& why);
-    void drop(std::unique_ptr<Call>& call);
+    void send_poll(Call& call, bool whole);
+    void on_data(Call& call, std::string_view bytes);
+    void on_progress(Call& call);
+    void on_response(Call& call);
+    void on_call_failed(Call& call, const std::string& why);
+    void report_fault(const std::string& why);
+    void discard(std::unique_ptr<Call>& call);
 
     net::Loop& loop_;
     const Config config_;
     std::mt19937_64 random_;
-    std::string address_, answered_;  // where to ask; where the last good answer came from
-    std::unique_ptr<Call> call_, successor_, late_;
-    std::vector<std::unique_ptr<Call>> dead_;  // closed in a callback of their own; freed by the next turn
-    net::Timer overdue_, retry_, cleanup_;
-    std::optional<std::uint64_t> from_;
-    bool told_ = false;  // of the faults since the last good answer
+    std::string address_, last_answered_address_;  // where to ask; where the last good answer came from
+    std::unique_ptr<Call> call_, successor_, late_call_;
+    std::vector<std::unique_ptr<Call>>
+        closed_calls_;  // closed in a callback of their own; freed by the next turn
+    net::Timer overdue_timer_, retry_timer_, cleanup_timer_;
+    std::optional<std::uint64_t> known_version_;
+    bool fault_reported_ = false;  // of the faults since the last good answer
 };
 
 }  // namespace gorsenotch::platform
--- a/src/platform/health_checker.cpp
+++ b/src/platform/health_checker.cpp
@@ -13,18 +13,18 @@
 
 }  // namespace
 
-Liveness::Liveness(Millis patience, Hosts& hosts, Ports& ports,
-                   std::function<void(Millis, ServerId)> set_alarm)
-    : patience_(patience), hosts_(hosts), ports_(ports), set_alarm_(std::move(set_alarm)) {}
+Liveness::Liveness(Millis patience, EndpointList& hosts, Ports& ports,
+                   std::function<void(Millis, EndpointId)> set_alarm)
+    : patience_(patience), endpoints_(hosts), ports_(ports), set_alarm_(std::move(set_alarm)) {}
 
-void Liveness::answered(ServerId id, Millis sent) {
+void Liveness::answered(EndpointId id, Millis sent) {
     Server& server = servers_[id];
     if (sent < server.sent) return;
     server.sent = sent;
     server.at = ports_.now();
 }
 
-std::optional<Millis> Liveness::answered_since(ServerId id, Millis since) const {
+std::optional<Millis> Liveness::answered_since(EndpointId id, Millis since) const {
     const auto it = servers_.find(id);
     if (it == servers_.end() || it->second.sent < since) return std::nullopt;
     return it->second.at;
@@ -37,8 +37,8 @@
     over_since_ = now;
 }
 
-void Liveness::ask(ServerId id) {
-    const Host* host = hosts_.find(id);
+void Liveness::ask(EndpointId id) {
+    const DiscoveredEndpoint* host = endpoints_.find(id);
     Server& server = servers_[id];
     if (!host || !can_ask() || server.question) return;
     ++asked_;
@@ -48,10 +48,10 @@
     question->on_heard = [this, id, sent = server.asked] { answered(id, sent); };
     question->on_over = [this, id](const Ending&) { servers_[id].question.reset(); };
     set_alarm_(server.asked + patience_, id);
-    ports_.start(host->dial, held_call("DELETE", over_before_, host->dial), question);
+    ports_.start(host->dial_address, held_call("DELETE", over_before_, host->dial_address), question);
 }
 
-void Liveness::expire(ServerId id) {
+void Liveness::expire(EndpointId id) {
     const auto it = servers_.find(id);
     if (it == servers_.end() || !it->second.question) return;
     if (ports_.now() + 0.5 < it->second.asked + patience_) return;  // an alarm of an earlier question
@@ -68,7 +68,7 @@
 
 void Liveness::forget_unlisted() {
     for (auto it = servers_.begin(); it != servers_.end();) {
-        if (hosts_.find(it->first)) {
+        if (endpoints_.find(it->first)) {
             ++it;
             continue;
         }
--- a/src/platform/health_checker.h
+++ b/src/platform/health_checker.h
@@ -21,16 +21,17 @@
 class Liveness {
 public:
     // `patience`: how long a question may be out. `set_alarm`: expire(server) is to be called at `at`.
-    Liveness(Millis patience, Hosts& hosts, Ports& ports, std::function<void(Millis at, ServerId)> set_alarm);
+    Liveness(Millis patience, EndpointList& hosts, Ports& ports,
+             std::function<void(Millis at, EndpointId)> set_alarm);
 
     // A byte of an answer came to what was begun at `sent`.
-    void answered(ServerId server, Millis sent);
+    void answered(EndpointId server, Millis sent);
     // When the latest answer came to something begun at `since` or later; nothing if none has.
-    std::optional<Millis> answered_since(ServerId server, Millis since) const;
+    std::optional<Millis> answered_since(EndpointId server, Millis since) const;
     // Whether a question can be asked at all: a request of our own has been over for a while.
     bool can_ask() const { return !over_before_.empty(); }
-    void ask(ServerId server);
-    void expire(ServerId server);
+    void ask(EndpointId server);
+    void expire(EndpointId server);
     // A request of our own is over, and nothing is held for it.
     void request_over(const std::string& txn);
     // Forgets servers that are not listed.
@@ -48,10 +49,10 @@
     void close(Server& server);
 
     const Millis patience_;
-    Hosts& hosts_;
+    EndpointList& endpoints_;
     Ports& ports_;
-    const std::function<void(Millis, ServerId)> set_alarm_;
-    std::unordered_map<ServerId, Server> servers_;
+    const std::function<void(Millis, EndpointId)> set_alarm_;
+    std::unordered_map<EndpointId, Server> servers_;
     // Ids of requests of our own that were over by then; the older one is used.
     std::string over_now_, over_before_;
     Millis over_since_ = -1e18;
--- a/src/platform/lease_releaser.cpp
+++ b/src/platform/lease_releaser.cpp
@@ -35,9 +35,9 @@
     return http::request_head(method, "/bootstrap/rooms/" + txn, {{"host", dial}, {"content-length", "0"}});
 }
 
-Releases::Releases(Millis release_within, Hosts& hosts, Ports& ports,
+Releases::Releases(Millis release_within, EndpointList& hosts, Ports& ports,
                    std::function<void(Millis, std::uint64_t, bool)> set_alarm)
-    : release_within_(release_within), hosts_(hosts), ports_(ports), set_alarm_(std::move(set_alarm)) {}
+    : release_within_(release_within), endpoints_(hosts), ports_(ports), set_alarm_(std::move(set_alarm)) {}
 
 Millis Releases::allowed() const { return release_within_ > 0 ? release_within_ : kAllowedUnset; }
 
@@ -89,12 +89,12 @@
     const std::size_t silent = release.unanswered + (release.order.silent != 0 ? 1 : 0);
     const std::size_t at_once = release.late ? 1 : std::clamp<std::size_t>(silent, 1, kCallsAtOnce);
     for (std::size_t i = 0; i < at_once && in_progress(id); ++i) {
-        const Host* to = next_server(release);
+        const DiscoveredEndpoint* to = next_server(release);
         if (!to) {
             release.asked.clear();  // all are silent: from the first on again, at the slower pace
             return be_late(release);
         }
-        release.asked.push_back(to->entry.server);
+        release.asked.push_back(to->endpoint.id);
         if (release.asked.size() > 1) ++counts_.asked_again;
         call(id, release, *to);
     }
@@ -138,8 +138,8 @@
 
 void Releases::end_call(Call& call, bool silent) {
     if (call.attempt->over()) return;
-    Host* host = silent ? hosts_.find(call.server) : nullptr;
-    if (host) host->bad = ports_.now();
+    DiscoveredEndpoint* host = silent ? endpoints_.find(call.server) : nullptr;
+    if (host) host->last_failure = ports_.now();
     call.attempt->on_over = nullptr;
     ports_.close(*call.attempt);
     call.attempt->give_up(Result::cancelled, "no answer");
@@ -159,10 +159,10 @@
 }
 
 // The one most likely to answer of those not asked yet; of all, where its time is over.
-const Host* Releases::next_server(const Release& release) const {
-    const Host* best = nullptr;
+const DiscoveredEndpoint* Releases::next_server(const Release& release) const {
+    const DiscoveredEndpoint* best = nullptr;
     double most = -1e300;
-    for (const auto& [server, host] : hosts_.all()) {
+    for (const auto& [server, host] : endpoints_.all()) {
         if (std::count(release.asked.begin(), release.asked.end(), server) > 0) continue;
         const double value = preference(release, server, host);
         if (value > most) best = &host, most = value;
@@ -171,50 +171,51 @@
 }
 
 // How much a server has in common with one that does not answer.
-double Releases::likeness(ServerId silent, const Host& host) const {
-    const Host* other = hosts_.find(silent);
+double Releases::likeness(EndpointId silent, const DiscoveredEndpoint& host) const {
+    const DiscoveredEndpoint* other = endpoints_.find(silent);
     if (!other) return 0;
     double value = 0;
-    if (other->entry.kind == host.entry.kind) value += kSameKind;
-    if (other->entry.zone == host.entry.zone) value += kSameZone;
-    if (other->entry.cell == host.entry.cell) value += kSameCell;
+    if (other->endpoint.kind == host.endpoint.kind) value += kSameKind;
+    if (other->endpoint.zone == host.endpoint.zone) value += kSameZone;
+    if (other->endpoint.cell == host.endpoint.cell) value += kSameCell;
     return value;
 }
 
-double Releases::preference(const Release& release, ServerId server, const Host& host) const {
-    double value = std::max(host.good - ports_.now(), -kLongestAgo);
-    if (host.bad > host.good) value -= kSilentNow;
-    if (ports_.connected(host.dial)) value += kConnected;
+double Releases::preference(const Release& release, EndpointId server, const DiscoveredEndpoint& host) const {
+    double value = std::max(host.last_success - ports_.now(), -kLongestAgo);
+    if (host.last_failure > host.last_success) value -= kSilentNow;
+    if (ports_.connected(host.dial_address)) value += kConnected;
     if (server == release.order.holder) value += kIsHolder;
     if (server == release.order.silent) value -= kSilentNow;
     value -= likeness(release.order.silent, host);
-    for (const ServerId asked : release.asked) value -= likeness(asked, host);
+    for (const EndpointId asked : release.asked) value -= likeness(asked, host);
     return value;
 }
 
-void Releases::call(std::uint64_t id, Release& release, const Host& to) {
+void Releases::call(std::uint64_t id, Release& release, const DiscoveredEndpoint& to) {
     make_room();
     const auto call = std::make_shared<Attempt>(Attempt::Kind::call);
-    release.calls.push_back({call, to.entry.server, ports_.now()});
+    release.calls.push_back({call, to.endpoint.id, ports_.now()});
     ++calls_out_;
     ++release.calls_made;
     ++release.unanswered;
-    call->on_over = [this, id, by = to.entry.server, sent = ports_.now()](const Ending& e) {
+    call->on_over = [this, id, by = to.endpoint.id, sent = ports_.now()](const Ending& e) {
         --calls_out_;
-        if (Host* host = hosts_.find(by)) (e.status > 0 ? host->good : host->bad) = ports_.now();
+        if (DiscoveredEndpoint* host = endpoints_.find(by))
+            (e.status > 0 ? host->last_success : host->last_failure) = ports_.now();
         if (e.status >= 200 && e.status < 300) answered(id, by, sent);
     };
     if (on_call) on_call(release.order);
     // Where one went unanswered kept connections may have fallen silent.
     const auto connection = release.unanswered > 1 ? Connection::fresh : Connection::any;
-    ports_.start(to.dial, held_call("DELETE", release.order.txn, to.dial), call, connection);
+    ports_.start(to.dial_address, held_call("DELETE", release.order.txn, to.dial_address), call, connection);
 }
 
-void Releases::tell(const Release& release, ReleaseEnd end, ServerId by, Millis sent) {
+void Releases::tell(const Release& release, ReleaseEnd end, EndpointId by, Millis sent) {
     if (on_ended) on_ended({release.order, end, by, sent, release.calls_made, ports_.now() - release.begun});
 }
 
-void Releases::answered(std::uint64_t id, ServerId by, Millis sent) {
+void Releases::answered(std::uint64_t id, EndpointId by, Millis sent) {
     const auto it = releases_.find(id);
     if (it == releases_.end()) return;
     Release& release = it->second;
--- a/src/platform/lease_releaser.h
+++ b/src/platform/lease_releaser.h
@@ -42,8 +42,8 @@
     struct Order {
         std::string txn;
         std::uint64_t request = 0;  // the owner's name for it, handed back
-        ServerId holder = 0;        // where something is thought to be held
-        ServerId silent = 0;        // a server that has left an attempt without proof; 0: none
+        EndpointId holder = 0;      // where something is thought to be held
+        EndpointId silent = 0;      // a server that has left an attempt without proof; 0: none
         // A read was cut off and may have ended well all the same, so it is released once more a little
         // later.
         bool uncertain = false;
@@ -54,7 +54,7 @@
     struct Ended {
         const Order& order;
         ReleaseEnd end = ReleaseEnd::answered;
-        ServerId by = 0;        // the server that answered ...
+        EndpointId by = 0;      // the server that answered ...
         Millis sent = 0;        // ... a call made then
         std::size_t calls = 0;  // made so far
         Millis took = 0;
@@ -64,7 +64,7 @@
     };
     // `release_within`: what the settings allow. `set_alarm`: retry(id) is to be called at `at`; `timeout` as
     // for Driver::alarm.
-    Releases(Millis release_within, Hosts& hosts, Ports& ports,
+    Releases(Millis release_within, EndpointList& hosts, Ports& ports,
              std::function<void(Millis at, std::uint64_t id, bool timeout)> set_alarm);
 
     std::function<void(const Ended&)> on_ended;
@@ -84,12 +84,12 @@
 private:
     struct Call {
         std::shared_ptr<Attempt> attempt;
-        ServerId server = 0;
+        EndpointId server = 0;
         Millis begun = 0;
     };
     struct Release {
         Order order;
-        std::vector<ServerId> asked;
+        std::vector<EndpointId> asked;
         Millis begun = 0;
         std::size_t calls_made = 0, unanswered = 0;  // in all, and since the latest answer
         bool late = false;                           // all were silent: asked on at a slower pace
@@ -103,12 +103,12 @@
         bool withdrawn = false;  // no further call; those handed over may end
     };
     Millis allowed() const;
-    const Host* next_server(const Release& release) const;
-    double preference(const Release& release, ServerId server, const Host& host) const;
-    double likeness(ServerId silent, const Host& host) const;
-    void call(std::uint64_t id, Release& release, const Host& to);
-    void answered(std::uint64_t id, ServerId by, Millis sent);
-    void tell(const Release& release, ReleaseEnd end, ServerId by = 0, Millis sent = 0);
+    const DiscoveredEndpoint* next_server(const Release& release) const;
+    double preference(const Release& release, EndpointId server, const DiscoveredEndpoint& host) const;
+    double likeness(EndpointId silent, const DiscoveredEndpoint& host) const;
+    void call(std::uint64_t id, Release& release, const DiscoveredEndpoint& to);
+    void answered(std::uint64_t id, EndpointId by, Millis sent);
+    void tell(const Release& release, ReleaseEnd end, EndpointId by = 0, Millis sent = 0);
     void end_silent_calls(Release& release);
     void end_call(Call& call, bool silent);
     void make_room();
@@ -117,7 +117,7 @@
     void end(std::uint64_t id);
 
     const Millis release_within_;
-    Hosts& hosts_;
+    EndpointList& endpoints_;
     Ports& ports_;
     const std::function<void(Millis, std::uint64_t, bool)> set_alarm_;
     std::unordered_map<std::uint64_t, Release> releases_;
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -76,9 +76,9 @@
     : loop_(loop),
       config_(std::move(config)),
       file_(std::move(file)),
-      hosts_(config_.named, unix_offset()),
+      endpoints_(config_.named, unix_offset()),
       upstream_(loop, upstream_config(config_)),
-      relay_(config_.named, config_.seed, hosts_, *this),
+      relay_(config_.named, config_.seed, endpoints_, *this),
       clients_(loop, config_.named, relay_, clients_config(config_)),
       watch_(loop, config_.seed),
       ticker_(loop, [this] { return relay_.tick(); }),
@@ -91,20 +91,23 @@
     loop_.on_look = [this] { relay_.looked(loop_.looked()); };
     watch_.on_list = [this](const std::string& text, bool moved) -> std::optional<std::uint64_t> {
         std::string why;
-        auto e = hosts_.take(text, moved ? Hosts::Source::moved : Hosts::Source::same, net::now(), why);
+        auto e = endpoints_.take(
+            text, moved ? EndpointList::Source::new_address : EndpointList::Source::same_address, net::now(),
+            why);
         if (!e) {
             log("warn", "list_refused", why);
             return std::nullopt;
         }
-        if (!e->entries.empty() || e->form == ListEvent::Form::full) relay_.list(std::move(*e));
+        if (!e->endpoints.empty() || e->kind == EndpointUpdate::Kind::full)
+            relay_.on_endpoint_update(std::move(*e));
         if (!open_) opener_.after(0);
-        return hosts_.version();
+        return endpoints_.version();
     };
     watch_.on_fault = [this](const std::string& why) {
         log("warn", "discovery", why);
-        ListEvent failed;
-        failed.form = ListEvent::Form::failed;
-        relay_.list(std::move(failed));
+        EndpointUpdate failed;
+        failed.kind = EndpointUpdate::Kind::failed;
+        relay_.on_endpoint_update(std::move(failed));
     };
 }
 
@@ -114,8 +117,8 @@
     started_ = net::now();
     std::string why;
     if (!config_.known.empty()) {
-        if (auto e = hosts_.take(config_.known, Hosts::Source::saved, net::now(), why)) {
-            relay_.list(std::move(*e));
+        if (auto e = endpoints_.take(config_.known, EndpointList::Source::cached, net::now(), why)) {
+            relay_.on_endpoint_update(std::move(*e));
         } else {
             log("warn", "known_refused", why);
         }
@@ -123,7 +126,7 @@
     ticker_.wake();
     // Guards against sends by a known list that is out of date: what discovery has counts as told from this
     // process's first moment. While discovery is down the known list has to do.
-    watch_.point(config_.discovery);
+    watch_.watch_address(config_.discovery);
     opener_.after(kFirstList);
     status_.after(kState);
 }
@@ -162,7 +165,7 @@
     try {
         if (!settings::read_file(file_, text, why)) throw ConfigError("GW_CONFIG: " + why);
         const Config next = parse_config(text, config_.listen, config_.discovery);
-        watch_.point(next.discovery);
+        watch_.watch_address(next.discovery);
         log("info", "reloaded", next.discovery);
     } catch (const std::exception& e) {
         if (std::exchange(reload_refused_, e.what()) != e.what())
@@ -234,7 +237,7 @@
                {{"up_ms", std::round(net::now() - started_)},
                 {"cpu_ms", std::round(cpu)},
                 {"peak_kb", use.ru_maxrss},
-                {"hosts", hosts_.all().size()},
+                {"hosts", endpoints_.all().size()},
                 {"clients", clients_.connections()},
                 {"servers", upstream_.connections()},
                 {"open", relay_.open()},
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -46,11 +46,11 @@
     net::Loop& loop_;
     const Config config_;
     const std::string file_;
-    Hosts hosts_;
+    EndpointList endpoints_;
     proxy::Upstream upstream_;
     Relay relay_;
     Clients clients_;
-    Watch watch_;
+    EndpointWatcher watch_;
     proxy::Ticker ticker_;
     net::Timer drainer_, opener_, reloader_, status_;
     bool open_ = false, listen_failed_ = false;
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -17,9 +17,9 @@
 constexpr Millis kSilentAtStop = 1000;
 }  // namespace
 
-Relay::Relay(const settings::Named& named, std::uint64_t seed, Hosts& hosts, Ports& ports)
+Relay::Relay(const settings::Named& named, std::uint64_t seed, EndpointList& hosts, Ports& ports)
     : named_(named),
-      hosts_(hosts),
+      endpoints_(hosts),
       ports_(ports),
       driver_(named.settings, seed, &Request::alarms, &Request::timeouts),
       releases_(named.settings.release_within, hosts, ports,
@@ -27,7 +27,7 @@
                     driver_.alarm(Kind::release, at, nullptr, 0, id, timeout);
                 }),
       liveness_(control::HeldState(named.settings.release_within).allowed(), hosts, ports,
-                [this](Millis at, ServerId server) {
+                [this](Millis at, EndpointId server) {
                     driver_.alarm(Kind::question, at, nullptr, 0, server, true);
                 }),
       access_(named.settings),
@@ -65,21 +65,21 @@
 
 bool Relay::begun(const Request& r) { return !r.tries.empty() && r.tries.back().first; }
 
-std::optional<Mode> Relay::mode(ServerId server) {
-    const Host* host = hosts_.find(server);
-    return host ? std::optional(host->entry.mode) : std::nullopt;
+std::optional<EndpointStatus> Relay::endpoint_status(EndpointId server) {
+    const DiscoveredEndpoint* host = endpoints_.find(server);
+    return host ? std::optional(host->endpoint.status) : std::nullopt;
 }
 
 // Guards against an attempt that was right when it was decided and is wrong when its connection is up: the
 // client has gone (its close may wait unread behind other work), the request has its answer, the server
 // drains, the time or the window for repeats is over. Covers every wait between decision and first byte.
 // Costs one system call each time.
-bool Relay::may_begin(std::uint64_t handle, ServerId server, Millis send_by, Millis since, bool takes) {
+bool Relay::may_begin(std::uint64_t handle, EndpointId server, Millis send_by, Millis since, bool takes) {
     Request* r = find(handle);
     control::SendFacts facts;
     facts.request_over = !r || r->closed;
     facts.client_left = !facts.request_over && r->client && r->client->has_left();
-    facts.server = mode(server);
+    facts.server = endpoint_status(server);
     facts.now = ports_.now();
     facts.send_by = send_by;
     facts.state_released = takes && r && r->held.gone_since(since);
@@ -103,10 +103,10 @@
 
 // ---- what comes in --------------------------------------------------------------------------------------
 
-void Relay::list(ListEvent e) {
+void Relay::on_endpoint_update(EndpointUpdate e) {
     const Millis now = ports_.now();
-    for (const auto& entry : e.entries) audit_.listed(entry.server, entry.mode, now);
-    if (e.form == ListEvent::Form::full) audit_.list_is_whole(e.entries, now);
+    for (const auto& entry : e.endpoints) audit_.listed(entry.id, entry.status, now);
+    if (e.kind == EndpointUpdate::Kind::full) audit_.list_is_whole(e.endpoints, now);
     liveness_.forget_unlisted();
     driver_.feed(std::move(e));
 }
@@ -187,8 +187,8 @@
                           },
                           [&](const Log& a) { ports_.log("debug", "router", a.text); },
                           // Timers are the driver's; probes are not spoken here; the watch is always open.
-                          [&](const SetTimer&) {}, [&](const Probe&) {}, [&](const Subscribe&) {},
-                          [&](const FetchList&) {}},
+                          [&](const SetTimer&) {}, [&](const Probe&) {}, [&](const WatchEndpoints&) {},
+                          [&](const PollEndpoints&) {}},
                action);
 }
 
@@ -198,27 +198,27 @@
     const std::uint64_t handle = r->handle;
     const int n = static_cast<int>(r->tries.size());
     const Millis now = ports_.now();
-    const Host* host = hosts_.find(a.server);
+    const DiscoveredEndpoint* host = endpoints_.find(a.endpoint);
     Try t;
-    t.server = a.server;
+    t.endpoint = a.endpoint;
     t.sent = t.heard = now;
     t.time = driver_.begin(a.limit, r->deadline);
-    if (!may_begin(handle, a.server, a.send_by, now, false)) {
+    if (!may_begin(handle, a.endpoint, a.send_by, now, false)) {
         t.out = false;
         r->tries.push_back(std::move(t));
         Outcome o;
-        o.request = a.request, o.attempt = n, o.server = a.server, o.result = Result::not_sent;
+        o.request = a.request, o.attempt = n, o.endpoint = a.endpoint, o.result = Result::not_sent;
         o.closed = r->closed;
         ++counts_.results[static_cast<int>(o.result)];
         return driver_.feed(std::move(o));
     }
-    t.read = named_.settings.kinds[static_cast<std::size_t>(host->entry.kind)].role == Role::read;
+    t.read = named_.settings.kinds[static_cast<std::size_t>(host->endpoint.kind)].role == Role::read;
     t.attempt = std::make_shared<Attempt>(t.read ? Attempt::Kind::read : Attempt::Kind::write);
     const bool takes = !t.read && r->held.held();
-    t.attempt->on_go = [this, handle, server = a.server, by = a.send_by, now, takes] {
+    t.attempt->on_go = [this, handle, server = a.endpoint, by = a.send_by, now, takes] {
         return may_begin(handle, server, by, now, takes);
     };
-    t.attempt->on_sent = [this, handle, n, to = host->entry] {
+    t.attempt->on_sent = [this, handle, n, to = host->endpoint] {
         audit_.sent(handle, n, to, named_.settings.kinds[static_cast<std::size_t>(to.kind)].role,
                     ports_.now());
     };
@@ -232,7 +232,7 @@
         own->held.attempt_handed(ports_.now(), ports_.now() + usual);
         watch_held(*own);
     };
-    t.attempt->on_heard = [this, handle, server = a.server, now] {
+    t.attempt->on_heard = [this, handle, server = a.endpoint, now] {
         liveness_.answered(server, now);
         audit_.server_answered(ports_.now());
         Request* own = find(handle);
@@ -243,7 +243,7 @@
     t.attempt->on_first = [this, handle, n](std::string_view events) { first(handle, n, events); };
     t.attempt->on_more = [this, handle, n](std::string_view events) { more(handle, n, events); };
     t.attempt->on_over = [this, handle, n](const Ending& e) { over(handle, n, e); };
-    r->held.attempt_begun(now, a.server, !t.read);
+    r->held.attempt_begun(now, a.endpoint, !t.read);
     // A release that is still under way would take what the write is to take. A read has nothing to lose by
     // it, and what stands from before is let go of meanwhile.
     if (!t.read) releases_.withdraw(r->release);
@@ -261,14 +261,14 @@
         text.insert(at, "x-remaining: " + std::to_string(left) + "m\r\n");
     };
     request.append("host: ")
-        .append(host->dial)
+        .append(host->dial_address)
         .append("\r\ncontent-length: ")
         .append(std::to_string(r->in.body.size()))
         .append("\r\n\r\n")
         .append(r->in.body);
     driver_.alarm(Kind::limit, t.time.due(), r, n, 0, true);
     const auto attempt = t.attempt;
-    const std::string address = host->dial;
+    const std::string address = host->dial_address;
     ++counts_.attempts, ++out_;
     r->tries.push_back(std::move(t));
     ports_.start(address, std::move(request), attempt);
@@ -283,13 +283,13 @@
 
 void Relay::hold(const HoldPlace& a) {
     Request* r = find(a.request);
-    if (!r || r->closed || mode(a.server) != Mode::healthy) return;
+    if (!r || r->closed || endpoint_status(a.endpoint) != EndpointStatus::healthy) return;
     const std::uint64_t handle = r->handle;
-    const ServerId server = a.server;
+    const EndpointId server = a.endpoint;
     r->held.made(ports_.now(), control::HeldOrigin::place_asked, server);
     watch_held(*r);
     r->hold = std::make_shared<Attempt>(Attempt::Kind::call);
-    r->hold->on_go = [this, server] { return mode(server) == Mode::healthy; };
+    r->hold->on_go = [this, server] { return endpoint_status(server) == EndpointStatus::healthy; };
     r->hold->on_over = [this, handle, server](const Ending& e) {
         Request* it = find(handle);
         // 204 and no answer say nothing: a place may be held all the same, and is let go of in the end.
@@ -298,7 +298,7 @@
     };
     driver_.alarm(Kind::hold, ports_.now() + 1000, r, 0, 0, true);
     const auto call = r->hold;
-    const std::string& dial = hosts_.find(server)->dial;
+    const std::string& dial = endpoints_.find(server)->dial_address;
     ports_.start(dial, held_call("POST", r->in.txn, dial), call);
 }
 
@@ -333,7 +333,7 @@
 void Relay::held_due(Request& r) {
     r.held_due = -1;
     if (r.held.read_out()) {
-        const ServerId reader = r.held.timeline().awaited;
+        const EndpointId reader = r.held.timeline().awaited;
         const Millis sent = r.held.read_handed_at();
         const bool unusual = read_times_.unusual(ports_.now() - sent, r.in.arrival.prompt_tokens);
         // Where it could not be asked, as nothing of ours is over yet, one that has ever answered is trusted.
@@ -356,7 +356,8 @@
     if (r.held.only_unanswered_read()) return release_held(r, ReleaseReason::read_unanswered);
     r.held.at_risk(ports_.now());
     if (busy(r)) {
-        if (Host* silent = hosts_.find(r.held.timeline().awaited)) silent->bad = ports_.now();
+        if (DiscoveredEndpoint* silent = endpoints_.find(r.held.timeline().awaited))
+            silent->last_failure = ports_.now();
     }
     release_held(r, ReleaseReason::at_risk);
     const std::uint64_t handle = r.handle;
@@ -369,8 +370,8 @@
         stop(latest, Result::cancelled, "its state was let go of");
 }
 
-std::string Relay::name(ServerId server) {
-    const Host* host = hosts_.find(server);
+std::string Relay::name(EndpointId server) {
+    const DiscoveredEndpoint* host = endpoints_.find(server);
     return host ? host->name : "gone";
 }
 
@@ -433,7 +434,7 @@
     const Disposition f = disposition ? *disposition : access_.served(p);
     if (!access_.count(ports_.now(), f, cause)) return;
     for (std::size_t i = 0; i < p.attempts.size(); ++i) {
-        const Host* host = hosts_.find(r.tries[i].server);
+        const DiscoveredEndpoint* host = endpoints_.find(r.tries[i].endpoint);
         p.attempts[i].server = host ? host->name : "gone";
     }
     ports_.log("info", "request", access_.line(p, f));
@@ -482,7 +483,7 @@
     if (!t || !t->out) return;
     t->first = true;
     t->heard = r->begun = ports_.now();
-    if (Host* h = hosts_.find(t->server)) h->good = t->heard;
+    if (DiscoveredEndpoint* h = endpoints_.find(t->endpoint)) h->last_success = t->heard;
     audit_.state_taken(handle);
     r->held.taken();  // the write has taken the state; the rest is released with it
     r->in.body = std::string();
@@ -494,7 +495,7 @@
     r = find(handle);
     if (!r) return;
     t = find_try(r, attempt);
-    driver_.feed(FirstToken{std::to_string(handle), attempt, t->server, t->heard - t->sent});
+    driver_.feed(FirstToken{std::to_string(handle), attempt, t->endpoint, t->heard - t->sent});
     if (!(r = find(handle)) || !r->closed) return;
     t = find_try(r, attempt);  // its client left before the first token
     if (t->out) stop(*t, Result::cancelled, "the client left");
@@ -526,18 +527,18 @@
         audit_.write_ended(handle, ports_.now(), driver_.stood());
     const Millis now = ports_.now();
     t->ended = now, t->result = e.result;
-    if (Host* h = hosts_.find(t->server)) {
-        (e.status > 0 && e.result != Result::reset ? h->good : h->bad) = now;
+    if (DiscoveredEndpoint* h = endpoints_.find(t->endpoint)) {
+        (e.status > 0 && e.result != Result::reset ? h->last_success : h->last_failure) = now;
     }
     r->held.attempt_over(now, never_ran(e.result));
     if (e.result == Result::read_done) read_times_.add(now - t->sent, r->in.arrival.prompt_tokens);
     if (t->read && e.result == Result::read_done)
-        r->held.made(now, control::HeldOrigin::read_done, t->server);
+        r->held.made(now, control::HeldOrigin::read_done, t->endpoint);
     else if (t->read && !never_ran(e.result))
-        r->held.made(now, control::HeldOrigin::read_lost, t->server);
+        r->held.made(now, control::HeldOrigin::read_lost, t->endpoint);
     watch_held(*r);
     Outcome o;
-    o.request = std::to_string(handle), o.attempt = attempt, o.server = t->server, o.result = e.result;
+    o.request = std::to_string(handle), o.attempt = attempt, o.endpoint = t->endpoint, o.result = e.result;
     o.took = now - t->sent, o.note = e.note;
     if (e.begun && !r->closed) {
         log_request(*r, e.result == Result::served ? std::nullopt : std::optional(Disposition::broken));
@@ -591,7 +592,7 @@
 
 void Relay::due(const Driver::Alarm& a) {
     if (a.kind == Kind::release) return releases_.retry(a.label);
-    if (a.kind == Kind::question) return liveness_.expire(static_cast<ServerId>(a.label));
+    if (a.kind == Kind::question) return liveness_.expire(static_cast<EndpointId>(a.label));
     Request* r = a.owner;
     const Millis now = ports_.now();
     if (a.kind == Kind::hold) {
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -53,10 +53,10 @@
 
 class Relay {
 public:
-    Relay(const settings::Named& named, std::uint64_t seed, Hosts& hosts, Ports& ports);
+    Relay(const settings::Named& named, std::uint64_t seed, EndpointList& hosts, Ports& ports);
 
-    // After Hosts has taken it, or to say that discovery failed.
-    void list(ListEvent e);
+    // After EndpointList has taken it, or to say that discovery failed.
+    void on_endpoint_update(EndpointUpdate e);
     // Carries out one of the Router's actions. Public for those that this module never asks for.
     void carry(const Action& a);
     // A request with this id is.
@@ -97,7 +97,7 @@
 private:
     struct Try {
         std::shared_ptr<Attempt> attempt;
-        ServerId server = 0;
+        EndpointId endpoint = 0;
         bool read = false, out = true, first = false, handed = false;
         Millis sent = 0, heard = 0, ended = 0;
         Result result = Result::served;
@@ -126,12 +126,12 @@
     Request* find(std::uint64_t handle);
     Request* find(const RequestId& id);
     Try* find_try(Request* r, int attempt);
-    static bool busy(const Request& r);         // an attempt is out
-    static bool begun(const Request& r);        // its stream has; no attempt follows that one
-    std::optional<Mode> mode(ServerId server);  // by the latest list
+    static bool busy(const Request& r);   // an attempt is out
+    static bool begun(const Request& r);  // its stream has; no attempt follows that one
+    std::optional<EndpointStatus> endpoint_status(EndpointId server);  // by the latest list
     // Whether an attempt may begin now, see control/send_preconditions: asked when it is decided and again
     // before its first byte. `since`: when it was decided; `takes`: it is to take a read state.
-    bool may_begin(std::uint64_t handle, ServerId server, Millis send_by, Millis since, bool takes);
+    bool may_begin(std::uint64_t handle, EndpointId server, Millis send_by, Millis since, bool takes);
     void start(const gorsenotch::Attempt& a);
     void stop(Try& t, Result result, const char* why);
     void hold(const HoldPlace& a);
@@ -140,7 +140,7 @@
     void held_due(Request& r);
     void release_at_risk(Request& r);
     std::string describe(const Request& r);
-    std::string name(ServerId server);
+    std::string name(EndpointId server);
     void on_release_ended(const Releases::Ended& ended);
     void final(Request& r, int status, Millis pause, const char* why, EndCause cause);
     void cut(Request& r);
@@ -159,7 +159,7 @@
     void revisit_when_idle(std::uint64_t handle) { to_revisit_.push_back(handle); }
 
     const settings::Named& named_;
-    Hosts& hosts_;
+    EndpointList& endpoints_;
     Ports& ports_;
     Driver driver_;
     std::unordered_map<std::uint64_t, Request> requests_;
--- a/src/router/records.h
+++ b/src/router/records.h
@@ -18,10 +18,10 @@
 
 enum Stage { reading = 0, waiting = 1, streaming = 2 };
 
-struct Server {
-    ServerEntry entry;
+struct EndpointState {
+    Endpoint endpoint;
     Role role = Role::both;
-    Millis listed = 0;            // by the latest list that had it
+    Millis last_listed = 0;       // by the latest list that had it
     Millis cold_since = -kNever;  // when it last started, as listed or as concluded from a return
     // own load
     std::array<int, 3> out{};  // attempts out by stage
@@ -66,18 +66,18 @@
     // the attempt out
     bool out = false, stopped = false, excused = false;  // excused: out while this gateway stood still
     Stage stage = reading;
-    ServerId server = 0;
+    EndpointId endpoint = 0;
     Millis sent = 0, stage_since = 0;  // less own standstills since; see watch
     Millis handed = 0;                 // when it was sent in truth
     // Queue at the send: thousands of tokens to read, or sends waiting; for a stream its hinted length.
     double units = 1;
     // the read state
     bool state = false;
-    ServerId reader = 0;
-    std::vector<ServerId> failed;  // where an attempt of its failed
+    EndpointId reader = 0;
+    std::vector<EndpointId> failed;  // where an attempt of its failed
     // effects
     bool may_have_run = false;
-    ServerId ran_at = 0;
+    EndpointId ran_at = 0;
     Millis ran_sent = 0;
 };
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -71,7 +71,7 @@
             ticking_ = true;
             checked_ = surveyed_ = now_;
             set_tick();
-            if (s_.discovery == Discovery::ask) ask();
+            if (s_.discovery == Discovery::poll) watch_endpoints();
         }
         watch();
         std::visit([this](const auto& e) { on(e); }, event);
@@ -101,7 +101,7 @@
     }
 
     void on(const Outcome& o) {
-        Server* server = find(o.server);
+        EndpointState* server = find_endpoint(o.endpoint);
         if (server) hear(*server, o.report);
         const auto it = requests_.find(o.request);
         if (it == requests_.end() || !it->second.out || o.attempt != it->second.attempts - 1) return;
@@ -114,18 +114,18 @@
         const bool wrote = !(server && server->role == Role::read);
         if (wrote && !never_ran(o.result) && o.result != Result::read_done && !r.may_have_run) {
             r.may_have_run = true;
-            r.ran_at = o.server;
+            r.ran_at = o.endpoint;
             r.ran_sent = r.handed;
         }
         const bool no_state = o.result == Result::full && o.note == 1;
         if (no_state) hold(r, false);
         if (o.result == Result::read_done) {
-            r.reader = o.server;
+            r.reader = o.endpoint;
             hold(r, true);
         }
         if (o.closed) r.ended = true;
         if (r.ended) return finish(r);
-        if (o.result != Result::read_done && !no_state) r.failed.push_back(o.server);
+        if (o.result != Result::read_done && !no_state) r.failed.push_back(o.endpoint);
         // Guards against pinned states: a read whose end was lost, or a state whose reader is only cut off,
         // may still stand there though this gateway heard of none.
         if (!r.state) act(DropState{r.a.request});
@@ -136,7 +136,7 @@
         const auto it = requests_.find(f.request);
         if (it == requests_.end() || !it->second.out || f.attempt != it->second.attempts - 1) return;
         Request& r = it->second;
-        if (Server* s = find(r.server)) {
+        if (EndpointState* s = find_endpoint(r.endpoint)) {
             observe_time(r, true);
             s->failed[cls(r)] = -kNever;
             sample(*s, r, waiting);
@@ -156,24 +156,24 @@
         release(it->second);
     }
 
-    void on(const ListEvent& e) {
-        if (e.form == ListEvent::Form::failed) {
-            asked_ = now_ - s_.ask_within / 2 + 500;  // ask again in half a second
+    void on(const EndpointUpdate& e) {
+        if (e.kind == EndpointUpdate::Kind::failed) {
+            last_watch_request_ = now_ - s_.poll_interval / 2 + 500;  // ask again in half a second
             return;
         }
-        if (e.form != ListEvent::Form::changes) {
-            for (auto& [id, s] : servers_) s.entry.mode = Mode::gone;
+        if (e.kind != EndpointUpdate::Kind::incremental) {
+            for (auto& [id, s] : endpoints_) s.endpoint.status = EndpointStatus::removed;
             for (auto& ring : by_role_) ring.clear();
             writers_.clear();
             writers_of_cell_.clear();
         }
-        for (const auto& entry : e.entries) {
+        for (const auto& entry : e.endpoints) {
             if (entry.kind < 0 || entry.kind >= static_cast<int>(s_.kinds.size())) continue;
-            auto [it, fresh] = servers_.try_emplace(entry.server);
-            Server& s = it->second;
-            unlist(s);
+            auto [it, fresh] = endpoints_.try_emplace(entry.id);
+            EndpointState& s = it->second;
+            unindex_endpoint(s);
             // Guards against: a restarted process judged by its past life, and empty memory taken for room.
-            if (fresh || entry.started > s.entry.started) {
+            if (fresh || entry.started_at > s.endpoint.started_at) {
                 s.suspect = s.was_down = false;
                 s.errors = 0;
                 s.slow = {};
@@ -183,18 +183,19 @@
                 s.memory_share = -1;
                 // Guards against a start later than now, where a clock is off: its age would be below 0, and
                 // the server without any share for as long.
-                if (entry.started > 0) s.cold_since = std::max(s.cold_since, std::min(now_, entry.started));
+                if (entry.started_at > 0)
+                    s.cold_since = std::max(s.cold_since, std::min(now_, entry.started_at));
             }
-            s.entry = entry;
-            s.listed = now_;
+            s.endpoint = entry;
+            s.last_listed = now_;
             s.role = s_.kinds[static_cast<std::size_t>(entry.kind)].role;
-            if (entry.mode == Mode::healthy) enlist(s);
+            if (entry.status == EndpointStatus::healthy) index_endpoint(s);
         }
         if (now_ >= survey_due_) survey(0);
     }
 
     void on(const ProbeResult& p) {
-        if (Server* s = find(p.server)) hear(*s, p.report);
+        if (EndpointState* s = find_endpoint(p.endpoint)) hear(*s, p.report);
     }
 
     void on(const Due& d) {
@@ -222,19 +223,19 @@
 
     // ---- servers by role ------------------------------------------------------------------------------
 
-    HashRing<Server>& ring(Role role) { return by_role_[static_cast<std::size_t>(role)]; }
+    HashRing<EndpointState>& ring(Role role) { return by_role_[static_cast<std::size_t>(role)]; }
 
-    void enlist(Server& s) {
-        ring(s.role).insert(s.entry.server, &s);
+    void index_endpoint(EndpointState& s) {
+        ring(s.role).insert(s.endpoint.id, &s);
         if (!s.writes()) return;
-        writers_.insert(s.entry.server, &s);
-        writers_of_cell_[s.entry.cell].push_back(&s);
+        writers_.insert(s.endpoint.id, &s);
+        writers_of_cell_[s.endpoint.cell].push_back(&s);
     }
 
-    void unlist(Server& s) {
-        ring(s.role).erase(s.entry.server);
-        writers_.erase(s.entry.server);
-        if (const auto at = writers_of_cell_.find(s.entry.cell); at != writers_of_cell_.end())
+    void unindex_endpoint(EndpointState& s) {
+        ring(s.role).erase(s.endpoint.id);
+        writers_.erase(s.endpoint.id);
+        if (const auto at = writers_of_cell_.find(s.endpoint.cell); at != writers_of_cell_.end())
             std::erase(at->second, &s);
     }
 
@@ -242,8 +243,8 @@
     // begins at `key`, so that gateways with the same list see the same ones. Guards against a cost of each
     // request that grows with the fleet. May do harm where a window has few servers that can be used: see
     // whole().
-    const std::vector<Server*>& candidates(const HashRing<Server>& from, std::uint64_t key,
-                                           std::vector<Server*>& window) {
+    const std::vector<EndpointState*>& candidates(const HashRing<EndpointState>& from, std::uint64_t key,
+                                                  std::vector<EndpointState*>& window) {
         if (from.size() <= kScannedWhole || scan_all_) return from.by_id();
         window.clear();
         from.window(key, kWindow, window);
@@ -268,9 +269,9 @@
 
     // A choice among a window of the fleet that finds nothing looks at all of it.
     template <class Choice>
-    Server* whole(Choice choice) {
-        Server* found = choice();
-        if (found || scan_all_ || servers_.size() <= kScannedWhole) return found;
+    EndpointState* whole(Choice choice) {
+        EndpointState* found = choice();
+        if (found || scan_all_ || endpoints_.size() <= kScannedWhole) return found;
         scan_all_ = true;
         found = choice();
         scan_all_ = false;
@@ -290,7 +291,7 @@
             if (retries_ < 1) return end(r, EndCause::retry_budget);
             retries_ -= 1;
         }
-        Server* to = nullptr;
+        EndpointState* to = nullptr;
         if (!r.state) to = pick_reader(r);
         const Stage stage = r.state || !to ? waiting : reading;
         if (!to && (r.state || s_.local_read)) to = pick_writer(r);
@@ -305,12 +306,12 @@
         send(r, *to, stage);
     }
 
-    void send(Request& r, Server& s, Stage stage) {
+    void send(Request& r, EndpointState& s, Stage stage) {
         r.out = true;
         r.stopped = false;
         r.excused = false;
         r.stage = stage;
-        r.server = s.entry.server;
+        r.endpoint = s.endpoint.id;
         r.sent = r.handed = now_;
         ++r.attempts;
         ++s.out[stage];
@@ -323,7 +324,7 @@
         s.sends.add(now_);
         s.recent.push_back(now_);
         prune(s);
-        act(Attempt{r.a.request, s.entry.server, limit(r, stage), std::min(r.a.deadline, retry_deadline(r))});
+        act(Attempt{r.a.request, s.endpoint.id, limit(r, stage), std::min(r.a.deadline, retry_deadline(r))});
     }
 
     // How long to wait for this attempt. Guards against silence: a request at a dead server must still reach
@@ -346,10 +347,10 @@
 
     void observe_time(const Request& r, bool done) {
         // What a cell's readers and, for states that leave it, its link take of the aims.
-        const Server* reader = find(r.stage == reading ? r.server : r.reader);
-        const Server* server = find(r.server);
-        if (reader && server && (r.stage == reading || reader->entry.cell != server->entry.cell)) {
-            Cell& c = cells_[reader->entry.cell];
+        const EndpointState* reader = find_endpoint(r.stage == reading ? r.endpoint : r.reader);
+        const EndpointState* server = find_endpoint(r.endpoint);
+        if (reader && server && (r.stage == reading || reader->endpoint.cell != server->endpoint.cell)) {
+            Cell& c = cells_[reader->endpoint.cell];
             c.spent += done || !blind() ? std::min(1.0, (now_ - r.sent) / latency_objective(r)) : 1;
             c.reads += r.stage == reading;
         }
@@ -357,7 +358,7 @@
         if (done || took > low_quantile_[r.stage].value()) low_quantile_[r.stage].add(took);
     }
 
-    static void take_off(Server& s, const Request& r) {
+    static void take_off(EndpointState& s, const Request& r) {
         --s.out[r.stage];
         if (r.stage == reading) {
             s.held -= r.a.prompt_tokens;
@@ -367,11 +368,11 @@
 
     // The attempt out is over: takes it off its server's count.
     void leave(Request& r) {
-        if (Server* s = find(r.server)) take_off(*s, r);
+        if (EndpointState* s = find_endpoint(r.endpoint)) take_off(*s, r);
         r.out = false;
     }
 
-    void move(Server& s, Request& r, Stage to) {
+    void move(EndpointState& s, Request& r, Stage to) {
         take_off(s, r);
         r.stage = to;
         const double pace = s_.classes[cls(r)].inter_token_objective;
@@ -383,7 +384,8 @@
     void hold(Request& r, bool held) {
         if (r.state == held) return;
         r.state = held;
-        if (Server* s = find(r.reader)) s->held += held ? r.a.prompt_tokens : -r.a.prompt_tokens;
+        if (EndpointState* s = find_endpoint(r.reader))
+            s->held += held ? r.a.prompt_tokens : -r.a.prompt_tokens;
     }
 
     // Gives the one final answer, at once.
@@ -426,29 +428,29 @@
     // ---- the three rules ------------------------------------------------------------------------------
 
     template <class Key>
-    static Server* least_of(const std::vector<std::pair<Key, Server*>>& from) {
+    static EndpointState* least_of(const std::vector<std::pair<Key, EndpointState*>>& from) {
         return std::min_element(from.begin(), from.end(),
                                 [](const auto& a, const auto& b) { return a.first < b.first; })
             ->second;
     }
 
-    Server* pick_reader(Request& r) {
+    EndpointState* pick_reader(Request& r) {
         return whole([&] { return pick_reader_among(r); });
     }
 
-    Server* pick_reader_among(Request& r) {
+    EndpointState* pick_reader_among(Request& r) {
         const auto& readers = candidates(ring(Role::read), reader_window(r), reader_candidates_);
-        const std::vector<Server*> fit = usable_readers(r, readers);
+        const std::vector<EndpointState*> fit = usable_readers(r, readers);
         if (fit.empty()) return nullptr;
         const std::vector<double> load = reader_loads(fit);
-        const std::vector<Server*> near = readers_near_least(r, fit, load);
+        const std::vector<EndpointState*> near = readers_near_least(r, fit, load);
         if (const std::uint64_t key = home_key(r)) {
             // Of a window's readers those that can be used stand for all.
             const std::size_t usable_in_all =
                 readers.empty() ? fit.size() : fit.size() * ring(Role::read).size() / readers.size();
             return home_among(r, key, near, usable_in_all);
         }
-        std::vector<std::pair<std::pair<double, double>, Server*>> last;  // it has no home: the least
+        std::vector<std::pair<std::pair<double, double>, EndpointState*>> last;  // it has no home: the least
         for (std::size_t i = 0; i < fit.size(); ++i) {
             if (std::find(near.begin(), near.end(), fit[i]) == near.end()) continue;
             last.push_back({{load[i], uniform()}, fit[i]});
@@ -459,17 +461,17 @@
     // Those that may read it now: plain readers, and mixed servers by rule 3. A mixed server that reads also
     // writes, so it is asked when it has room and the writer that would be picked has none, or when no plain
     // reader is there.
-    std::vector<Server*> usable_readers(Request& r, const std::vector<Server*>& readers) {
-        Server* writer = nullptr;
-        std::vector<Server*> fit;
+    std::vector<EndpointState*> usable_readers(Request& r, const std::vector<EndpointState*>& readers) {
+        EndpointState* writer = nullptr;
+        std::vector<EndpointState*> fit;
         for (int strict = 1; strict >= 0 && fit.empty(); --strict) {
-            for (Server* s : readers) {
+            for (EndpointState* s : readers) {
                 if (usable(*s, r, strict)) fit.push_back(s);
             }
             if (!writer) writer = pick_writer(r);
             const bool no_room = !writer || !has_room(*writer);
             if (!fit.empty() && !no_room) continue;
-            for (Server* s : candidates(ring(Role::both), reader_window(r), mixed_candidates_)) {
+            for (EndpointState* s : candidates(ring(Role::both), reader_window(r), mixed_candidates_)) {
                 if (usable(*s, r, strict) && (fit.empty() || has_room(*s))) fit.push_back(s);
             }
         }
@@ -478,15 +480,15 @@
 
     // The share of its memory that each holds, own reads and what is known of others'; unheard ones count as
     // average.
-    std::vector<double> reader_loads(const std::vector<Server*>& fit) const {
+    std::vector<double> reader_loads(const std::vector<EndpointState*>& fit) const {
         double known = 0, heard = 0;
-        for (const Server* s : fit) {
+        for (const EndpointState* s : fit) {
             if (now_ - s->heard >= kRateSpan) continue;
             known += s->others / memory(*s);
             ++heard;
         }
         std::vector<double> load;
-        for (const Server* s : fit) {
+        for (const EndpointState* s : fit) {
             const bool fresh = now_ - s->heard < kRateSpan;
             const double others = fresh ? s->others / memory(*s) : heard > 0 ? known / heard : 0;
             load.push_back(others + s->held / memory(*s));
@@ -495,8 +497,8 @@
     }
 
     // Those within the margin of the least load, in the own zone or out of it.
-    std::vector<Server*> readers_near_least(const Request& r, const std::vector<Server*>& fit,
-                                            const std::vector<double>& load) {
+    std::vector<EndpointState*> readers_near_least(const Request& r, const std::vector<EndpointState*>& fit,
+                                                   const std::vector<double>& load) {
         // Of most readers nothing is known: the few heard of must not draw all from their homes.
         const double least =
             sparse() ? std::accumulate(load.begin(), load.end(), 0.0) / static_cast<double>(fit.size())
@@ -506,12 +508,12 @@
         const double saves = std::clamp(r.a.prompt_tokens / (1000 * fresh(r)), kMarginLeast, kMarginMost);
         const double prompt = prompt_ / memory(*fit[0]);
         // The own zone is left sooner: it may have few readers, and there its gateways' reads would jam.
-        std::vector<Server*> near;
+        std::vector<EndpointState*> near;
         bool own_zone = false;
         for (std::size_t i = 0; i < fit.size(); ++i) {
             if (load[i] > least + saves * prompt) continue;
             near.push_back(fit[i]);
-            own_zone |= fit[i]->entry.zone == s_.own_zone && load[i] <= least + kMarginLeast * prompt;
+            own_zone |= fit[i]->endpoint.zone == s_.own_zone && load[i] <= least + kMarginLeast * prompt;
         }
         if (own_zone) keep_zone(r, fit, near);
         return near;
@@ -520,25 +522,26 @@
     // Leaves those of the own zone, or of the others. Where own queues show too little, a zone reads what its
     // share of the readers covers, taking every zone for as busy. Guards against a jam in a zone with few
     // readers while others idle.
-    void keep_zone(const Request& r, const std::vector<Server*>& fit, std::vector<Server*>& near) {
+    void keep_zone(const Request& r, const std::vector<EndpointState*>& fit,
+                   std::vector<EndpointState*>& near) {
         double own = 0, all = 0;
-        for (const Server* s : fit) {
+        for (const EndpointState* s : fit) {
             const double part = std::pow(pull(*s), blind() ? 4 : 2);
             all += part;
-            own += s->entry.zone == s_.own_zone ? part : 0;
+            own += s->endpoint.zone == s_.own_zone ? part : 0;
         }
         const bool stays = !sparse() || hash_fraction(r.a.session, 0) * all <= own * s_.zones;
-        const auto other = [&](Server* s) { return (s->entry.zone == s_.own_zone) != stays; };
+        const auto other = [&](EndpointState* s) { return (s->endpoint.zone == s_.own_zone) != stays; };
         if (!std::all_of(near.begin(), near.end(), other)) std::erase_if(near, other);
     }
 
     // Sessions that share a beginning share its home and meet their texts there. By the list, as a next turn
     // comes elsewhere: rendezvous weighted by pull.
-    Server* home_among(const Request& r, std::uint64_t key, const std::vector<Server*>& near,
-                       std::size_t usable_in_all) {
-        std::vector<std::pair<double, Server*>> by;
-        for (Server* s : near)
-            by.push_back({-std::log(hash_fraction(key, s->entry.server) + 1e-18) / pull(*s), s});
+    EndpointState* home_among(const Request& r, std::uint64_t key, const std::vector<EndpointState*>& near,
+                              std::size_t usable_in_all) {
+        std::vector<std::pair<double, EndpointState*>> by;
+        for (EndpointState* s : near)
+            by.push_back({-std::log(hash_fraction(key, s->endpoint.id) + 1e-18) / pull(*s), s});
         const std::size_t homes =
             own_home(r) ? 1 : std::min(by.size(), homes_of_opening(r.a.prefix, usable_in_all));
         const auto rank =
@@ -559,19 +562,19 @@
         return 1 + static_cast<std::size_t>(part * static_cast<double>(readers) / kHomeLoad);
     }
 
-    Server* pick_writer(const Request& r) {
+    EndpointState* pick_writer(const Request& r) {
         return whole([&] { return pick_writer_among(r); });
     }
 
-    Server* pick_writer_among(const Request& r) {
-        std::vector<std::pair<int, Server*>> fit;
-        const Server* reader = r.state ? find(r.reader) : nullptr;
+    EndpointState* pick_writer_among(const Request& r) {
+        std::vector<std::pair<int, EndpointState*>> fit;
+        const EndpointState* reader = r.state ? find_endpoint(r.reader) : nullptr;
         const bool windowed = writers_.size() > kScannedWhole && !scan_all_;
         std::uint64_t cell = windowed && reader ? deal(*reader) : 0;
         const auto* from = &candidates(writers_, writer_window(r), writer_candidates_);
         if (windowed && reader) add_cell(cell, writer_candidates_);
         for (int strict = 1; strict >= 0 && fit.empty(); --strict) {
-            for (Server* s : *from) {
+            for (EndpointState* s : *from) {
                 if (!usable(*s, r, strict)) continue;
                 if (strict && !has_room(*s)) continue;
                 int queued = s->out[waiting] + s->out[reading];
@@ -583,10 +586,10 @@
         int least = fit[0].first;
         for (const auto& [n, s] : fit) least = std::min(least, n);
         if (!windowed && reader) cell = deal(*reader);
-        std::vector<std::pair<std::array<double, 3>, Server*>> near;
+        std::vector<std::pair<std::array<double, 3>, EndpointState*>> near;
         for (const auto& [n, s] : fit) {
             if (n > least + 1) continue;
-            const bool apart = reader && s->entry.cell != cell;
+            const bool apart = reader && s->endpoint.cell != cell;
             near.push_back({{apart ? 1.0 : 0.0, static_cast<double>(s->out[streaming]), uniform()}, s});
         }
         return least_of(near);
@@ -594,10 +597,10 @@
 
     // A window seldom holds the writers of a given cell, to which a state moves at the least cost: they join
     // it.
-    void add_cell(std::uint64_t cell, std::vector<Server*>& window) {
+    void add_cell(std::uint64_t cell, std::vector<EndpointState*>& window) {
         const auto at = writers_of_cell_.find(cell);
         if (at == writers_of_cell_.end()) return;
-        for (Server* s : at->second) {
+        for (EndpointState* s : at->second) {
             if (std::find(window.begin(), window.end(), s) == window.end()) window.push_back(s);
         }
     }
@@ -605,11 +608,11 @@
     // The cell whose writers come first for a state here: the reader's own, as far as its share of the
     // writers covers what is read in it; else one with writers to spare, the same zone's counting double.
     // Guards against few writers drawing all that many readers there read. Harms where links are narrow.
-    std::uint64_t deal(const Server& reader) {
-        const Cell& own = cells_[reader.entry.cell];
-        if (!sparse() || uniform() * own.read <= own.write) return reader.entry.cell;
+    std::uint64_t deal(const EndpointState& reader) {
+        const Cell& own = cells_[reader.endpoint.cell];
+        if (!sparse() || uniform() * own.read <= own.write) return reader.endpoint.cell;
         const auto spare = [&](const Cell& c) {
-            return std::max(0.0, c.write - c.read) * (c.zone == reader.entry.zone ? 2 : 1);
+            return std::max(0.0, c.write - c.read) * (c.zone == reader.endpoint.zone ? 2 : 1);
         };
         double left = 0;
         for (const auto& [id, c] : cells_) left += spare(c);
@@ -617,17 +620,17 @@
         for (const auto& [id, c] : cells_) {
             if ((left -= spare(c)) < 0) return id;
         }
-        return reader.entry.cell;
+        return reader.endpoint.cell;
     }
 
     // How many reads a reader draws: more where writers are near, as reads far from them fill links.
-    double pull(const Server& s) { return sparse() ? cells_[s.entry.cell].pull : 1; }
+    double pull(const EndpointState& s) { return sparse() ? cells_[s.endpoint.cell].pull : 1; }
 
     // Own streams at the server that have made fewer than the quantum's tokens, at the wanted pace.
-    int young(const Server& s) const {
+    int young(const EndpointState& s) const {
         int n = 0;
         for (const auto& [id, r] : requests_) {
-            if (!r.out || r.stage != streaming || r.server != s.entry.server) continue;
+            if (!r.out || r.stage != streaming || r.endpoint != s.endpoint.id) continue;
             n += now_ - r.stage_since < kQuantum * s_.classes[cls(r)].inter_token_objective;
         }
         return n;
@@ -635,23 +638,23 @@
 
     // ---- guards ---------------------------------------------------------------------------------------
 
-    bool usable(Server& s, const Request& r, bool strict) {
-        if (s.entry.mode != Mode::healthy) return false;
+    bool usable(EndpointState& s, const Request& r, bool strict) {
+        if (s.endpoint.status != EndpointStatus::healthy) return false;
         if (!cold_room(s, r)) return false;
         // Guards against a repeat that reaches a server which does not drop it: outside the group, or after
         // the window has closed while the connection came up. Holds for reads too, as they are sends.
         if (now_ + s_.dial_timeout >= retry_deadline(r)) return false;
         if (is_keyed_retry(r)) {
             const DedupScope group = s_.classes[cls(r)].dedup_scope;
-            const Server* ran = find(r.ran_at);
+            const EndpointState* ran = find_endpoint(r.ran_at);
             if (!ran && group != DedupScope::all) return false;
-            if (group == DedupScope::zone && ran->entry.zone != s.entry.zone) return false;
-            if (group == DedupScope::cell && ran->entry.cell != s.entry.cell) return false;
+            if (group == DedupScope::zone && ran->endpoint.zone != s.endpoint.zone) return false;
+            if (group == DedupScope::cell && ran->endpoint.cell != s.endpoint.cell) return false;
         }
         if (!strict) return true;
         // Guards against a request spent on one server that, sick or full, looks idle from here.
         if (now_ < s.full_until) return false;
-        if (std::find(r.failed.begin(), r.failed.end(), s.entry.server) != r.failed.end()) return false;
+        if (std::find(r.failed.begin(), r.failed.end(), s.endpoint.id) != r.failed.end()) return false;
         // What failed a class last may serve the others. Guards against one class unanswered and, where
         // visits are too rare for flags, all sickness; not a minority alone. Outlasts jams.
         if (sparse() && now_ - s.failed[cls(r)] < kGrudge) return false;
@@ -669,12 +672,12 @@
         return r.ran_sent + s_.classes[cls(r)].dedup_window - kTransit * s_.dial_timeout;
     }
 
-    bool has_room(const Server& s) const { return s.memory_share < kNearFull; }
+    bool has_room(const EndpointState& s) const { return s.memory_share < kNearFull; }
 
     // Guards against a cold server being pushed over by all gateways together. Each sends it a share of what
     // its warm peers get from this same gateway, so that the sum holds. A share under one send is a chance,
     // drawn once for a request and server. Where this gateway shuns many peers, all may: less then.
-    bool cold_room(Server& s, const Request& r) {
+    bool cold_room(EndpointState& s, const Request& r) {
         if (now_ - s.cold_since >= s_.warm_within) return true;
         prune(s);
         const auto role = static_cast<std::size_t>(s.role);
@@ -684,15 +687,15 @@
         const double sent = static_cast<double>(s.recent.size());
         const double carried = usual_rate_[role] * s_.fall_window;
         if (s_.gateways <= kFewGateways) return sent + 1 <= std::max(1.0, share * carried);
-        const double draw = hash_fraction(seed_ + r.serial, s.entry.server);
+        const double draw = hash_fraction(seed_ + r.serial, s.endpoint.id);
         return sent + draw < share * std::max(unshunned_[role], carried);
     }
 
-    void prune(Server& s) const {
+    void prune(EndpointState& s) const {
         while (!s.recent.empty() && s.recent.front() <= now_ - s_.fall_window) s.recent.pop_front();
     }
 
-    void hear(Server& s, const LoadReport& report) {
+    void hear(EndpointState& s, const LoadReport& report) {
         if (report.memory_share < 0) return;
         s.memory_share = report.memory_share;
         reports_ = true;
@@ -700,13 +703,13 @@
         s.others = std::max(0.0, report.memory_share * memory(s) - s.held);
     }
 
-    double memory(const Server& s) const {
-        const double m = s_.kinds[static_cast<std::size_t>(s.entry.kind)].memory_tokens;
-        return std::max(1.0, m) * (s.entry.weight > 0 ? s.entry.weight : 1);
+    double memory(const EndpointState& s) const {
+        const double m = s_.kinds[static_cast<std::size_t>(s.endpoint.kind)].memory_tokens;
+        return std::max(1.0, m) * (s.endpoint.weight > 0 ? s.endpoint.weight : 1);
     }
 
     // Judges a server by the outcome of an attempt.
-    void settle(Server& s, const Request& r, const Outcome& o) {
+    void settle(EndpointState& s, const Request& r, const Outcome& o) {
         const bool early = s.suspect && r.sent < s.suspected;  // tells nothing new of a suspect
         switch (o.result) {
             case Result::served:
@@ -767,15 +770,15 @@
     }
 
     // A read that was given up on may still run: its memory counts for as long again as it has run.
-    void keep_abandoned_read(Server& s, const Request& r) {
+    void keep_abandoned_read(EndpointState& s, const Request& r) {
         if (r.stage != reading) return;
         s.abandoned_reads.push_back({now_ + (now_ - r.sent), r.a.prompt_tokens});
-        abandoned_at_.insert(s.entry.server);
+        abandoned_at_.insert(s.endpoint.id);
         s.held += r.a.prompt_tokens;
     }
 
     // A suspect gets nothing for a while, then one request at a time, doubling with each success.
-    void suspect_server(Server& s) {
+    void suspect_server(EndpointState& s) {
         // A trial of a down server costs little, one of a slow server a late answer; many trials add up.
         const Millis longest = (s.was_down && !sparse() ? 2 : 8) * min_latency_objective_;
         s.pause = std::clamp(2 * s.pause, sparse() ? longest : min_latency_objective_, longest);
@@ -797,10 +800,10 @@
     bool blind() const { return sparse() && !reports_; }
 
     // Overload makes all slow: only a minority of a role may be flagged for slowness or failures.
-    bool minority(const Server& s, Stage stage = reading) const {
+    bool minority(const EndpointState& s, Stage stage = reading) const {
         int peers = 0, bad = 0;
-        for (const auto& [id, p] : servers_) {
-            if (p.role != s.role || p.entry.mode != Mode::healthy) continue;
+        for (const auto& [id, p] : endpoints_) {
+            if (p.role != s.role || p.endpoint.status != EndpointStatus::healthy) continue;
             ++peers;
             bad += p.suspect || p.slow[stage] >= kSlowEvidence / 2;
         }
@@ -808,7 +811,7 @@
     }
 
     // A finished stage speaks against its server being slow.
-    void sample(Server& s, const Request& r, Stage stage) {
+    void sample(EndpointState& s, const Request& r, Stage stage) {
         s.slow[stage] = std::max(0.0, s.slow[stage] - std::log(kSlowFactor));
         if (!s.suspect) completion_time(stage, r).add_completion();
     }
@@ -818,12 +821,14 @@
     // long answers meet on one server: then it is left for a while without need.
     void check() {
         set_tick();
-        if (s_.discovery == Discovery::ask && now_ - asked_ > s_.ask_within / 2) ask();
+        if (s_.discovery == Discovery::poll && now_ - last_watch_request_ > s_.poll_interval / 2)
+            watch_endpoints();
         const Millis dt = now_ - checked_;
         checked_ = now_;
-        std::map<ServerId, std::array<bool, 3>> harmed;  // by work that has waited long, measured by its aim
+        std::map<EndpointId, std::array<bool, 3>>
+            harmed;  // by work that has waited long, measured by its aim
         for (auto& [id, r] : requests_) {
-            Server* s = r.out && !r.stopped ? find(r.server) : nullptr;
+            EndpointState* s = r.out && !r.stopped ? find_endpoint(r.endpoint) : nullptr;
             if (!s) continue;
             const Millis expects = expected(r, r.stage);
             const Millis age = now_ - (r.stage == streaming ? r.stage_since : r.sent);
@@ -833,7 +838,7 @@
                 e = std::min(2 * kSlowEvidence, e + dt / expects * (1 - 1 / kSlowFactor));
             }
             if (!s->suspect) completion_time(r.stage, r).add_time(dt / r.units);
-            if (r.stage == streaming || age > 0.5 * latency_objective(r)) harmed[r.server][r.stage] = true;
+            if (r.stage == streaming || age > 0.5 * latency_objective(r)) harmed[r.endpoint][r.stage] = true;
         }
         survey_in_time();
         const double keep = std::exp(-dt / kCompletionSpan / 10);
@@ -845,9 +850,9 @@
                 u.decay(std::exp(-dt / kCompletionSpan), std::exp(-dt / kCompletionSpan / 10));
         }
         end_abandoned_reads();
-        std::vector<Server*> slow;
+        std::vector<EndpointState*> slow;
         for (const auto& [id, stages] : harmed) {
-            Server& s = servers_.at(id);
+            EndpointState& s = endpoints_.at(id);
             for (std::size_t stage = 0; stage < 3; ++stage) {
                 if (s.slow[stage] < kSlowEvidence || !stages[stage]) continue;
                 if (!minority(s, static_cast<Stage>(stage))) continue;
@@ -855,15 +860,15 @@
                 break;
             }
         }
-        for (Server* s : slow) {
+        for (EndpointState* s : slow) {
             suspect_server(*s);
             rescue(*s);
         }
     }
 
     void end_abandoned_reads() {
-        std::erase_if(abandoned_at_, [this](ServerId id) {
-            Server* s = find(id);
+        std::erase_if(abandoned_at_, [this](EndpointId id) {
+            EndpointState* s = find_endpoint(id);
             if (!s) return true;
             while (!s->abandoned_reads.empty() && s->abandoned_reads.front().first <= now_) {
                 s->held -= s->abandoned_reads.front().second;
@@ -902,16 +907,17 @@
         if (now_ < survey_due_) return;
         survey(now_ - surveyed_);
         surveyed_ = now_;
-        survey_due_ = now_ + tick() * (static_cast<double>(servers_.size() / kSurveyedEachTick) - 0.5);
-        forget_gone_servers();
+        survey_due_ = now_ + tick() * (static_cast<double>(endpoints_.size() / kSurveyedEachTick) - 0.5);
+        forget_removed_endpoints();
     }
 
     // Guards against memory that grows with every server that was ever listed. May do harm by judging one
     // afresh that comes back after so long without a start of its own.
-    void forget_gone_servers() {
-        std::erase_if(servers_, [this](const auto& entry) {
-            const Server& s = entry.second;
-            return s.entry.mode == Mode::gone && now_ - s.listed > kForget && s.total() == 0;
+    void forget_removed_endpoints() {
+        std::erase_if(endpoints_, [this](const auto& entry) {
+            const EndpointState& s = entry.second;
+            return s.endpoint.status == EndpointStatus::removed && now_ - s.last_listed > kForget &&
+                   s.total() == 0;
         });
     }
 
@@ -932,12 +938,12 @@
             zones[c.zone].reads += c.reads;
         }
         std::array<double, 3> sent{}, warm{}, left{}, listed{};
-        for (const auto& [id, s] : servers_) {
-            if (s.entry.mode != Mode::healthy) continue;
+        for (const auto& [id, s] : endpoints_) {
+            if (s.endpoint.status != EndpointStatus::healthy) continue;
             const auto role = static_cast<std::size_t>(s.role);
             ++listed[role];
-            Cell& c = cells_[s.entry.cell];
-            c.zone = s.entry.zone;
+            Cell& c = cells_[s.endpoint.cell];
+            c.zone = s.endpoint.zone;
             c.read += s.role == Role::read;
             c.write += s.writes();
             if (s.suspect) continue;
@@ -971,9 +977,9 @@
     }
 
     // Takes own requests off a server that has become slow or silent, within the retry budget.
-    void rescue(Server& s) {
+    void rescue(EndpointState& s) {
         for (auto& [id, r] : requests_) {
-            if (!r.out || r.stopped || r.server != s.entry.server || retries_ < 1) continue;
+            if (!r.out || r.stopped || r.endpoint != s.endpoint.id || retries_ < 1) continue;
             // A slow read is moved only while its aim can be met, as it is lost work; a silent one always.
             if (r.stage == reading && s.answered >= r.sent && now_ - r.sent > 0.8 * latency_objective(r))
                 continue;
@@ -992,16 +998,16 @@
     Millis wait(const Request& r) {
         double ahead = 0;
         for (const auto& [id, own] : requests_)
-            ahead += own.out && own.stage != streaming && find(own.server);
+            ahead += own.out && own.stage != streaming && find_endpoint(own.endpoint);
         double to_read = kNever;
         for (const Role role : {Role::read, Role::both}) {
-            for (Server* s : candidates(ring(role), reader_window(r), reader_candidates_)) {
+            for (EndpointState* s : candidates(ring(role), reader_window(r), reader_candidates_)) {
                 if (usable(*s, r, true)) to_read = std::min(to_read, s->to_read);
             }
         }
         const auto& looked_at = candidates(writers_, writer_window(r), writer_candidates_);
         double writers = 0;
-        for (Server* s : looked_at) writers += usable(*s, r, true);
+        for (EndpointState* s : looked_at) writers += usable(*s, r, true);
         // A window's writers stand for all.
         if (!looked_at.empty())
             writers *= static_cast<double>(writers_.size()) / static_cast<double>(looked_at.size());
@@ -1027,7 +1033,7 @@
     // Guards against reads for nothing while every writer is down: each is tried by one request at a time.
     bool writer_in_reach() const {
         const auto& writers = writers_.by_id();
-        return std::any_of(writers.begin(), writers.end(), [this](const Server* s) {
+        return std::any_of(writers.begin(), writers.end(), [this](const EndpointState* s) {
             const bool down = s->suspect && s->was_down && (now_ < s->retry_at || s->total() >= s->allow);
             return !down;
         });
@@ -1079,14 +1085,14 @@
         return c.latency_objective + c.latency_objective_per_1000_tokens * r.a.prompt_tokens / 1000;
     }
     Millis tick() const { return std::max(s_.step, min_latency_objective_ / 20); }
-    Server* find(ServerId id) {
-        const auto it = servers_.find(id);
-        return it == servers_.end() ? nullptr : &it->second;
+    EndpointState* find_endpoint(EndpointId id) {
+        const auto it = endpoints_.find(id);
+        return it == endpoints_.end() ? nullptr : &it->second;
     }
     double uniform() { return stats::unit_interval(random_()); }
-    void ask() {
-        asked_ = now_;
-        act(Subscribe{});
+    void watch_endpoints() {
+        last_watch_request_ = now_;
+        act(WatchEndpoints{});
     }
     void act(Action a) { actions_->push_back(std::move(a)); }
 
@@ -1096,17 +1102,17 @@
     Millis now_ = 0;
     std::vector<Action>* actions_ = nullptr;
     bool ticking_ = false;
-    Millis asked_ = 0, checked_ = 0, tick_due_ = 0, min_latency_objective_ = kNever;
+    Millis last_watch_request_ = 0, checked_ = 0, tick_due_ = 0, min_latency_objective_ = kNever;
     double max_priority_weight_ = 1e-9;
-    std::map<ServerId, Server> servers_;
+    std::map<EndpointId, EndpointState> endpoints_;
     // The healthy ones.
-    std::array<HashRing<Server>, 3> by_role_;
-    HashRing<Server> writers_;  // those that write, mixed ones too
-    std::map<std::uint64_t, std::vector<Server*>> writers_of_cell_;
-    std::vector<Server*> reader_candidates_, mixed_candidates_,
-        writer_candidates_;            // of the choice under way
-    bool scan_all_ = false;            // a window had none that can be used
-    std::set<ServerId> abandoned_at_;  // servers with abandoned reads
+    std::array<HashRing<EndpointState>, 3> by_role_;
+    HashRing<EndpointState> writers_;  // those that write, mixed ones too
+    std::map<std::uint64_t, std::vector<EndpointState*>> writers_of_cell_;
+    std::vector<EndpointState*> reader_candidates_, mixed_candidates_,
+        writer_candidates_;              // of the choice under way
+    bool scan_all_ = false;              // a window had none that can be used
+    std::set<EndpointId> abandoned_at_;  // servers with abandoned reads
     Millis surveyed_ = 0, survey_due_ = 0;
     std::map<std::uint64_t, Cell> cells_;
     std::map<RequestId, Request> requests_;
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -110,8 +110,8 @@
     }
     s.zones = static_cast<int>(zones.size());
     s.gateways = whole(info, "Balancers", 1);
-    s.discovery = info.text("Discovery", "push") == "ask" ? Discovery::ask : Discovery::push;
-    s.ask_within = info.num("Guarantees.AskWithinMs", 0);
+    s.discovery = info.text("Discovery", "push") == "ask" ? Discovery::poll : Discovery::watch;
+    s.poll_interval = info.num("Guarantees.AskWithinMs", 0);
     s.max_attempts = whole(info, "Ceilings.AttemptsCap", 1);
     s.cancel = info.yes("Ceilings.Cancel");
     s.second_copies = info.yes("Ceilings.SecondCopies");
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -36,20 +36,22 @@
 
     std::vector<Engine> engines(const Element& list) {
         std::vector<Engine> all;
-        std::set<ServerId> ids;
+        std::set<EndpointId> ids;
         std::set<std::string> addresses;
         for (const auto& e : list.children("engine")) {
             Engine en;
-            en.entry.server = static_cast<ServerId>(e.large("id"));
-            en.entry.kind = index(e, "kind", p_.kinds);
-            en.entry.zone = index(e, "zone", p_.zones);
-            en.entry.cell = e.large("cell");
-            en.entry.weight = e.number("weight");
-            en.entry.started = e.number("started");
+            en.endpoint.id = static_cast<EndpointId>(e.large("id"));
+            en.endpoint.kind = index(e, "kind", p_.kinds);
+            en.endpoint.zone = index(e, "zone", p_.zones);
+            en.endpoint.cell = e.large("cell");
+            en.endpoint.weight = e.number("weight");
+            en.endpoint.started_at = e.number("started");
             const std::string mode = e.text("mode");
-            en.entry.mode = mode == "draining" ? Mode::draining : mode == "gone" ? Mode::gone : Mode::healthy;
+            en.endpoint.status = mode == "draining" ? EndpointStatus::draining
+                                 : mode == "gone"   ? EndpointStatus::removed
+                                                    : EndpointStatus::healthy;
             en.address = e.text("address");
-            if (!ids.insert(en.entry.server).second) fault(e, "id " + e.text("id") + " stands twice");
+            if (!ids.insert(en.endpoint.id).second) fault(e, "id " + e.text("id") + " stands twice");
             // Two servers behind one address would each be counted for the other's work.
             if (!addresses.insert(en.address).second) fault(e, "address " + en.address + " stands twice");
             all.push_back(en);
@@ -299,14 +301,14 @@
     std::ostringstream out;
     out << "<fleet xmlns=\"urn:gorsenotch:1\">\n";
     for (const auto& e : engines) {
-        const char* mode = e.entry.mode == Mode::healthy    ? "healthy"
-                           : e.entry.mode == Mode::draining ? "draining"
-                                                            : "gone";
-        out << "  <engine id=\"" << e.entry.server << "\" kind=\""
-            << p.kinds[static_cast<std::size_t>(e.entry.kind)] << "\" zone=\""
-            << p.zones[static_cast<std::size_t>(e.entry.zone)] << "\" cell=\"" << e.entry.cell
+        const char* mode = e.endpoint.status == EndpointStatus::healthy    ? "healthy"
+                           : e.endpoint.status == EndpointStatus::draining ? "draining"
+                                                                           : "gone";
+        out << "  <engine id=\"" << e.endpoint.id << "\" kind=\""
+            << p.kinds[static_cast<std::size_t>(e.endpoint.kind)] << "\" zone=\""
+            << p.zones[static_cast<std::size_t>(e.endpoint.zone)] << "\" cell=\"" << e.endpoint.cell
             << "\" address=\"" << e.address << "\" mode=\"" << mode << "\" started=\""
-            << static_cast<std::uint64_t>(e.entry.started) << "\"/>\n";
+            << static_cast<std::uint64_t>(e.endpoint.started_at) << "\"/>\n";
     }
     out << "</fleet>\n";
     return out.str();
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -13,7 +13,7 @@
 namespace gorsenotch::settings {
 
 struct Engine {
-    ServerEntry entry;    // `started` in ms since 1970 here; the gateway turns it into its own clock
+    Endpoint endpoint;    // `started` in ms since 1970 here; the gateway turns it into its own clock
     std::string address;  // "host:port", numeric
 };
 
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -128,15 +128,15 @@
         if (!next(m)) throw WireError("input ends inside a batch");
         if (m[0] != "m") throw WireError("a list entry must begin with 'm'");
         Row row;
-        row.entry.server = whole<ServerId>(part(m, 1));
+        row.entry.id = whole<EndpointId>(part(m, 1));
         row.zone = part(m, 2);
         row.kind = part(m, 3);
         row.entry.cell = whole<std::uint64_t>(part(m, 4));
-        row.entry.mode = choice<Mode>(
-            part(m, 5),
-            {{"healthy", Mode::healthy}, {"cordoned", Mode::draining}, {"deregistered", Mode::gone}});
+        row.entry.status = choice<EndpointStatus>(part(m, 5), {{"healthy", EndpointStatus::healthy},
+                                                               {"cordoned", EndpointStatus::draining},
+                                                               {"deregistered", EndpointStatus::removed}});
         row.entry.weight = number(part(m, 6), 1);
-        row.entry.started = number(part(m, 7), 0);
+        row.entry.started_at = number(part(m, 7), 0);
         rows.push_back(row);
     }
     sheets_[sheet] = std::move(rows);
@@ -196,7 +196,7 @@
         Outcome o;
         o.request = part(f, 2);
         o.attempt = whole<int>(part(f, 3));
-        o.server = whole<ServerId>(part(f, 4));
+        o.endpoint = whole<EndpointId>(part(f, 4));
         o.result = result(part(f, 5));
         o.took = number(part(f, 6));
         o.closed = flag(part(f, 7));
@@ -204,24 +204,25 @@
         o.report = report(part(f, 9));
         feed(part(f, 1), o);
     } else if (word == "first") {
-        feed(part(f, 1),
-             FirstToken{part(f, 2), whole<int>(part(f, 5)), whole<ServerId>(part(f, 4)), number(part(f, 3))});
+        feed(part(f, 1), FirstToken{part(f, 2), whole<int>(part(f, 5)), whole<EndpointId>(part(f, 4)),
+                                    number(part(f, 3))});
     } else if (word == "held_note") {
-        feed(part(f, 1), PlaceNote{part(f, 2), whole<ServerId>(part(f, 4)), whole<int>(part(f, 5)) == 1});
+        feed(part(f, 1), PlaceNote{part(f, 2), whole<EndpointId>(part(f, 4)), whole<int>(part(f, 5)) == 1});
     } else if (word == "client_gone") {
         feed(part(f, 1), ClientGone{part(f, 2)});
     } else if (word == "ping_result") {
-        feed(part(f, 1), ProbeResult{whole<ServerId>(part(f, 3)), result(part(f, 2)) == Result::served,
+        feed(part(f, 1), ProbeResult{whole<EndpointId>(part(f, 3)), result(part(f, 2)) == Result::served,
                                      number(part(f, 4)), report(part(f, 5))});
     } else if (word == "due") {
         feed(part(f, 1), Due{whole<std::uint64_t>(part(f, 2))});
     } else if (word == "fleet") {
-        ListEvent e;
-        using Form = ListEvent::Form;
-        e.form = choice<Form>(
-            part(f, 2), {{"D", Form::changes}, {"F", Form::full}, {"C", Form::saved}, {"X", Form::failed}});
+        EndpointUpdate e;
+        using Form = EndpointUpdate::Kind;
+        e.kind = choice<Form>(
+            part(f, 2),
+            {{"D", Form::incremental}, {"F", Form::full}, {"C", Form::cached}, {"X", Form::failed}});
         whole<std::int64_t>(part(f, 3));
-        if (e.form != Form::failed) {
+        if (e.kind != Form::failed) {
             const auto sheet = sheets_.find(whole<std::uint64_t>(part(f, 4)));
             if (sheet == sheets_.end()) throw WireError("list number " + f[4] + " was never sent");
             for (const auto& row : sheet->second) {
@@ -229,9 +230,9 @@
                 const auto kind = kinds_.find(row.kind);
                 if (zone == zones_.end()) throw WireError("unknown zone '" + row.zone + "'");
                 if (kind == kinds_.end()) throw WireError("unknown kind '" + row.kind + "'");
-                e.entries.push_back(row.entry);
-                e.entries.back().zone = zone->second;
-                e.entries.back().kind = kind->second;
+                e.endpoints.push_back(row.entry);
+                e.endpoints.back().zone = zone->second;
+                e.endpoints.back().kind = kind->second;
             }
         }
         feed(part(f, 1), e);
@@ -259,17 +260,17 @@
         out_ << text.str() << '\n';
     };
     std::visit(
-        Overloaded{[&](const Attempt& a) { say("attempt", a.request, a.server, a.limit); },
+        Overloaded{[&](const Attempt& a) { say("attempt", a.request, a.endpoint, a.limit); },
                    [&](const StopAttempt& a) { say("stop_attempt", a.request, a.attempt); },
-                   [&](const HoldPlace& a) { say("hold_place", a.request, a.server); },
+                   [&](const HoldPlace& a) { say("hold_place", a.request, a.endpoint); },
                    [&](const DropState& a) { say("drop_state", a.request); },
                    [&](const Refuse& a) { say("reject", a.request, a.pause); },
                    [&](const Fail& a) { say("end_failed", a.request); },
                    [&](const MoveStream& a) { say("reassign", a.request); },
-                   [&](const Probe& a) { say("touch", a.server); },
+                   [&](const Probe& a) { say("touch", a.endpoint); },
                    [&](const SetTimer& a) { say("set_timer", a.label, a.at); },
-                   [&](const Subscribe&) { say("watch", 1); }, [&](const FetchList&) { say("refresh"); },
-                   [&](const Log& a) { say("log", a.text); }},
+                   [&](const WatchEndpoints&) { say("watch", 1); },
+                   [&](const PollEndpoints&) { say("refresh"); }, [&](const Log& a) { say("log", a.text); }},
         action);
 }
 
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -18,7 +18,7 @@
     using std::runtime_error::runtime_error;
 };
 
-// Hosts one Router for each instance and keeps them apart.
+// EndpointList one Router for each instance and keeps them apart.
 class Host {
 public:
     Host(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
@@ -45,7 +45,7 @@
     Millis now_ = 0;
     std::map<std::string, Instance> instances_;
     struct Row {
-        ServerEntry entry;
+        Endpoint entry;
         std::string zone, kind;
     };
     std::map<std::uint64_t, std::vector<Row>> sheets_;
--- a/src/state/decision_journal.cpp
+++ b/src/state/decision_journal.cpp
@@ -30,7 +30,7 @@
                 return {{"e", "outcome"},
                         {"r", o.request},
                         {"n", o.attempt},
-                        {"s", o.server},
+                        {"s", o.endpoint},
                         {"w", static_cast<int>(o.result)},
                         {"took", o.took},
                         {"z", o.closed},
@@ -39,24 +39,24 @@
             },
             [](const FirstToken& f) -> Json {
                 return {
-                    {"e", "first"}, {"r", f.request}, {"n", f.attempt}, {"s", f.server}, {"took", f.took}};
+                    {"e", "first"}, {"r", f.request}, {"n", f.attempt}, {"s", f.endpoint}, {"took", f.took}};
             },
             [](const PlaceNote& n) -> Json {
-                return {{"e", "place"}, {"r", n.request}, {"s", n.server}, {"held", n.held}};
+                return {{"e", "place"}, {"r", n.request}, {"s", n.endpoint}, {"held", n.held}};
             },
             [](const ClientGone& g) -> Json {
                 return {{"e", "gone"}, {"r", g.request}};
             },
-            [](const ListEvent& l) -> Json {
+            [](const EndpointUpdate& l) -> Json {
                 Json entries = Json::array();
-                for (const auto& s : l.entries)
+                for (const auto& s : l.endpoints)
                     entries.push_back(
-                        {s.server, s.zone, s.kind, s.cell, static_cast<int>(s.mode), s.weight, s.started});
-                return {{"e", "list"}, {"form", static_cast<int>(l.form)}, {"of", entries}};
+                        {s.id, s.zone, s.kind, s.cell, static_cast<int>(s.status), s.weight, s.started_at});
+                return {{"e", "list"}, {"form", static_cast<int>(l.kind)}, {"of", entries}};
             },
             [](const ProbeResult& p) -> Json {
                 return {{"e", "probe"},
-                        {"s", p.server},
+                        {"s", p.endpoint},
                         {"good", p.good},
                         {"took", p.took},
                         {"load", report_json(p.report)}};
@@ -108,30 +108,31 @@
     if (e == "outcome") {
         Outcome o;
         o.request = j.at("r"), o.attempt = whole<int>(j.at("n"));
-        o.server = whole<ServerId>(j.at("s"));
+        o.endpoint = whole<EndpointId>(j.at("s"));
         o.result = choice(j.at("w"), Result::read_done);
         o.took = j.at("took"), o.closed = j.at("z"), o.note = j.at("note");
         o.report = report_of(j.at("load"));
         return o;
     }
     if (e == "first")
-        return FirstToken{j.at("r"), whole<int>(j.at("n")), whole<ServerId>(j.at("s")), j.at("took")};
-    if (e == "place") return PlaceNote{j.at("r"), whole<ServerId>(j.at("s")), j.at("held")};
+        return FirstToken{j.at("r"), whole<int>(j.at("n")), whole<EndpointId>(j.at("s")), j.at("took")};
+    if (e == "place") return PlaceNote{j.at("r"), whole<EndpointId>(j.at("s")), j.at("held")};
     if (e == "gone") return ClientGone{j.at("r")};
     if (e == "list") {
-        ListEvent l;
-        l.form = choice(j.at("form"), ListEvent::Form::failed);
+        EndpointUpdate l;
+        l.kind = choice(j.at("form"), EndpointUpdate::Kind::failed);
         for (const auto& s : j.at("of")) {
-            ServerEntry en;
-            en.server = whole<ServerId>(s.at(0)), en.zone = whole<int>(s.at(1));
+            Endpoint en;
+            en.id = whole<EndpointId>(s.at(0)), en.zone = whole<int>(s.at(1));
             en.kind = whole<int>(s.at(2)), en.cell = whole<std::uint64_t>(s.at(3));
-            en.mode = choice(s.at(4), Mode::gone), en.weight = s.at(5), en.started = s.at(6);
-            l.entries.push_back(en);
+            en.status = choice(s.at(4), EndpointStatus::removed), en.weight = s.at(5),
+            en.started_at = s.at(6);
+            l.endpoints.push_back(en);
         }
         return l;
     }
     if (e == "probe")
-        return ProbeResult{whole<ServerId>(j.at("s")), j.at("good"), j.at("took"), report_of(j.at("load"))};
+        return ProbeResult{whole<EndpointId>(j.at("s")), j.at("good"), j.at("took"), report_of(j.at("load"))};
     if (e == "due") return Due{whole<std::uint64_t>(j.at("l"))};
     if (e == "released") return StateReleased{j.at("r")};
     if (e == "shutdown") return Shutdown{};
@@ -142,7 +143,7 @@
     return std::visit(Overloaded{[](const Attempt& a) -> Json {
                                      return {{"a", "attempt"},
                                              {"r", a.request},
-                                             {"s", a.server},
+                                             {"s", a.endpoint},
                                              {"limit", a.limit},
                                              {"by", a.send_by}};
                                  },
@@ -150,7 +151,7 @@
                                      return {{"a", "stop"}, {"r", a.request}, {"n", a.attempt}};
                                  },
                                  [](const HoldPlace& a) -> Json {
-                                     return {{"a", "hold"}, {"r", a.request}, {"s", a.server}};
+                                     return {{"a", "hold"}, {"r", a.request}, {"s", a.endpoint}};
                                  },
                                  [](const DropState& a) -> Json {
                                      return {{"a", "drop"}, {"r", a.request}};
@@ -165,15 +166,15 @@
                                      return {{"a", "move"}, {"r", a.request}};
                                  },
                                  [](const Probe& a) -> Json {
-                                     return {{"a", "probe"}, {"s", a.server}};
+                                     return {{"a", "probe"}, {"s", a.endpoint}};
                                  },
                                  [](const SetTimer& a) -> Json {
                                      return {{"a", "timer"}, {"l", a.label}, {"at", a.at}};
                                  },
-                                 [](const Subscribe&) -> Json {
+                                 [](const WatchEndpoints&) -> Json {
                                      return {{"a", "subscribe"}};
                                  },
-                                 [](const FetchList&) -> Json {
+                                 [](const PollEndpoints&) -> Json {
                                      return {{"a", "fetch"}};
                                  },
                                  [](const Log& a) -> Json {
--- a/tests/control/kv_lease_test.cpp
+++ b/tests/control/kv_lease_test.cpp
@@ -6,7 +6,7 @@
 namespace gorsenotch::control {
 namespace {
 
-constexpr ServerId kReader = 1, kWriter = 11;
+constexpr EndpointId kReader = 1, kWriter = 11;
 
 struct HeldStateTest : ::testing::Test {
     HeldState held{1000};
--- a/tests/control/run_time_invariants_test.cpp
+++ b/tests/control/run_time_invariants_test.cpp
@@ -10,7 +10,7 @@
 
 SendFacts good() {
     SendFacts facts;
-    facts.server = Mode::healthy;
+    facts.server = EndpointStatus::healthy;
     facts.now = 1000, facts.deadline = 5000;
     return facts;
 }
@@ -24,7 +24,7 @@
     EXPECT_EQ(may_send(facts), SendDenial::client_left);
     facts = good(), facts.server.reset();
     EXPECT_EQ(may_send(facts), SendDenial::not_listed);
-    for (const Mode mode : {Mode::draining, Mode::gone}) {
+    for (const EndpointStatus mode : {EndpointStatus::draining, EndpointStatus::removed}) {
         facts = good(), facts.server = mode;
         EXPECT_EQ(may_send(facts), SendDenial::not_up);
     }
@@ -60,9 +60,9 @@
         audit.on_breach = [this](Rule rule, Audit::Handle, const std::string&) { broken.push_back(rule); };
         for (int cls = 0; cls < 3; ++cls) audit.taken(static_cast<Audit::Handle>(cls), cls, 5000);
     }
-    static ServerEntry server(ServerId id, int zone = 0) {
-        ServerEntry entry;
-        entry.server = id, entry.zone = zone;
+    static Endpoint server(EndpointId id, int zone = 0) {
+        Endpoint entry;
+        entry.id = id, entry.zone = zone;
         return entry;
     }
     void write(Audit::Handle request, int attempt, Millis now, int zone = 0) {
@@ -92,14 +92,14 @@
 }
 
 TEST_F(AuditTest, ADrainIsKeptOnceItsGraceIsOver) {
-    audit.listed(7, Mode::draining, 100);
-    audit.listed(7, Mode::gone, 300);  // told before
+    audit.listed(7, EndpointStatus::draining, 100);
+    audit.listed(7, EndpointStatus::removed, 300);  // told before
     write(0, 0, 350);
     audit.ended(0, 0, true);
     EXPECT_TRUE(broken.empty());
     write(0, 1, 351);
     EXPECT_EQ(broken, (std::vector<Rule>{Rule::sent_to_drained}));
-    audit.listed(7, Mode::healthy, 400);
+    audit.listed(7, EndpointStatus::healthy, 400);
     audit.ended(0, 1, true);
     write(0, 2, 1000);
     EXPECT_EQ(broken.size(), 1u);
--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -197,12 +197,12 @@
     told.look = [&] {
         auto drained = engines;
         for (auto& e : drained) {
-            if (e.entry.server == 11) e.entry.mode = Mode::draining;
+            if (e.endpoint.id == 11) e.endpoint.status = EndpointStatus::draining;
         }
-        core->list(drained, false);
+        core->on_endpoint_list(drained, false);
     };
     core = std::make_unique<Core>(p, 1, told, api::messages::error_body);
-    core->list(engines, false);
+    core->on_endpoint_list(engines, false);
     std::vector<std::unique_ptr<FakeClient>> clients;
     for (int i = 0; i < 8; ++i) arrive(*clients.emplace_back(std::make_unique<FakeClient>()));
     core->looked(told.clock);
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -189,21 +189,21 @@
 
 void discovery(std::string_view bytes) {
     const auto names = named();
-    platform::Hosts hosts(names, 0);
+    platform::EndpointList hosts(names, 0);
     std::string why;
     need(
         hosts
             .take(
                 R"({"seq":1,"whole":true,"hosts":[{"host":"x","dial":"127.0.0.1:1","site":"a","class":"decode",
         "health":"up"}]})",
-                platform::Hosts::Source::same, 0, why)
+                platform::EndpointList::Source::same_address, 0, why)
             .has_value(),
         "a good list is taken");
-    const auto e = hosts.take(std::string(bytes), platform::Hosts::Source::same, 0, why);
+    const auto e = hosts.take(std::string(bytes), platform::EndpointList::Source::same_address, 0, why);
     need(e.has_value() == why.empty(), "a list or the reason why not");
     if (!e) need(hosts.all().size() == 1 && hosts.version() == 1, "a bad one changes nothing");
     for (const auto& [id, h] : hosts.all())
-        need(h.entry.server == id && !h.dial.empty(), "entries are whole");
+        need(h.endpoint.id == id && !h.dial_address.empty(), "entries are whole");
 }
 
 void request(std::string_view bytes) {
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -122,9 +122,9 @@
     return p;
 }
 
-inline settings::Engine engine(ServerId id, int kind, Mode mode = Mode::healthy) {
+inline settings::Engine engine(EndpointId id, int kind, EndpointStatus mode = EndpointStatus::healthy) {
     settings::Engine e;
-    e.entry.server = id, e.entry.kind = kind, e.entry.cell = id % 2, e.entry.mode = mode;
+    e.endpoint.id = id, e.endpoint.kind = kind, e.endpoint.cell = id % 2, e.endpoint.status = mode;
     e.address = "10.0.0." + std::to_string(id) + ":80";
     return e;
 }
@@ -138,7 +138,7 @@
 
     void begin(std::uint64_t seed = 1) {
         core = std::make_unique<Core>(p, seed, world, api::messages::error_body);
-        core->list(engines, false);
+        core->on_endpoint_list(engines, false);
     }
     // A request of the class; returns its id.
     std::string arrive(FakeClient& client, int cls = 0, bool stream = true, Millis patience = 0) {
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -167,8 +167,8 @@
 }
 
 TEST_F(CoreTest, RefusalHasARetryAfter) {
-    engines = {engine(1, 0), engine(11, 1, Mode::draining)};
-    core->list(engines, false);
+    engines = {engine(1, 0), engine(11, 1, EndpointStatus::draining)};
+    core->on_endpoint_list(engines, false);
     arrive(client);
     EXPECT_EQ(client.status, 529);
     EXPECT_EQ(client.retry, true);
@@ -228,7 +228,7 @@
     arrive(client);
     const std::string reader = last().address;
     engines = {engine(reader == "10.0.0.1:80" ? 1 : 2, 0)};  // both writers are gone
-    core->list(engines, false);
+    core->on_endpoint_list(engines, false);
     read_done();
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 529);
@@ -376,9 +376,10 @@
         } else if (what == 14) {
             auto engines = b.engines;
             for (auto& e : engines) {
-                if (dice(3) == 0) e.entry.mode = dice(2) ? Mode::gone : Mode::draining;
+                if (dice(3) == 0)
+                    e.endpoint.status = dice(2) ? EndpointStatus::removed : EndpointStatus::draining;
             }
-            b.core->list(engines, dice(2));
+            b.core->on_endpoint_list(engines, dice(2));
         } else if (what == 15 && !all.empty()) {
             b.core->client_congested(all[static_cast<std::size_t>(dice(static_cast<int>(all.size())))].id,
                                      dice(2));
--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -21,15 +21,15 @@
     net::Loop loop;
     platform::Config config = parse_config(kConfig, "", "");
     PlatformWorld world;
-    Hosts hosts{config.named, 0};
+    EndpointList hosts{config.named, 0};
     Relay relay{config.named, 1, hosts, world};
     std::unique_ptr<Clients> clients;
 
     void start(Clients::Config c) {
         std::string why;
-        auto list = hosts.take(config.known, Hosts::Source::same, 0, why);
+        auto list = hosts.take(config.known, EndpointList::Source::same_address, 0, why);
         ASSERT_TRUE(list) << why;
-        relay.list(std::move(*list));
+        relay.on_endpoint_update(std::move(*list));
         c.listen = "127.0.0.1:0";
         clients = std::make_unique<Clients>(loop, config.named, relay, c);
         ASSERT_EQ(clients->listen(), 0);
--- a/tests/platform/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoint_watcher_test.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 using namespace gorsenotch::net;
-using platform::Watch;
+using platform::EndpointWatcher;
 
-constexpr Watch::Config kConfig{200, 50, 30, 30, 10, 200};
+constexpr EndpointWatcher::Config kConfig{200, 50, 30, 30, 10, 200};
 
 // Discovery: answers each call as told, or holds those that wait until change().
 class Discovery {
@@ -99,7 +99,7 @@
 struct WatchTest : ::testing::Test {
     Loop loop;
     Discovery discovery{loop};
-    Watch watch{loop, 1, kConfig};
+    EndpointWatcher watch{loop, 1, kConfig};
     int seen = 0, faults = 0, moves = 0;
     Millis seen_at = 0;
 
@@ -123,7 +123,7 @@
 
 TEST_F(WatchTest, AChangeIsToldAtOnceInPiecesOfOneByteToo) {
     discovery.pieces = true;
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(60);
     ASSERT_EQ(seen, 1);
     discovery.change();
@@ -134,7 +134,7 @@
 
 // The rule: 6 s after a watch fell silent what it missed counts as told; 600 ms here.
 TEST_F(WatchTest, ASilentWatchIsGivenUpAndWhatItMissedIsThereInTime) {
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(60);
     ASSERT_EQ(seen, 1);
     discovery.mute();
@@ -147,7 +147,7 @@
 }
 
 TEST_F(WatchTest, AResetIsFollowedByANewWatchAtOnce) {
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(60);
     discovery.reset();
     ++discovery.version;
@@ -158,7 +158,7 @@
 // An outage of 0.8 s: calls are taken and not answered, connections refused in between. What discovery has at
 // its return counts at once.
 TEST_F(WatchTest, TheReturnAfterAnOutageIsNoticedAtOnce) {
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(60);
     discovery.silent = true;
     discovery.change();
@@ -179,10 +179,10 @@
 // (250 ms), as what discovery has at its return counts at once. In the times of service.
 TEST_F(WatchTest, TheReturnOfADiscoveryThatSwallowedCallsIsNoticedWithinADrainsGrace) {
     discovery.silent = true;
-    Watch watched(loop, 1, Watch::Config());
+    EndpointWatcher watched(loop, 1, EndpointWatcher::Config());
     watched.on_list = watch.on_list;
     watched.on_fault = [](const std::string&) {};
-    watched.point(discovery.address());
+    watched.watch_address(discovery.address());
     for (int i = 0; i < 4; ++i) {
         const int before = discovery.calls;
         while (discovery.calls == before) run(1);
@@ -197,10 +197,10 @@
 TEST_F(WatchTest, AListWhosePiecesComeSeldomIsTaken) {
     discovery.trickles = true;
     discovery.between_pieces = 20;  // a piece is a byte: some 70 of them, 1.4 s
-    Watch watched(loop, 1, Watch::Config{2000, 500, 15, 150, 5, 2000});
+    EndpointWatcher watched(loop, 1, EndpointWatcher::Config{2000, 500, 15, 150, 5, 2000});
     watched.on_list = watch.on_list;
     watched.on_fault = [](const std::string&) {};
-    watched.point(discovery.address());
+    watched.watch_address(discovery.address());
     const Millis began = now();
     while (seen == 0 && now() < began + 4000) run(5);
     EXPECT_EQ(seen, 1);
@@ -211,10 +211,10 @@
     for (const Millis delay : {250.0, 1500.0}) {
         seen = 0;
         discovery.delay = delay;
-        Watch watched(loop, 1, Watch::Config());
+        EndpointWatcher watched(loop, 1, EndpointWatcher::Config());
         watched.on_list = watch.on_list;
         watched.on_fault = [](const std::string&) {};
-        watched.point(discovery.address());
+        watched.watch_address(discovery.address());
         const Millis began = now();
         while (seen == 0 && now() < began + 3000) run(5);
         EXPECT_EQ(seen, 1) << delay;
@@ -223,7 +223,7 @@
 }
 
 TEST_F(WatchTest, ACallThatIsOnlyLateIsStillTaken) {
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(60);
     discovery.silent = true;
     run(330);  // overdue, and its successors get no answer either
@@ -235,11 +235,11 @@
 
 TEST_F(WatchTest, ANewAddressTakesOverOnceItAnswersAndTheOldOneTellsUntilThen) {
     Discovery other(loop);
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(60);
     other.silent = true;
     other.version = 7;
-    watch.point(other.address());
+    watch.watch_address(other.address());
     run(60);
     discovery.change();
     run(30);
@@ -250,11 +250,11 @@
     EXPECT_EQ(seen, 7);
     EXPECT_EQ(moves, 1) << "its versions are its own";
     const int calls = other.calls;
-    watch.point(other.address());  // a reload that names the same address
+    watch.watch_address(other.address());  // a reload that names the same address
     run(60);
     EXPECT_EQ(other.calls, calls) << "loses nothing that is open";
-    watch.point(discovery.address());
-    watch.point(other.address());  // twice in a row
+    watch.watch_address(discovery.address());
+    watch.watch_address(other.address());  // twice in a row
     run(100);
     other.change();
     run(60);
@@ -264,14 +264,14 @@
 // Guards against a list that is never taken, as each try ends before its last byte has come.
 TEST_F(WatchTest, AListThatComesSlowlyIsTakenWhileItKeepsComing) {
     discovery.trickles = true;  // a byte every 2 ms, for over twice the time that an answer has to begin
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(400);
     EXPECT_EQ(seen, 1);
     EXPECT_EQ(faults, 0);
 }
 
 TEST_F(WatchTest, AnAnswerThatStopsHalfWayIsGivenUpInTime) {
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(60);
     discovery.half = true;
     discovery.change();
@@ -290,7 +290,7 @@
 }
 
 TEST_F(WatchTest, AResetWhileTheSuccessorWaitsLeavesTheSuccessor) {
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(60);
     discovery.silent = true;
     run(270);  // overdue: a successor is out
@@ -302,7 +302,7 @@
 }
 
 TEST_F(WatchTest, AnAnswerThatIsRefusedIsFollowedByAWholeListSoon) {
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(60);
     const auto take = watch.on_list;
     bool refuses = true;
@@ -317,7 +317,7 @@
 
 TEST_F(WatchTest, AnAnswerThatEndsItsConnectionIsFollowedByAnother) {
     discovery.closes = true;
-    watch.point(discovery.address());
+    watch.watch_address(discovery.address());
     run(60);
     ++discovery.version;
     run(100);
--- a/tests/platform/lease_test.cpp
+++ b/tests/platform/lease_test.cpp
@@ -84,7 +84,7 @@
         SCOPED_TRACE("a place is held");
         world.sent.clear();
         const auto handle = ask("t4", client);
-        ServerId writer = 0;
+        EndpointId writer = 0;
         for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
         relay.carry(HoldPlace{std::to_string(handle), writer});
         made_now();
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -47,10 +47,11 @@
 
 struct List : ::testing::Test {
     Config config = parse_config(kConfig, "", "");
-    Hosts hosts{config.named, -1000};
+    EndpointList hosts{config.named, -1000};
     Millis clock = 10000;
     std::string why;
-    std::optional<ListEvent> take(const std::string& text, Hosts::Source source = Hosts::Source::same) {
+    std::optional<EndpointUpdate> take(const std::string& text,
+                                       EndpointList::Source source = EndpointList::Source::same_address) {
         why.clear();
         return hosts.take(text, source, clock, why);
     }
@@ -67,20 +68,20 @@
 };
 
 TEST_F(List, KnownThenChangesThenGone) {
-    const auto saved = take(config.known, Hosts::Source::saved);
+    const auto saved = take(config.known, EndpointList::Source::cached);
     ASSERT_TRUE(saved);
-    EXPECT_EQ(saved->form, ListEvent::Form::saved);
-    EXPECT_EQ(saved->entries.size(), 3u);
+    EXPECT_EQ(saved->kind, EndpointUpdate::Kind::cached);
+    EXPECT_EQ(saved->endpoints.size(), 3u);
     const auto changed = take(list(5, false, row("w2", "up", 5000) + "," + row("w1", "draining")));
     ASSERT_TRUE(changed);
-    EXPECT_EQ(changed->form, ListEvent::Form::changes);
-    EXPECT_EQ(changed->entries[0].started, 4000);  // on the Router's clock
-    EXPECT_EQ(changed->entries[1].mode, Mode::draining);
-    EXPECT_EQ(changed->entries[1].server, saved->entries[2].server) << "one id a name";
+    EXPECT_EQ(changed->kind, EndpointUpdate::Kind::incremental);
+    EXPECT_EQ(changed->endpoints[0].started_at, 4000);  // on the Router's clock
+    EXPECT_EQ(changed->endpoints[1].status, EndpointStatus::draining);
+    EXPECT_EQ(changed->endpoints[1].id, saved->endpoints[2].id) << "one id a name";
     EXPECT_EQ(hosts.all().size(), 4u);
     const auto gone = take(list(6, false, "{\"host\":\"w1\",\"health\":\"removed\"}"));
     ASSERT_TRUE(gone);
-    EXPECT_EQ(gone->entries[0].mode, Mode::gone);
+    EXPECT_EQ(gone->endpoints[0].status, EndpointStatus::removed);
     EXPECT_EQ(hosts.all().size(), 3u);
     ASSERT_TRUE(take(list(7, true, row("w2", "up", 5000))));
     EXPECT_EQ(hosts.all().size(), 1u) << "what a whole list lacks is gone";
@@ -118,8 +119,9 @@
 
 TEST_F(List, TheWholeListOfAnotherDiscoveryIsTakenWhateverItsVersion) {
     ASSERT_TRUE(take(config.known));
-    EXPECT_FALSE(take(list(2, false, row("x", "up")), Hosts::Source::moved)) << "changes of a list not held";
-    ASSERT_TRUE(take(list(2, true, row("x", "draining")), Hosts::Source::moved)) << why;
+    EXPECT_FALSE(take(list(2, false, row("x", "up")), EndpointList::Source::new_address))
+        << "changes of a list not held";
+    ASSERT_TRUE(take(list(2, true, row("x", "draining")), EndpointList::Source::new_address)) << why;
     EXPECT_EQ(hosts.version(), 2u);
     EXPECT_TRUE(take(list(3, false, row("x", "up"))));
 }
@@ -131,25 +133,25 @@
         clock += 1000;
         const auto e = take(list(2, false, row("w1", "up", born)));
         ASSERT_TRUE(e) << why;
-        EXPECT_EQ(e->entries[0].started, clock) << "another start of w1";
+        EXPECT_EQ(e->endpoints[0].started_at, clock) << "another start of w1";
         clock += 500;
-        EXPECT_EQ(take(list(2, false, row("w1", "draining", born)))->entries[0].started, clock - 500)
+        EXPECT_EQ(take(list(2, false, row("w1", "draining", born)))->endpoints[0].started_at, clock - 500)
             << "the same";
     }
-    EXPECT_EQ(take(list(3, false, row("w3", "up", 9000)))->entries[0].started, clock) << "a new server";
+    EXPECT_EQ(take(list(3, false, row("w3", "up", 9000)))->endpoints[0].started_at, clock) << "a new server";
     ASSERT_TRUE(take(list(4, false, "{\"host\":\"w3\",\"health\":\"removed\"}")));
     clock += 2000;
-    EXPECT_EQ(take(list(5, false, row("w3", "up", 9000)))->entries[0].started, clock - 2000)
+    EXPECT_EQ(take(list(5, false, row("w3", "up", 9000)))->endpoints[0].started_at, clock - 2000)
         << "listed again";
-    EXPECT_EQ(take(list(6, false, row("w2", "up")))->entries[0].started, 0) << "long ago";
+    EXPECT_EQ(take(list(6, false, row("w2", "up")))->endpoints[0].started_at, 0) << "long ago";
 }
 
 TEST_F(List, OfTheFirstListTheClocksTell) {
-    ASSERT_TRUE(take(config.known, Hosts::Source::saved));
+    ASSERT_TRUE(take(config.known, EndpointList::Source::cached));
     const auto e = take(list(5, true, row("w1", "up", 5000) + "," + row("w2", "up", 3600000)));
     ASSERT_TRUE(e) << why;
-    EXPECT_EQ(e->entries[0].started, 4000);
-    EXPECT_EQ(e->entries[1].started, 3599000) << "the Router takes no start to be later than now";
+    EXPECT_EQ(e->endpoints[0].started_at, 4000);
+    EXPECT_EQ(e->endpoints[1].started_at, 3599000) << "the Router takes no start to be later than now";
 }
 
 // ---- a client's request ---------------------------------------------------------------------------------
--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -85,7 +85,7 @@
     explicit RelayTest(const std::string& text = kConfig) : config(parse_config(text, "", "")) {}
     Config config;
     PlatformWorld world;
-    Hosts hosts{config.named, 0};
+    EndpointList hosts{config.named, 0};
     Relay relay{config.named, 1, hosts, world};
     PlatformClient client;
 
@@ -97,9 +97,9 @@
     }
     void list(const std::string& text) {
         std::string why;
-        auto e = hosts.take(text, Hosts::Source::same, world.clock, why);
+        auto e = hosts.take(text, EndpointList::Source::same_address, world.clock, why);
         ASSERT_TRUE(e) << why;
-        relay.list(std::move(*e));
+        relay.on_endpoint_update(std::move(*e));
     }
     std::uint64_t ask(const std::string& txn, PlatformClient& c, int cls = 0) {
         Inbound in;
--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -161,7 +161,7 @@
     for (const auto& [txn, status] : answers) {
         const auto handle = ask(txn, client);
         const std::size_t read = world.sent.size() - 1;
-        ServerId writer = 0;
+        EndpointId writer = 0;
         for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
         relay.carry(HoldPlace{std::to_string(handle), writer});
         ASSERT_EQ(world.sent.size(), read + 2);
@@ -336,7 +336,7 @@
 
 TEST_F(RelayTest, NoPlaceIsHeldAtADrainingServer) {
     const auto handle = ask("t1", client);
-    ServerId writer = 0;
+    EndpointId writer = 0;
     for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
     drain_writer();
     const std::size_t before = world.sent.size();
--- a/tests/router/fleet_test.cpp
+++ b/tests/router/fleet_test.cpp
@@ -13,10 +13,10 @@
 
 constexpr int kServers = 3200, kCellSize = 6;
 
-std::vector<ServerEntry> fleet() {
-    std::vector<ServerEntry> entries;
+std::vector<Endpoint> fleet() {
+    std::vector<Endpoint> entries;
     for (int i = 0; i < kServers; ++i) {
-        const auto id = static_cast<ServerId>(1000 + i);
+        const auto id = static_cast<EndpointId>(1000 + i);
         entries.push_back(i % 2 == 0 ? reader(id, i / kCellSize % 2) : writer(id, i / kCellSize % 2));
         entries.back().cell = static_cast<std::uint64_t>(i / kCellSize + 1);
     }
@@ -24,7 +24,7 @@
 }
 
 struct LargeFleet : ::testing::Test {
-    std::vector<ServerEntry> entries = fleet();
+    std::vector<Endpoint> entries = fleet();
     Settings settings = [] {
         Settings s = plain_settings();
         s.gateways = 300;
@@ -32,13 +32,13 @@
         return s;
     }();
     // The server of the last action, if that is an attempt.
-    static ServerId attempted(const Bench& bench) {
+    static EndpointId attempted(const Bench& bench) {
         for (const auto& action : bench.actions) {
-            if (const auto* attempt = std::get_if<Attempt>(&action)) return attempt->server;
+            if (const auto* attempt = std::get_if<Attempt>(&action)) return attempt->endpoint;
         }
         return 0;
     }
-    ServerId ask(Bench& bench, const RequestId& id, Millis now, std::uint64_t session) {
+    EndpointId ask(Bench& bench, const RequestId& id, Millis now, std::uint64_t session) {
         Arrival a = arrival(id, now);
         a.session = session;
         bench.feed(now, a);
@@ -50,11 +50,11 @@
     Bench one(settings, 1), other(settings, 2);
     one.feed(1, list(entries));
     other.feed(1, list(entries));
-    std::map<ServerId, int> homes;
+    std::map<EndpointId, int> homes;
     for (std::uint64_t session = 1; session <= 400; ++session) {
         const auto now = 10 + static_cast<Millis>(session);
         const RequestId id = "s" + std::to_string(session);
-        const ServerId home = ask(one, id, now, session);
+        const EndpointId home = ask(one, id, now, session);
         ASSERT_NE(home, 0u);
         EXPECT_EQ(ask(other, id, now, session), home);
         ++homes[home];
@@ -70,9 +70,9 @@
     for (std::uint64_t session = 1; session <= 60; ++session) {
         const auto now = 10 + static_cast<Millis>(session);
         const RequestId id = "s" + std::to_string(session);
-        const ServerId read = ask(bench, id, now, session);
+        const EndpointId read = ask(bench, id, now, session);
         bench.feed(now, outcome(id, 0, read, Result::read_done));
-        const ServerId written = attempted(bench);
+        const EndpointId written = attempted(bench);
         ASSERT_NE(written, 0u);
         same += (written - 1000) / kCellSize == (read - 1000) / kCellSize;
     }
@@ -83,22 +83,22 @@
 TEST_F(LargeFleet, TheLastServersThatAreUpAreFoundWhereverTheyAre) {
     Bench bench(settings, 1);
     bench.feed(1, list(entries));
-    ListEvent drains{ListEvent::Form::changes, {}};
+    EndpointUpdate drains{EndpointUpdate::Kind::incremental, {}};
     for (std::size_t i = 0; i < entries.size(); ++i) {
         if (i == 1234 || i == 1235) continue;
-        drains.entries.push_back(entries[i]);
-        drains.entries.back().mode = Mode::draining;
+        drains.endpoints.push_back(entries[i]);
+        drains.endpoints.back().status = EndpointStatus::draining;
     }
     bench.feed(2, drains);
     for (std::uint64_t session = 1; session <= 20; ++session) {
         const auto now = 500 + 100 * static_cast<Millis>(session);
         const RequestId id = "s" + std::to_string(session);
-        ASSERT_EQ(ask(bench, id, now, session), entries[1234].server);
-        bench.feed(now + 10, outcome(id, 0, entries[1234].server, Result::read_done));
-        ASSERT_EQ(attempted(bench), entries[1235].server);
-        FirstToken first{id, 1, entries[1235].server, 20};
+        ASSERT_EQ(ask(bench, id, now, session), entries[1234].id);
+        bench.feed(now + 10, outcome(id, 0, entries[1234].id, Result::read_done));
+        ASSERT_EQ(attempted(bench), entries[1235].id);
+        FirstToken first{id, 1, entries[1235].id, 20};
         bench.feed(now + 30, first);
-        bench.feed(now + 60, outcome(id, 1, entries[1235].server, Result::served, true));
+        bench.feed(now + 60, outcome(id, 1, entries[1235].id, Result::served, true));
     }
     EXPECT_TRUE(bench.checker.breaches.empty()) << bench.checker.breaches.front();
 }
@@ -106,13 +106,13 @@
 TEST_F(LargeFleet, WhereMostReadersDrainAllOthersTakePart) {
     Bench bench(settings, 1);
     // The window of each request is of those that are up, however few they are.
-    std::vector<ServerEntry> some;
+    std::vector<Endpoint> some;
     for (std::size_t i = 0; i < entries.size(); ++i) {
         some.push_back(entries[i]);
-        if (i % 2 == 0 && i % 160 != 0) some.back().mode = Mode::draining;
+        if (i % 2 == 0 && i % 160 != 0) some.back().status = EndpointStatus::draining;
     }
     bench.feed(1, list(some));
-    std::set<ServerId> used;
+    std::set<EndpointId> used;
     for (std::uint64_t session = 1; session <= 200; ++session)
         used.insert(ask(bench, "s" + std::to_string(session), 10 + static_cast<Millis>(session), session));
     EXPECT_EQ(used.count(0), 0u);
--- a/tests/router/guards_test.cpp
+++ b/tests/router/guards_test.cpp
@@ -12,33 +12,33 @@
 
 class Guards : public ::testing::Test {
 protected:
-    void start(Settings s, const std::vector<ServerEntry>& servers) {
+    void start(Settings s, const std::vector<Endpoint>& servers) {
         bench = std::make_unique<Bench>(s);
         bench->feed(0, list(servers));
     }
-    ServerId read_at(const RequestId& id, Millis now) {
+    EndpointId read_at(const RequestId& id, Millis now) {
         bench->feed(now, arrival(id, now));
         const auto a = bench->all<Attempt>();
-        return a.empty() ? 0 : a[0].server;
+        return a.empty() ? 0 : a[0].endpoint;
     }
     // Takes a request through read and stream, `pace` ms a stage, wherever the Router sends it.
-    ServerId serve(const RequestId& id, Millis now) {
-        const ServerId r = read_at(id, now);
+    EndpointId serve(const RequestId& id, Millis now) {
+        const EndpointId r = read_at(id, now);
         if (!r) return 0;
         bench->feed(now + 5, outcome(id, 0, r, Result::read_done));
         const auto a = bench->all<Attempt>();
         if (a.empty()) return r;
-        bench->feed(now + 8, FirstToken{id, 1, a[0].server, 3});
-        bench->feed(now + 9, outcome(id, 1, a[0].server, Result::served, true));
+        bench->feed(now + 8, FirstToken{id, 1, a[0].endpoint, 3});
+        bench->feed(now + 9, outcome(id, 1, a[0].endpoint, Result::served, true));
         return r;
     }
     static constexpr Millis kNever = 1e18;
     // A request every 50 ms, read at once at reader 1. `length` of its stream, by its writer and the time;
     // `moved` is told where one was taken off.
-    void stream(int count, const std::function<Millis(ServerId, Millis)>& length,
-                const std::function<void(ServerId)>& moved) {
+    void stream(int count, const std::function<Millis(EndpointId, Millis)>& length,
+                const std::function<void(EndpointId)>& moved) {
         std::multimap<Millis, RequestId> ends;
-        std::map<RequestId, ServerId> where;
+        std::map<RequestId, EndpointId> where;
         for (int i = 0; i < count; ++i) {
             const Millis now = 50.0 * (i + 1);
             while (!ends.empty() && ends.begin()->first <= now) {
@@ -58,9 +58,9 @@
             bench->feed(now + 1, outcome(id, 0, 1, Result::read_done));
             const auto a = bench->all<Attempt>();
             if (a.empty()) continue;
-            bench->feed(now + 2, FirstToken{id, 1, a[0].server, 1});
-            where[id] = a[0].server;
-            ends.emplace(now + length(a[0].server, now), id);
+            bench->feed(now + 2, FirstToken{id, 1, a[0].endpoint, 1});
+            where[id] = a[0].endpoint;
+            ends.emplace(now + length(a[0].endpoint, now), id);
         }
     }
     void TearDown() override { EXPECT_EQ(bench->checker.breaches, std::vector<std::string>{}); }
@@ -69,9 +69,9 @@
 
 TEST_F(Guards, AnUnreachableServerIsLeftOnceASecondConnectionFails) {
     start(plain_settings(), {reader(1), reader(2), writer(11)});
-    const ServerId dead = read_at("a", 10);
+    const EndpointId dead = read_at("a", 10);
     bench->feed(20, outcome("a", 0, dead, Result::unreachable));
-    EXPECT_NE(bench->all<Attempt>().at(0).server, dead);
+    EXPECT_NE(bench->all<Attempt>().at(0).endpoint, dead);
     int n = 0;
     while (read_at("b" + std::to_string(++n), 25) != dead) ASSERT_LT(n, 10);
     bench->feed(28, outcome("b" + std::to_string(n), 0, dead, Result::unreachable));
@@ -84,13 +84,13 @@
     for (int i = 0; i < 20; ++i) {
         const RequestId id = "r" + std::to_string(i);
         const Millis now = 10 + 5 * i;
-        ServerId to = read_at(id, now);
+        EndpointId to = read_at(id, now);
         int attempt = 0;
         while (to == 1) {
             ++at_bad;
             bench->feed(now + 1, outcome(id, attempt++, 1, Result::error));
             const auto a = bench->all<Attempt>();
-            to = a.empty() ? 0 : a[0].server;
+            to = a.empty() ? 0 : a[0].endpoint;
         }
         if (to) bench->feed(now + 2, outcome(id, attempt, to, Result::read_done));
         bench->feed(now + 3, ClientGone{id});
@@ -105,13 +105,13 @@
         serve("w" + std::to_string(i), 10 + 20 * i);
     }
     bench->run_to(899);
-    const ServerId silent = read_at("stuck", 900);
+    const EndpointId silent = read_at("stuck", 900);
     bench->run_to(1600);  // within the aim of a second
     const auto stops = bench->all<StopAttempt>();
     ASSERT_EQ(stops.size(), 1u);
     bench->feed(1601, outcome("stuck", 0, silent, Result::cancelled));
     ASSERT_EQ(bench->all<Attempt>().size(), 1u);
-    EXPECT_NE(bench->all<Attempt>()[0].server, silent);
+    EXPECT_NE(bench->all<Attempt>()[0].endpoint, silent);
 }
 
 // The gateway stands still for two seconds: no timer comes, then all that waited comes at once. None of the
@@ -125,7 +125,7 @@
         serve("w" + std::to_string(i), 10 + 20 * i);
     }
     bench->run_to(899);
-    std::map<RequestId, ServerId> at;
+    std::map<RequestId, EndpointId> at;
     for (int i = 0; i < 4; ++i) at["p" + std::to_string(i)] = read_at("p" + std::to_string(i), 900);
     bench->feed(2900, ClientGone{"nobody"});  // the first that is heard after it
     bench->run_to(2901);                      // and every timer that fell due meanwhile
@@ -134,7 +134,7 @@
         bench->feed(2902, outcome(id, 0, server, Result::read_done));
         EXPECT_EQ(bench->all<Attempt>().size(), 1u) << id;
     }
-    std::set<ServerId> used;
+    std::set<EndpointId> used;
     for (int i = 0; i < 30; ++i) used.insert(read_at("n" + std::to_string(i), 2910 + i));
     EXPECT_EQ(used.size(), 3u);
     bench->run_to(3100);
@@ -147,11 +147,11 @@
     int moved_well = 0, moved_silent = 0, late = 0;
     stream(
         240,
-        [&](ServerId at, Millis now) {
+        [&](EndpointId at, Millis now) {
             if (now > 9000) late += at == 11;
             return at != 11 || now < 4000 ? 800 : kNever;
         },
-        [&](ServerId at) { ++(at == 11 ? moved_silent : moved_well); });
+        [&](EndpointId at) { ++(at == 11 ? moved_silent : moved_well); });
     EXPECT_GT(moved_silent, 0);
     EXPECT_EQ(moved_well, 0);
     EXPECT_LE(late, 3);
@@ -173,14 +173,14 @@
     int n = 0;
     Millis now = 10;
     // The next read that goes to `server` ends so; those before it end well. Of 30 none may go there: "".
-    const auto next_at = [&](ServerId server, Result result) {
+    const auto next_at = [&](EndpointId server, Result result) {
         for (int i = 0; i < 30; ++i) {
             const RequestId id = "r" + std::to_string(++n);
-            const ServerId to = read_at(id, now += 2);
+            const EndpointId to = read_at(id, now += 2);
             bench->feed(now += 1, outcome(id, 0, to, to == server ? result : Result::read_done));
             const auto a = bench->all<Attempt>();
             bench->feed(now += 1, ClientGone{id});
-            if (!a.empty()) bench->feed(now, outcome(id, 1, a[0].server, Result::not_sent, true));
+            if (!a.empty()) bench->feed(now, outcome(id, 1, a[0].endpoint, Result::not_sent, true));
             if (to == server) return true;
         }
         return false;
@@ -208,11 +208,11 @@
         bench->feed(now + 1, outcome(id, 0, 1, Result::read_done));
         const auto a = bench->all<Attempt>();
         ASSERT_FALSE(a.empty());
-        const bool bad = a[0].server == 11;
+        const bool bad = a[0].endpoint == 11;
         after += bad && broken >= 3;
         broken += bad;
-        bench->feed(now + 2, FirstToken{id, 1, a[0].server, 1});
-        bench->feed(now + 9, outcome(id, 1, a[0].server, bad ? Result::reset : Result::served, true));
+        bench->feed(now + 2, FirstToken{id, 1, a[0].endpoint, 1});
+        bench->feed(now + 9, outcome(id, 1, a[0].endpoint, bad ? Result::reset : Result::served, true));
     }
     EXPECT_GT(after, 5);
 }
@@ -225,18 +225,18 @@
     int moved = 0, streams = 0;
     stream(
         1500,
-        [&](ServerId, Millis) {
+        [&](EndpointId, Millis) {
             ++streams;
             return length(random);
         },
-        [&](ServerId) { ++moved; });
+        [&](EndpointId) { ++moved; });
     EXPECT_GT(streams, 1000);
     EXPECT_LE(moved, streams / 100);
 }
 
 TEST_F(Guards, ASuspectComesBackByATrickle) {
     start(plain_settings(), {reader(1), reader(2), writer(11)});
-    ServerId dead = read_at("a", 10);
+    EndpointId dead = read_at("a", 10);
     bench->feed(12, outcome("a", 0, dead, Result::unreachable));
     int n = 0;
     while (read_at("b" + std::to_string(++n), 15) != dead) ASSERT_LT(n, 10);
@@ -253,11 +253,11 @@
         start(plain_settings(), {reader(1), reader(2), writer(11)});
         for (Millis now = 10; now < 20;) {
             const RequestId id = "a" + std::to_string(now);
-            const ServerId to = read_at(id, now += 1);
+            const EndpointId to = read_at(id, now += 1);
             bench->feed(now, outcome(id, 0, to, to == 1 ? Result::unreachable : Result::read_done));
             const auto a = bench->all<Attempt>();
             bench->feed(now, ClientGone{id});
-            if (!a.empty()) bench->feed(now, outcome(id, 1, a[0].server, Result::not_sent, true));
+            if (!a.empty()) bench->feed(now, outcome(id, 1, a[0].endpoint, Result::not_sent, true));
         }
         bench->feed(30, list({reader(2), writer(11)}));
         bench->run_to(30 + away);
@@ -274,30 +274,30 @@
 }
 
 TEST_F(Guards, AColdServerGetsLessThanItsPeers) {
-    std::vector<ServerEntry> servers = {reader(1), reader(2), writer(11)};
+    std::vector<Endpoint> servers = {reader(1), reader(2), writer(11)};
     start(plain_settings(), servers);
     for (int i = 0; i < 100; ++i) serve("w" + std::to_string(i), 10 + 20 * i);
-    ServerEntry cold = reader(3);
-    cold.started = 2000;
-    bench->feed(2020, ListEvent{ListEvent::Form::changes, {cold}});
-    std::map<ServerId, int> n;
+    Endpoint cold = reader(3);
+    cold.started_at = 2000;
+    bench->feed(2020, EndpointUpdate{EndpointUpdate::Kind::incremental, {cold}});
+    std::map<EndpointId, int> n;
     for (int i = 0; i < 100; ++i) ++n[serve("c" + std::to_string(i), 2030 + 20 * i)];
     EXPECT_GT(n[3], 0);
     EXPECT_LT(n[3], std::max(n[1], n[2]));
 }
 
 TEST_F(Guards, OnlyColdServersStillGetATrickle) {
-    ServerEntry r = reader(1), w = writer(11);
-    r.started = w.started = 1;
+    Endpoint r = reader(1), w = writer(11);
+    r.started_at = w.started_at = 1;
     start(plain_settings(), {r, w});
     EXPECT_EQ(read_at("a", 10), 1u);
 }
 
 TEST_F(Guards, DrainingServersGetNothing) {
     start(plain_settings(), {reader(1), reader(2), writer(11)});
-    ServerEntry d = reader(1);
-    d.mode = Mode::draining;
-    bench->feed(5, ListEvent{ListEvent::Form::changes, {d}});
+    Endpoint d = reader(1);
+    d.status = EndpointStatus::draining;
+    bench->feed(5, EndpointUpdate{EndpointUpdate::Kind::incremental, {d}});
     for (int i = 0; i < 6; ++i) EXPECT_EQ(read_at("a" + std::to_string(i), 10 + i), 2u);
     bench->feed(20, list({reader(1), writer(11)}));  // 2 is missing from a full list: removed
     EXPECT_EQ(read_at("z", 30), 1u);
@@ -352,7 +352,7 @@
 
 TEST_F(Guards, AFullHouseEndsInOneAnswerWithNothingHeld) {
     start(plain_settings(), {reader(1), writer(11)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
     Millis now = 30;
     int attempt = 1;
@@ -377,7 +377,7 @@
 
 TEST_F(Guards, TheDeadlineEndsARequestAndItsReadIsDropped) {
     start(plain_settings(), {reader(1), writer(11)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->run_to(5010);
     EXPECT_EQ(bench->all<Refuse>().size(), 1u);
     bench->feed(5012, outcome("a", 0, r, Result::read_done));
@@ -387,7 +387,7 @@
 
 TEST_F(Guards, AGoneClientsStateIsDropped) {
     start(plain_settings(), {reader(1), writer(11)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(15, ClientGone{"a"});
     EXPECT_EQ(bench->all<StopAttempt>().size(), 1u);
     bench->feed(20, outcome("a", 0, r, Result::read_done, true));
@@ -396,7 +396,7 @@
 
 TEST_F(Guards, AStreamCalledOffAsItBeganIsStillOwedAnAnswer) {
     start(plain_settings(), {reader(1), writer(11)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
     bench->feed(30, FirstToken{"a", 1, 11, 5});
     bench->checker.breaches.clear();
@@ -410,9 +410,9 @@
     Settings s = plain_settings();
     s.classes[0].idempotency = Idempotency::unsafe;
     start(s, {reader(1), writer(11), writer(12)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
-    const ServerId w = bench->all<Attempt>().at(0).server;
+    const EndpointId w = bench->all<Attempt>().at(0).endpoint;
     bench->feed(30, outcome("a", 1, w, Result::reset));
     EXPECT_EQ(bench->all<Fail>().size(), 1u);
     EXPECT_TRUE(bench->all<Attempt>().empty());
@@ -424,11 +424,11 @@
     s.classes[0].dedup_scope = DedupScope::zone;
     s.classes[0].dedup_window = 5000;
     start(s, {reader(1, 0), writer(11, 0), writer(12, 1), writer(13, 0)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
-    const ServerId w = bench->all<Attempt>().at(0).server;
+    const EndpointId w = bench->all<Attempt>().at(0).endpoint;
     bench->feed(30, outcome("a", 1, w, Result::reset));
-    EXPECT_EQ(bench->all<Attempt>().at(0).server, w == 11 ? 13u : 11u);
+    EXPECT_EQ(bench->all<Attempt>().at(0).endpoint, w == 11 ? 13u : 11u);
 }
 
 TEST_F(Guards, AKeyedRequestIsReadAnewInItsGroupOnly) {
@@ -437,7 +437,7 @@
     s.classes[0].dedup_scope = DedupScope::zone;
     s.classes[0].dedup_window = 5000;
     start(s, {reader(1, 0), writer(11, 1), reader(2, 0), reader(3, 0)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
     bench->feed(30, outcome("a", 1, 11, Result::reset));
     ASSERT_EQ(bench->all<Attempt>().size(), 1u);
@@ -456,9 +456,9 @@
     s.dial_timeout = 250;
     for (const Millis reset_at : {600.0, 700.0}) {
         start(s, {reader(1), reader(2), writer(11), writer(12)});
-        const ServerId r = read_at("a", 10);
+        const EndpointId r = read_at("a", 10);
         bench->feed(20, outcome("a", 0, r, Result::read_done));
-        const ServerId w = bench->all<Attempt>().at(0).server;
+        const EndpointId w = bench->all<Attempt>().at(0).endpoint;
         bench->feed(reset_at, outcome("a", 1, w, Result::reset));
         if (reset_at < 650) {
             ASSERT_EQ(bench->all<Attempt>().size(), 1u);
@@ -490,13 +490,13 @@
         s.classes[0].dedup_window = 5000;
         start(s, {reader(1), reader(2), writer(11), writer(12)});
         // One was read and its connection to the writer did not come up; one waits for the writer's answer.
-        const ServerId unsent = read_at("unsent", 10);
-        const ServerId sent = read_at("sent", 11);
+        const EndpointId unsent = read_at("unsent", 10);
+        const EndpointId sent = read_at("sent", 11);
         bench->feed(20, outcome("sent", 0, sent, Result::read_done));
         bench->feed(21, outcome("unsent", 0, unsent, Result::reset));
         const auto again = bench->all<Attempt>();
         ASSERT_EQ(again.size(), 1u);
-        bench->feed(22, outcome("unsent", 1, again[0].server, Result::full));
+        bench->feed(22, outcome("unsent", 1, again[0].endpoint, Result::full));
         bench->feed(30, Shutdown{});
         const auto refused = [this](const RequestId& id) {
             const auto all = bench->all<Refuse>();
@@ -512,7 +512,7 @@
 
 TEST_F(Guards, AShutdownLeavesStreamsThatHaveBegun) {
     start(plain_settings(), {reader(1), writer(11)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
     bench->feed(30, FirstToken{"a", 1, 11, 5});
     bench->feed(40, Shutdown{});
@@ -521,13 +521,13 @@
 
 TEST_F(Guards, WhereTheListMustBeAskedForItIs) {
     Settings s = plain_settings();
-    s.discovery = Discovery::ask;
-    s.ask_within = 10000;
+    s.discovery = Discovery::poll;
+    s.poll_interval = 10000;
     start(s, {reader(1), writer(11)});
-    EXPECT_EQ(bench->all<Subscribe>().size(), 1u);
-    bench->feed(100, ListEvent{ListEvent::Form::failed, {}});
+    EXPECT_EQ(bench->all<WatchEndpoints>().size(), 1u);
+    bench->feed(100, EndpointUpdate{EndpointUpdate::Kind::failed, {}});
     bench->run_to(1000);
-    EXPECT_EQ(bench->all<Subscribe>().size(), 1u);
+    EXPECT_EQ(bench->all<WatchEndpoints>().size(), 1u);
 }
 
 TEST_F(Guards, OverloadShedsOverShareTenantsFirst) {
@@ -547,7 +547,7 @@
 
 TEST_F(Guards, AStateThatIsOnlyCutOffIsLetGo) {
     start(plain_settings(), {reader(1), reader(2), writer(11)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
     Outcome cut = outcome("a", 1, 11, Result::full);
     cut.note = 1;  // the writer could not fetch it; it may still stand at the reader
@@ -559,15 +559,15 @@
 // The host's lease on a state ends (control/kv_lease): what it has let go of is not written from again.
 TEST_F(Guards, AStateThatTheHostHasLetGoOfIsReadAnew) {
     start(plain_settings(), {reader(1), writer(11), writer(12)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
     ASSERT_EQ(bench->all<Attempt>().size(), 1u);
-    const ServerId at = bench->all<Attempt>()[0].server;
+    const EndpointId at = bench->all<Attempt>()[0].endpoint;
     bench->feed(320, StateReleased{"a"});
     EXPECT_TRUE(bench->all<Attempt>().empty()) << "the write that is out goes on";
     bench->feed(330, outcome("a", 1, at, Result::unreachable));
     ASSERT_EQ(bench->all<Attempt>().size(), 1u);
-    EXPECT_EQ(bench->all<Attempt>()[0].server, r);
+    EXPECT_EQ(bench->all<Attempt>()[0].endpoint, r);
     EXPECT_EQ(bench->checker.breaches, std::vector<std::string>{});
     bench->feed(340, StateReleased{"unknown"});
     EXPECT_TRUE(bench->actions.empty());
@@ -575,7 +575,7 @@
 
 TEST_F(Guards, AWriteThatIsAnsweredAfterItsStateWasLetGoOfIsServed) {
     start(plain_settings(), {reader(1), writer(11)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, Result::read_done));
     bench->feed(320, StateReleased{"a"});
     bench->feed(400, FirstToken{"a", 1, 11, 380});
@@ -586,7 +586,7 @@
 
 TEST_F(Guards, AReadWhoseEndWasLostIsLetGo) {
     start(plain_settings(), {reader(1), reader(2), writer(11)});
-    const ServerId r = read_at("a", 10);
+    const EndpointId r = read_at("a", 10);
     bench->feed(400, outcome("a", 0, r, Result::reset));
     EXPECT_EQ(bench->all<DropState>().size(), 1u);
 }
@@ -618,7 +618,7 @@
     // A stream, then a wait at the same writer of well under half the aim.
     ASSERT_EQ(read_at("s", 1300), 1u);
     bench->feed(1301, outcome("s", 0, 1, Result::read_done));
-    const ServerId w = bench->all<Attempt>().at(0).server;
+    const EndpointId w = bench->all<Attempt>().at(0).endpoint;
     bench->feed(1302, FirstToken{"s", 1, w, 1});
     for (int i = 0; i < 3; ++i) {
         const RequestId id = "x" + std::to_string(i);
@@ -649,10 +649,10 @@
     for (int i = 0; i < 40; ++i, now += 150) {
         const std::string id = "s" + std::to_string(i);
         bench->run_to(now);
-        const ServerId at = read_at(id, now);
+        const EndpointId at = read_at(id, now);
         bench->run_to(now + 90);
         bench->feed(now + 90, outcome(id, 0, at, Result::read_done));
-        const ServerId w = bench->all<Attempt>().at(0).server;
+        const EndpointId w = bench->all<Attempt>().at(0).endpoint;
         bench->feed(now + 100, FirstToken{id, 1, w, 10});
         bench->feed(now + 140, outcome(id, 1, w, Result::served, true));
     }
--- a/tests/router/hung_endpoint_test.cpp
+++ b/tests/router/hung_endpoint_test.cpp
@@ -14,10 +14,10 @@
 // A host of one Router: carries its attempts out on servers that answer after fixed times, or never.
 class Host {
 public:
-    Host(const Settings& settings, const std::vector<ServerEntry>& servers) : bench_(settings) {
+    Host(const Settings& settings, const std::vector<Endpoint>& servers) : bench_(settings) {
         bench_.feed(0, list(servers));
     }
-    std::function<bool(ServerId, Millis now)> hangs;
+    std::function<bool(EndpointId, Millis now)> hangs;
 
     void run(Millis from, Millis until, Millis between) {
         for (Millis at = from; at < until; at += between) {
@@ -37,7 +37,7 @@
 private:
     struct Out {
         int attempt = -1;
-        ServerId server = 0;
+        EndpointId server = 0;
         bool over = true, streams = false;
     };
     static constexpr Millis kRead = 20, kFirstToken = 60, kStream = 300;
@@ -66,7 +66,7 @@
     }
     void start(Millis now, const Attempt& a) {
         Out& out = out_[a.request];
-        out = {out.attempt + 1, a.server, false, false};
+        out = {out.attempt + 1, a.endpoint, false, false};
         const int n = out.attempt;
         const auto still = [this, id = a.request, n] { return !out_[id].over && out_[id].attempt == n; };
         if (a.limit > 0) {
@@ -74,10 +74,10 @@
                 if (still() && !out_[id].streams) end(now_, id, Result::late);
             });
         }
-        if (hangs(a.server, now)) return;
-        const bool reads = a.server < kFirstWriter;
+        if (hangs(a.endpoint, now)) return;
+        const bool reads = a.endpoint < kFirstWriter;
         later(now + (reads ? kRead : kFirstToken),
-              [this, id = a.request, server = a.server, n, reads, still] {
+              [this, id = a.request, server = a.endpoint, n, reads, still] {
                   if (!still()) return;
                   if (reads) return end(now_, id, Result::read_done);
                   ++begun;
@@ -98,7 +98,7 @@
         });
     }
 
-    static constexpr ServerId kFirstWriter = 10;
+    static constexpr EndpointId kFirstWriter = 10;
     Bench bench_;
     Millis now_ = 0;
     std::multimap<Millis, std::function<void()>> events_;
@@ -114,12 +114,12 @@
         Settings settings = plain_settings();
         settings.gateways = gateways;
         settings.classes[0].latency_objective = 1500;
-        std::vector<ServerEntry> servers;
-        for (ServerId id = 1; id <= 6; ++id) servers.push_back(reader(id));
-        for (ServerId id = 11; id <= 18; ++id) servers.push_back(writer(id));
+        std::vector<Endpoint> servers;
+        for (EndpointId id = 1; id <= 6; ++id) servers.push_back(reader(id));
+        for (EndpointId id = 11; id <= 18; ++id) servers.push_back(writer(id));
         Host host(settings, servers);
         constexpr Millis kHangsFrom = 10000, kUntil = 30000, kBetween = 600;
-        host.hangs = [](ServerId id, Millis now) { return now >= kHangsFrom && (id <= 2 || id >= 15); };
+        host.hangs = [](EndpointId id, Millis now) { return now >= kHangsFrom && (id <= 2 || id >= 15); };
         host.run(10, kHangsFrom, kBetween);
         EXPECT_EQ(host.shed, 0);
         const int before = host.arrived;
--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -16,7 +16,7 @@
         c.event(2, outcome("a", 0, 1, Result::read_done));
     }
     // A request whose first attempt, at writer 11, may have run is sent again.
-    static std::size_t breaches_sending_again(const Settings& settings, ServerId second) {
+    static std::size_t breaches_sending_again(const Settings& settings, EndpointId second) {
         Checker d(settings);
         d.event(0, list({writer(11), writer(12, 1)}));
         d.event(1, arrival("a", 1));
@@ -71,18 +71,18 @@
 }
 
 TEST_F(Planted, SentToADrainedServer) {
-    ServerEntry d = reader(1);
-    d.mode = Mode::draining;
-    c.event(1, ListEvent{ListEvent::Form::changes, {d}});
+    Endpoint d = reader(1);
+    d.status = EndpointStatus::draining;
+    c.event(1, EndpointUpdate{EndpointUpdate::Kind::incremental, {d}});
     c.event(300, arrival("a", 300));
     c.action(300, Attempt{"a", 1, 0});
     EXPECT_EQ(c.breaches.size(), 1u);
 }
 
 TEST_F(Planted, ColdServerFlooded) {
-    ServerEntry cold = reader(2);
-    cold.started = 1;
-    c.event(2, ListEvent{ListEvent::Form::changes, {cold}});
+    Endpoint cold = reader(2);
+    cold.started_at = 1;
+    c.event(2, EndpointUpdate{EndpointUpdate::Kind::incremental, {cold}});
     // 2.5 x 0.3 x 42 a second x 2 s = 63 are allowed.
     for (int i = 0; i < 64; ++i) {
         EXPECT_EQ(c.breaches.size(), 0u);
@@ -125,25 +125,25 @@
     s.retry_after = dice(2);
     s.max_retry_after = 500;
     s.dial_timeout = 100;
-    s.discovery = dice(2) ? Discovery::ask : Discovery::push;
-    s.ask_within = 10000;
+    s.discovery = dice(2) ? Discovery::poll : Discovery::watch;
+    s.poll_interval = 10000;
     s.tenants = {{5}, {5}};
     for (auto& c : s.classes) {
         c.idempotency = static_cast<Idempotency>(dice(3));
         c.dedup_scope = static_cast<DedupScope>(dice(3));
         c.dedup_window = 200 + 1000 * dice(4);
     }
-    std::vector<ServerEntry> entries;
-    for (ServerId i = 0; i < 4; ++i) entries.push_back(reader(1 + i, dice(2)));
-    for (ServerId i = 0; i < 4; ++i) entries.push_back(writer(11 + i, dice(2)));
-    for (ServerId i = 0; i < static_cast<ServerId>(dice(3)); ++i) {
+    std::vector<Endpoint> entries;
+    for (EndpointId i = 0; i < 4; ++i) entries.push_back(reader(1 + i, dice(2)));
+    for (EndpointId i = 0; i < 4; ++i) entries.push_back(writer(11 + i, dice(2)));
+    for (EndpointId i = 0; i < static_cast<EndpointId>(dice(3)); ++i) {
         entries.push_back(writer(21 + i, dice(2)));
         entries.back().kind = 2;
     }
     struct Out {
         RequestId id;
         int attempt;
-        ServerId server;
+        EndpointId server;
         bool begun = false, reads = false;
         Millis sent = 0;
     };
@@ -157,10 +157,10 @@
     const auto take = [&](const std::vector<Action>& actions) {
         for (const auto& a : actions) {
             if (const auto* t = std::get_if<Attempt>(&a)) {
-                outs.push_back({t->request, attempts[t->request]++, t->server});
+                outs.push_back({t->request, attempts[t->request]++, t->endpoint});
                 outs.back().sent = now;
                 for (const auto& e : entries) {
-                    if (e.server == t->server) outs.back().reads = e.kind == 0;
+                    if (e.id == t->endpoint) outs.back().reads = e.kind == 0;
                 }
             } else if (const auto* r = std::get_if<Refuse>(&a)) {
                 ended[r->request] = true;
@@ -172,7 +172,7 @@
         }
     };
     const auto feed = [&](const Event& e) { take(bench->feed(now, e)); };
-    feed(ListEvent{ListEvent::Form::saved, entries});
+    feed(EndpointUpdate{EndpointUpdate::Kind::cached, entries});
     for (int step = 0; step < 1500; ++step) {
         now += dice(20);
         bench->run_to(now);
@@ -215,15 +215,15 @@
             const RequestId id = "r" + std::to_string(dice(next));
             if (!ended[id] && now < open[id].deadline) ended[id] = true, feed(ClientGone{id});
         } else if (what < 98) {
-            ListEvent e;
-            e.form = dice(3) ? ListEvent::Form::changes : ListEvent::Form::full;
-            if (dice(6) == 0) e.form = ListEvent::Form::failed;
+            EndpointUpdate e;
+            e.kind = dice(3) ? EndpointUpdate::Kind::incremental : EndpointUpdate::Kind::full;
+            if (dice(6) == 0) e.kind = EndpointUpdate::Kind::failed;
             for (auto& entry : entries) {
-                if (dice(5) == 0) entry.mode = static_cast<Mode>(dice(3));
-                if (dice(12) == 0) entry.mode = Mode::healthy, entry.started = now - dice(500);
-                if (e.form == ListEvent::Form::failed) continue;
-                if (e.form == ListEvent::Form::full && entry.mode == Mode::gone) continue;
-                e.entries.push_back(entry);
+                if (dice(5) == 0) entry.status = static_cast<EndpointStatus>(dice(3));
+                if (dice(12) == 0) entry.status = EndpointStatus::healthy, entry.started_at = now - dice(500);
+                if (e.kind == EndpointUpdate::Kind::failed) continue;
+                if (e.kind == EndpointUpdate::Kind::full && entry.status == EndpointStatus::removed) continue;
+                e.endpoints.push_back(entry);
             }
             feed(e);
         } else if (dice(10) == 0) {  // the gateway dies and comes back with its last list
@@ -231,7 +231,7 @@
             bench = std::make_unique<Bench>(s, seed + static_cast<std::uint64_t>(step));
             outs.clear(), attempts.clear(), ended.clear(), open.clear();
             next = 0;
-            feed(ListEvent{ListEvent::Form::saved, entries});
+            feed(EndpointUpdate{EndpointUpdate::Kind::cached, entries});
         }
     }
     // Everything out ends; whatever is still open meets its deadline.
