--- a/tests/router/large_fleet_test.cpp
+++ b/tests/router/large_fleet_test.cpp
@@ -17,7 +17,7 @@
 // so.
 class Fleet {
 public:
-    Fleet(int gateways, std::vector<ServerEntry> servers) : servers_(std::move(servers)) {
+    Fleet(int gateways, std::vector<Endpoint> servers) : servers_(std::move(servers)) {
         settings.gateways = gateways;
         for (int g = 0; g < gateways; ++g) restart(g, 0);
     }
@@ -26,9 +26,9 @@
         routers_[static_cast<std::size_t>(g)] = std::make_unique<Bench>(settings, ++seed_);
         routers_[static_cast<std::size_t>(g)]->feed(now, list(servers_));
     }
-    void add(const ServerEntry& e, Millis now) {
+    void add(const Endpoint& e, Millis now) {
         servers_.push_back(e);
-        for (auto& r : routers_) r->feed(now, ListEvent{ListEvent::Form::changes, {e}});
+        for (auto& r : routers_) r->feed(now, EndpointUpdate{EndpointUpdate::Kind::incremental, {e}});
     }
     // One request through gateway g; false if it got no answer.
     bool serve(int g, Millis now, std::uint64_t session, int cls = 0) {
@@ -41,7 +41,7 @@
         for (int attempt = 0;; ++attempt) {
             const auto sends = b.all<Attempt>();
             if (sends.size() != 1) return false;
-            const ServerId at = sends[0].server;
+            const EndpointId at = sends[0].endpoint;
             ++sent[at], sent_at[at].push_back(now);
             const bool reads = at < 100;
             if (fails && fails(at, cls)) {
@@ -64,21 +64,21 @@
     }
 
     Settings settings = plain_settings();
-    std::map<ServerId, int> sent;
-    std::map<ServerId, std::deque<Millis>> sent_at;
-    std::function<bool(ServerId, int)> fails;
+    std::map<EndpointId, int> sent;
+    std::map<EndpointId, std::deque<Millis>> sent_at;
+    std::function<bool(EndpointId, int)> fails;
 
 private:
-    std::vector<ServerEntry> servers_;
+    std::vector<Endpoint> servers_;
     std::vector<std::unique_ptr<Bench>> routers_;
     std::uint64_t seed_ = 0, serial_ = 0;
 };
 
-std::vector<ServerEntry> pairs(int n) {
-    std::vector<ServerEntry> servers;
+std::vector<Endpoint> pairs(int n) {
+    std::vector<Endpoint> servers;
     for (int i = 1; i <= n; ++i) {
-        servers.push_back(reader(static_cast<ServerId>(i)));
-        servers.push_back(writer(static_cast<ServerId>(100 + i)));
+        servers.push_back(reader(static_cast<EndpointId>(i)));
+        servers.push_back(writer(static_cast<EndpointId>(100 + i)));
     }
     return servers;
 }
@@ -106,8 +106,8 @@
     bool cold = false;
     for (Millis now = 10; now < end; now += 1 / per_ms) {
         if (now >= started && !cold) {
-            ServerEntry e = reader(50);
-            e.started = started;
+            Endpoint e = reader(50);
+            e.started_at = started;
             fleet.add(e, now);
             cold = true;
             for (int i = 0; GetParam().herd && i < gateways; ++i) {
@@ -155,8 +155,8 @@
     const auto& s = fleet.settings;
     const double capacity = size.per_second / 11.0 / 0.6;
     const Millis started = 8000, warm = started + s.warm_within;
-    ServerEntry cold = reader(50);
-    cold.started = started;
+    Endpoint cold = reader(50);
+    cold.started_at = started;
     bool listed = false;
     int next = 0, restarts = 0;
     for (Millis now = 10; now < warm; now += 1000 / size.per_second) {
@@ -213,14 +213,14 @@
     ASSERT_EQ(bench.all<Attempt>().size(), 1u);
     const Attempt read = bench.all<Attempt>()[0];
     EXPECT_GE(read.limit, 2 * s.classes[0].latency_objective);
-    bench.feed(30, outcome("a", 0, read.server, Result::read_done));
+    bench.feed(30, outcome("a", 0, read.endpoint, Result::read_done));
     ASSERT_EQ(bench.all<Attempt>().size(), 1u);
     EXPECT_LT(bench.all<Attempt>()[0].limit, s.classes[0].latency_objective)
         << "a wait is short work, and is moved soon";
     // Where servers report their load the next pick is an informed one, and a read is moved sooner.
-    Outcome heard = outcome("a", 1, bench.all<Attempt>()[0].server, Result::served, true);
+    Outcome heard = outcome("a", 1, bench.all<Attempt>()[0].endpoint, Result::served, true);
     heard.report.memory_share = 0.3;
-    bench.feed(40, FirstToken{"a", 1, heard.server, 1});
+    bench.feed(40, FirstToken{"a", 1, heard.endpoint, 1});
     bench.feed(50, heard);
     bench.feed(60, arrival("b", 60));
     ASSERT_EQ(bench.all<Attempt>().size(), 1u);
@@ -235,8 +235,8 @@
     int away = 0, first = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Bench bench(s, seed);
-        std::vector<ServerEntry> servers;
-        for (ServerId i = 1; i <= 6; ++i) {
+        std::vector<Endpoint> servers;
+        for (EndpointId i = 1; i <= 6; ++i) {
             servers.push_back(reader(i, i > 3));
             servers.push_back(writer(100 + i, i > 3));
         }
@@ -250,14 +250,14 @@
             bench.feed(now, a);
             const auto sends = bench.all<Attempt>();
             if (sends.size() != 1) continue;
-            const ServerId at = sends[0].server;
+            const EndpointId at = sends[0].endpoint;
             (i < 3 ? first : away) += i < 3 || i >= 20 ? at > 3 : 0;
             const Millis took = at > 3 ? 30 : 1.2 * s.classes[0].latency_objective;
             bench.run_to(now + took);
             bench.feed(now + took, outcome(id, 0, at, Result::read_done));
             for (const auto& w : bench.all<Attempt>()) {
-                bench.feed(now + took + 1, FirstToken{id, 1, w.server, 1});
-                bench.feed(now + took + 2, outcome(id, 1, w.server, Result::served, true));
+                bench.feed(now + took + 1, FirstToken{id, 1, w.endpoint, 1});
+                bench.feed(now + took + 2, outcome(id, 1, w.endpoint, Result::served, true));
             }
         }
     }
@@ -303,8 +303,8 @@
     Settings s = plain_settings();
     s.gateways = 100;
     const std::uint64_t hot = 7;
-    std::map<ServerId, int> hot_reads;
-    std::map<std::uint64_t, std::map<ServerId, int>> rare_reads;
+    std::map<EndpointId, int> hot_reads;
+    std::map<std::uint64_t, std::map<EndpointId, int>> rare_reads;
     int hot_sum = 0;
     for (std::uint64_t gateway = 1; gateway <= 30; ++gateway) {
         Bench bench(s, gateway);
@@ -320,11 +320,11 @@
             bench.feed(now, a);
             const auto sends = bench.all<Attempt>();
             ASSERT_EQ(sends.size(), 1u);
-            const ServerId at = sends[0].server;
+            const EndpointId at = sends[0].endpoint;
             if (i >= 40 && a.prefix == hot) ++hot_reads[at], ++hot_sum;
             if (a.prefix != hot) ++rare_reads[a.prefix][at];
             bench.feed(now + 20, outcome(id, 0, at, Result::read_done));
-            const ServerId writer = bench.all<Attempt>().at(0).server;
+            const EndpointId writer = bench.all<Attempt>().at(0).endpoint;
             bench.feed(now + 30, FirstToken{id, 1, writer, 5});
             bench.feed(now + 40, outcome(id, 1, writer, Result::served, true));
         }
@@ -344,7 +344,7 @@
 TEST(Many, ARequestLeavesTheServerThatFailedIt) {
     for (const int gateways : {2, 100}) {
         Fleet fleet(gateways, pairs(6));
-        fleet.fails = [](ServerId at, int) { return at == 3 || at == 103; };
+        fleet.fails = [](EndpointId at, int) { return at == 3 || at == 103; };
         for (int g = 0; g < gateways; ++g) {
             for (int i = 0; i < 4; ++i) {
                 const int before = fleet.sent[3], writes = fleet.sent[103];
@@ -361,7 +361,7 @@
 // pause.
 TEST(Many, AClassLeavesServersThatLeaveItUnanswered) {
     Fleet fleet(100, {reader(1), reader(2), reader(3), writer(101)});
-    fleet.fails = [](ServerId at, int cls) { return at == 1 && cls == 0; };
+    fleet.fails = [](EndpointId at, int cls) { return at == 1 && cls == 0; };
     std::uint64_t session = 0;
     // How many of the gateways' requests meet reader 1; `who` are those that do.
     const auto meet = [&](const std::vector<int>& gateways, Millis now, int cls) {
@@ -387,7 +387,7 @@
 TEST(Many, TheRetryCreditOfManyGatewaysIsSmall) {
     for (const auto& [gateways, most] : {std::pair{2, 20}, std::pair{200, 4}}) {
         Fleet fleet(gateways, pairs(8));
-        fleet.fails = [](ServerId, int) { return true; };
+        fleet.fails = [](EndpointId, int) { return true; };
         int sends = 0;
         for (int i = 0; i < 20; ++i) fleet.serve(0, 10, static_cast<std::uint64_t>(i + 1));
         for (const auto& [id, n] : fleet.sent) sends += n;
@@ -419,9 +419,9 @@
         ++session;
         fleet.serve(static_cast<int>(session % 100), now, session);
     }
-    for (ServerId id = 1; id <= 4; ++id) {
-        ServerEntry e = reader(id);
-        e.started = 4000;
+    for (EndpointId id = 1; id <= 4; ++id) {
+        Endpoint e = reader(id);
+        e.started_at = 4000;
         fleet.add(e, 4010);
     }
     fleet.sent.clear();
@@ -431,7 +431,7 @@
         served += fleet.serve(static_cast<int>(session % 100), now, session);
     }
     EXPECT_EQ(served, asked);
-    for (ServerId id = 1; id <= 4; ++id) {
+    for (EndpointId id = 1; id <= 4; ++id) {
         // 12.5 a second each before, at 60% of what they can do; two seconds.
         EXPECT_LE(fleet.sent[id], 2.5 * 0.3 * 12.5 / 0.6 * 2);
     }
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -13,7 +13,7 @@
     breaches.push_back(std::to_string(now) + ": " + what);
 }
 
-Role Checker::role(ServerId server) const {
+Role Checker::role(EndpointId server) const {
     return s_.kinds[static_cast<std::size_t>(servers_.at(server).entry.kind)].role;
 }
 
@@ -43,14 +43,14 @@
     } else if (const auto* released = std::get_if<StateReleased>(&event)) {
         const auto it = requests_.find(released->request);
         if (it != requests_.end()) it->second.state = it->second.place = false;
-    } else if (const auto* l = std::get_if<ListEvent>(&event)) {
-        if (l->form == ListEvent::Form::failed) return;
-        if (l->form != ListEvent::Form::changes) {
-            for (auto& [id, s] : servers_) s.entry.mode = Mode::gone;
+    } else if (const auto* l = std::get_if<EndpointUpdate>(&event)) {
+        if (l->kind == EndpointUpdate::Kind::failed) return;
+        if (l->kind != EndpointUpdate::Kind::incremental) {
+            for (auto& [id, s] : servers_) s.entry.status = EndpointStatus::removed;
         }
-        for (const auto& entry : l->entries) servers_[entry.server].entry = entry;
+        for (const auto& entry : l->endpoints) servers_[entry.id].entry = entry;
         for (auto& [id, s] : servers_) {
-            if (s.entry.mode == Mode::healthy) {
+            if (s.entry.status == EndpointStatus::healthy) {
                 s.told_gone = -1;
             } else if (s.told_gone < 0) {
                 s.told_gone = now;
@@ -59,12 +59,12 @@
     }
 }
 
-void Checker::send(Millis now, ServerId server) {
+void Checker::send(Millis now, EndpointId server) {
     if (!servers_.count(server)) return breach(now, "unknown server");
     Server& s = servers_[server];
     if (s.told_gone >= 0 && now > s.told_gone + s_.drain_grace)
         breach(now, "drain: sent to a server that is gone");
-    if (s_.warm_within > 0 && s.entry.started > 0 && now - s.entry.started < s_.warm_within) {
+    if (s_.warm_within > 0 && s.entry.started_at > 0 && now - s.entry.started_at < s_.warm_within) {
         s.sends.push_back(now);
         while (s.sends.front() <= now - s_.fall_window) s.sends.pop_front();
     }
@@ -76,16 +76,16 @@
         if (it == requests_.end()) return breach(now, "lost: attempt for an unknown request");
         Request& r = it->second;
         if (r.ended) breach(now, "lost: attempt after the end");
-        send(now, a->server);
-        if (!servers_.count(a->server)) return;
+        send(now, a->endpoint);
+        if (!servers_.count(a->endpoint)) return;
         if (out(r) > 0 && !s_.second_copies) breach(now, "twice: two attempts out");
         const ClassSettings& c = s_.classes[static_cast<std::size_t>(r.a.cls)];
-        const ServerEntry& to = servers_.at(a->server).entry;
+        const Endpoint& to = servers_.at(a->endpoint).entry;
         for (const Try& t : r.tries) {
             if (t.proven_not_run) continue;
             if (c.idempotency == Idempotency::unsafe) breach(now, "twice: a once request sent again");
             if (c.idempotency != Idempotency::with_key) continue;
-            const ServerEntry& ran = servers_.at(t.server).entry;
+            const Endpoint& ran = servers_.at(t.server).entry;
             if (now - t.sent > c.dedup_window) breach(now, "twice: sent again after the window");
             if (c.dedup_scope == DedupScope::zone && ran.zone != to.zone)
                 breach(now, "twice: sent to another zone");
@@ -93,17 +93,17 @@
                 breach(now, "twice: sent to another cell");
         }
         Try t;
-        t.server = a->server, t.sent = now, t.reader = role(a->server) == Role::read;
+        t.server = a->endpoint, t.sent = now, t.reader = role(a->endpoint) == Role::read;
         r.tries.push_back(t);
         const double budget = s_.fall_multiple * s_.start_capacity * capacity_per_s * s_.fall_window / 1000;
-        if (static_cast<double>(servers_.at(a->server).sends.size()) > budget)
+        if (static_cast<double>(servers_.at(a->endpoint).sends.size()) > budget)
             breach(now, "cold: pushed over");
     } else if (const auto* h = std::get_if<HoldPlace>(&action)) {
         Request& r = requests_.at(h->request);
         if (!s_.hold_ahead) breach(now, "place held where that is forbidden");
         r.place = true;
         r.pinned_since = now;
-        send(now, h->server);
+        send(now, h->endpoint);
     } else if (const auto* d = std::get_if<DropState>(&action)) {
         if (const auto it = requests_.find(d->request); it != requests_.end()) {
             it->second.state = it->second.place = false;
@@ -197,16 +197,16 @@
     return s;
 }
 
-ListEvent list(const std::vector<ServerEntry>& entries) { return {ListEvent::Form::full, entries}; }
+EndpointUpdate list(const std::vector<Endpoint>& entries) { return {EndpointUpdate::Kind::full, entries}; }
 
-ServerEntry reader(ServerId id, int zone) {
-    ServerEntry e;
-    e.server = id, e.zone = zone, e.kind = 0, e.cell = static_cast<std::uint64_t>(zone);
+Endpoint reader(EndpointId id, int zone) {
+    Endpoint e;
+    e.id = id, e.zone = zone, e.kind = 0, e.cell = static_cast<std::uint64_t>(zone);
     return e;
 }
 
-ServerEntry writer(ServerId id, int zone) {
-    ServerEntry e = reader(id, zone);
+Endpoint writer(EndpointId id, int zone) {
+    Endpoint e = reader(id, zone);
     e.kind = 1;
     return e;
 }
@@ -220,9 +220,9 @@
     return a;
 }
 
-Outcome outcome(const RequestId& id, int attempt, ServerId server, Result result, bool closed) {
+Outcome outcome(const RequestId& id, int attempt, EndpointId server, Result result, bool closed) {
     Outcome o;
-    o.request = id, o.attempt = attempt, o.server = server, o.result = result, o.closed = closed;
+    o.request = id, o.attempt = attempt, o.endpoint = server, o.result = result, o.closed = closed;
     return o;
 }
 
--- a/tests/router/router_harness.h
+++ b/tests/router/router_harness.h
@@ -24,7 +24,7 @@
 
 private:
     struct Try {
-        ServerId server = 0;
+        EndpointId server = 0;
         Millis sent = 0;
         bool out = true, proven_not_run = false, reader = false;
     };
@@ -35,19 +35,19 @@
         std::vector<Try> tries;
     };
     struct Server {
-        ServerEntry entry;
+        Endpoint entry;
         Millis told_gone = -1;
         std::deque<Millis> sends;
     };
     int out(const Request& r) const;
     void breach(Millis now, const std::string& what);
-    void send(Millis now, ServerId server);
+    void send(Millis now, EndpointId server);
     void end(Millis now, const RequestId& id, bool refusal);
-    Role role(ServerId server) const;
+    Role role(EndpointId server) const;
 
     Settings s_;
     std::map<RequestId, Request> requests_;
-    std::map<ServerId, Server> servers_;
+    std::map<EndpointId, Server> servers_;
 };
 
 // A Router under the checker, with the actions of the latest event at hand.
@@ -77,10 +77,10 @@
 
 // Two readers (1, 2), two writers (11, 12), two zones and cells; every class repeatable.
 Settings plain_settings();
-ListEvent list(const std::vector<ServerEntry>& entries);
-ServerEntry reader(ServerId id, int zone = 0);
-ServerEntry writer(ServerId id, int zone = 0);
+EndpointUpdate list(const std::vector<Endpoint>& entries);
+Endpoint reader(EndpointId id, int zone = 0);
+Endpoint writer(EndpointId id, int zone = 0);
 Arrival arrival(const RequestId& id, Millis now, double prompt = 1000);
-Outcome outcome(const RequestId& id, int attempt, ServerId server, Result result, bool closed = false);
+Outcome outcome(const RequestId& id, int attempt, EndpointId server, Result result, bool closed = false);
 
 }  // namespace gorsenotch::test
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -10,19 +10,19 @@
 
 class Logic : public ::testing::Test {
 protected:
-    void start(const std::vector<ServerEntry>& servers) { bench.feed(0, list(servers)); }
+    void start(const std::vector<Endpoint>& servers) { bench.feed(0, list(servers)); }
     // The server that the one attempt among the latest actions goes to, or 0.
-    ServerId sent() const {
+    EndpointId sent() const {
         const auto attempts = bench.all<Attempt>();
-        return attempts.size() == 1 ? attempts[0].server : 0;
+        return attempts.size() == 1 ? attempts[0].endpoint : 0;
     }
-    ServerId arrive(const RequestId& id, Millis now, double prompt = 1000, std::uint64_t session = 0) {
+    EndpointId arrive(const RequestId& id, Millis now, double prompt = 1000, std::uint64_t session = 0) {
         Arrival a = arrival(id, now, prompt);
         a.session = session;
         bench.feed(now, a);
         return sent();
     }
-    ServerId read_done(const RequestId& id, Millis now, ServerId at) {
+    EndpointId read_done(const RequestId& id, Millis now, EndpointId at) {
         bench.feed(now, outcome(id, 0, at, Result::read_done));
         return sent();
     }
@@ -33,7 +33,7 @@
 TEST_F(Logic, ReadsGoToTheLeastMemoryHeld) {
     start({reader(1), reader(2), writer(11), writer(12), writer(13), writer(14)});
     // One after the other without any ending: held memory evens out within the margin of two prompts.
-    std::map<ServerId, int> n;
+    std::map<EndpointId, int> n;
     for (int i = 0; i < 10; ++i) ++n[arrive("r" + std::to_string(i), 13 + i, 1000)];
     EXPECT_EQ(n[1] + n[2], 10);
     EXPECT_LE(std::abs(n[1] - n[2]), 2);
@@ -42,7 +42,7 @@
 TEST_F(Logic, ReportedMemoryDecides) {
     start({reader(1), reader(2), writer(11)});
     // Reader 1 tells 50,000 of 100,000 tokens held, reader 2 tells 10,000; two prompts are the margin.
-    for (const ServerId id : {1u, 2u}) {
+    for (const EndpointId id : {1u, 2u}) {
         Outcome o = outcome("gone", 0, id, Result::read_done);
         o.report.memory_share = id == 1 ? 0.5 : 0.1;
         bench.actions.clear();
@@ -53,7 +53,7 @@
 
 TEST_F(Logic, AnUnheardReaderCountsAsAverage) {
     start({reader(1), reader(2), reader(3), writer(11)});
-    for (const ServerId id : {1u, 2u}) {
+    for (const EndpointId id : {1u, 2u}) {
         Outcome o = outcome("gone", 0, id, Result::read_done);
         o.report.memory_share = id == 1 ? 0.9 : 0.1;
         bench.actions.clear();
@@ -69,13 +69,13 @@
 
 TEST_F(Logic, ASessionComesBackToItsHome) {
     start({reader(1), reader(2), reader(3), reader(4), writer(11)});
-    std::set<ServerId> homes;
+    std::set<EndpointId> homes;
     for (std::uint64_t session = 1; session <= 8; ++session) {
-        ServerId first = 0;
+        EndpointId first = 0;
         for (int turn = 0; turn < 3; ++turn) {
             const RequestId id = "s" + std::to_string(session) + "." + std::to_string(turn);
             const Millis now = 100.0 * static_cast<double>(session) + 20 * turn;
-            const ServerId at = arrive(id, now, 1000, session);
+            const EndpointId at = arrive(id, now, 1000, session);
             if (!turn) first = at;
             EXPECT_EQ(at, first);
             read_done(id, now + 5, at);
@@ -88,7 +88,7 @@
 
 TEST_F(Logic, SessionsThatShareABeginningShareItsHome) {
     start({reader(1), reader(2), reader(3), reader(4), writer(11)});
-    std::set<ServerId> homes;
+    std::set<EndpointId> homes;
     for (std::uint64_t session = 1; session <= 4; ++session) {
         Arrival a = arrival("s" + std::to_string(session), 10, 1000);
         a.session = session, a.prefix = 77, a.prefix_tokens = 900;
@@ -100,7 +100,7 @@
 
 TEST_F(Logic, AnOwnZoneWithFewReadersSpillsOver) {
     start({reader(1, 0), reader(2, 1), reader(3, 1), writer(11), writer(12), writer(13), writer(14)});
-    std::map<ServerId, int> n;
+    std::map<EndpointId, int> n;
     for (int i = 0; i < 12; ++i) ++n[arrive("r" + std::to_string(i), 10)];
     EXPECT_GE(n[1], 3);  // own zone up to two prompts above the least
     EXPECT_LE(n[1], 7);
@@ -109,7 +109,7 @@
 
 TEST_F(Logic, TheWriterIsChosenAfterTheReadByFewestQueued) {
     start({reader(1), writer(11), writer(12)});
-    std::map<ServerId, int> queued;
+    std::map<EndpointId, int> queued;
     for (int i = 0; i < 8; ++i) {
         const RequestId id = "r" + std::to_string(i);
         arrive(id, 10 + i, 100);
@@ -132,7 +132,7 @@
 TEST_F(Logic, TiesInACellGoToFewestStreams) {
     start({reader(1), writer(11), writer(12)});
     arrive("a", 10);
-    const ServerId first = read_done("a", 20, 1);
+    const EndpointId first = read_done("a", 20, 1);
     bench.feed(25, FirstToken{"a", 1, first, 5});
     arrive("b", 30);
     EXPECT_EQ(read_done("b", 40, 1), first == 11 ? 12u : 11u);
@@ -157,14 +157,14 @@
 }
 
 TEST_F(Logic, AMixedServerReadsWhenThereIsNoPlainReader) {
-    ServerEntry mixed = writer(21);
+    Endpoint mixed = writer(21);
     mixed.kind = 2;
     start({mixed});
     EXPECT_EQ(arrive("a", 10), 21u);
 }
 
 TEST_F(Logic, AMixedServerWithRoomWritesWhenTheWriterLacksIt) {
-    ServerEntry mixed = writer(21, 1);
+    Endpoint mixed = writer(21, 1);
     mixed.kind = 2;
     start({reader(1), writer(11), mixed});
     Outcome full = outcome("gone", 0, 11, Result::served);
@@ -182,7 +182,7 @@
         ASSERT_EQ(read_done(id, 20, 1), 11u);
         bench.feed(25, FirstToken{id, 1, 11, 5});
     }
-    for (const ServerId id : {11u, 12u}) {
+    for (const EndpointId id : {11u, 12u}) {
         Outcome full = outcome("gone", 0, id, Result::served);
         full.report.memory_share = 0.97;
         bench.actions.clear();
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -112,13 +112,13 @@
     std::vector<FileFault> faults;
     const auto p = parse(kGood, "f.xml", faults);
     auto engines = p->engines;
-    engines[1].entry.mode = Mode::draining, engines[2].entry.mode = Mode::gone,
-    engines[2].entry.started = 1.7e12;
+    engines[1].endpoint.status = EndpointStatus::draining,
+    engines[2].endpoint.status = EndpointStatus::removed, engines[2].endpoint.started_at = 1.7e12;
     const auto back = parse_fleet(write_fleet(engines, *p), *p, faults);
     ASSERT_TRUE(back) << render("", faults);
     EXPECT_EQ(back->size(), engines.size());
-    EXPECT_EQ((*back)[1].entry.mode, Mode::draining);
-    EXPECT_EQ((*back)[2].entry.started, 1.7e12);
+    EXPECT_EQ((*back)[1].endpoint.status, EndpointStatus::draining);
+    EXPECT_EQ((*back)[2].endpoint.started_at, 1.7e12);
     EXPECT_EQ((*back)[2].address, engines[2].address);
     const std::string whole = write_fleet(engines, *p);
     for (std::size_t n = 0; n + 2 < whole.size(); n += 7) {  // a file that is being written
--- a/tests/state/state_test.cpp
+++ b/tests/state/state_test.cpp
@@ -98,8 +98,8 @@
         router.handle(now, e, actions);
         for (const auto& a : actions) w.action(a);
     };
-    ListEvent list;
-    for (ServerId id : {1u, 2u, 11u, 12u}) list.entries.push_back({.server = id, .kind = id > 10});
+    EndpointUpdate list;
+    for (EndpointId id : {1u, 2u, 11u, 12u}) list.endpoints.push_back({.id = id, .kind = id > 10});
     feed(1.25, list);
     for (int i = 0; i < 20; ++i) {
         Arrival a;
@@ -107,7 +107,7 @@
         a.session = 0xFFFFFFFFFFFFFFF0ULL + static_cast<unsigned>(i);
         feed(2 + i / 3.0, a);
         Outcome o;
-        o.request = a.request, o.server = 1, o.result = i % 3 ? Result::read_done : Result::reset;
+        o.request = a.request, o.endpoint = 1, o.result = i % 3 ? Result::read_done : Result::reset;
         o.report.memory_share = 0.1 * i;
         feed(10 + i / 7.0, o);
     }
--- a/tests/state/stored_data_test.cpp
+++ b/tests/state/stored_data_test.cpp
@@ -72,7 +72,7 @@
     ASSERT_EQ(first.size(), 10U);
     ASSERT_EQ(second.size(), 10U);
     for (std::size_t i = 0; i < newest.size(); ++i) {
-        EXPECT_EQ(newest[i].entry.server, i + 1);
+        EXPECT_EQ(newest[i].endpoint.id, i + 1);
         EXPECT_EQ(first[i].address, newest[i].address);
         EXPECT_EQ(second[i].address, newest[i].address);
     }
