--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -83,20 +83,20 @@
         for (const auto& action : actions) {
             if (const auto* timer = std::get_if<SetTimer>(&action))
                 events.emplace(timer->at, Due{timer->label});
-            const auto* attempt = std::get_if<Attempt>(&action);
+            const auto* attempt = std::get_if<StartAttempt>(&action);
             if (!attempt) continue;
             played.decisions =
                 (played.decisions ^ attempt->endpoint) * 0x100000001B3ULL + attempt->request.size();
-            Outcome o;
+            AttemptEnded o;
             o.request = attempt->request, o.attempt = attempts[attempt->request]++,
             o.endpoint = attempt->endpoint;
             if (o.attempt == 0) {
-                o.result = Result::read_done, o.took = kReadTime;
+                o.result = AttemptResult::prefill_done, o.took = kReadTime;
                 events.emplace(now + kReadTime, o);
             } else {
                 events.emplace(now + kFirstTokenTime,
                                FirstToken{o.request, o.attempt, o.endpoint, kFirstTokenTime});
-                o.result = Result::served, o.closed = true;
+                o.result = AttemptResult::served, o.request_closed = true;
                 events.emplace(now + kStreamTime, o);
             }
         }
--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -108,21 +108,32 @@
     bool resumed = false;       // came again after its stream broke
 };
 
-enum class Result { served, error, full, late, unreachable, reset, cancelled, not_sent, read_done };
+enum class AttemptResult {
+    served,
+    error,
+    rejected,
+    timed_out,
+    unreachable,
+    reset,
+    cancelled,
+    not_sent,
+    prefill_done
+};
 
 // It proves that the attempt never ran: it was turned away, or not one whole request reached the server.
-constexpr bool never_ran(Result result) {
-    return result == Result::full || result == Result::unreachable || result == Result::not_sent;
+constexpr bool never_ran(AttemptResult result) {
+    return result == AttemptResult::rejected || result == AttemptResult::unreachable ||
+           result == AttemptResult::not_sent;
 }
 
-struct Outcome {  // how an attempt ended; exactly one for each attempt
+struct AttemptEnded {  // how an attempt ended; exactly one for each attempt
     RequestId request;
     int attempt = 0;
     EndpointId endpoint = 0;
-    Result result = Result::served;
+    AttemptResult result = AttemptResult::served;
     Millis took = 0;
-    bool closed = false;  // nothing more is owed for the request
-    double note = 0;      // read_done: prompt tokens found kept; full: 1 if there was no state to fetch
+    bool request_closed = false;  // nothing more is owed for the request
+    double detail = 0;  // prefill_done: prompt tokens found kept; full: 1 if there was no state to fetch
     LoadReport report;
 };
 
@@ -182,15 +193,15 @@
 
 struct Shutdown {};  // the host is about to end: every request without an answer gets its final one at once
 
-using Event = std::variant<Arrival, Outcome, FirstToken, PlaceNote, ClientGone, EndpointUpdate, ProbeResult,
-                           Due, StateReleased, Shutdown>;
+using Event = std::variant<Arrival, AttemptEnded, FirstToken, PlaceNote, ClientGone, EndpointUpdate,
+                           ProbeResult, Due, StateReleased, Shutdown>;
 
 // ---- actions --------------------------------------------------------------------------------------------
 
-struct Attempt {  // send the request; attempts of a request count from 0
+struct StartAttempt {  // send the request; attempts of a request count from 0
     RequestId request;
     EndpointId endpoint = 0;
-    Millis limit = 0;    // time-out of this attempt; 0: until the client leaves
+    Millis timeout = 0;  // time-out of this attempt; 0: until the client leaves
     Millis send_by = 0;  // clock time after which no byte of it may go out (its Outcome: not_sent); 0: none
 };
 struct StopAttempt {
@@ -206,21 +217,21 @@
 };
 // Why a request got its final answer unserved. Told for logs alone; it changes nothing that is done.
 enum class EndCause {
-    deadline,       // its time is over
-    load,           // shed, as the wait foreseen is too long for its worth
-    no_writer,      // on arrival: every writer is down
-    attempts_used,  // as many as the settings allow
-    may_have_run,   // and its class may not be repeated
-    retry_budget,   // this gateway's retries are used up
-    no_server,      // none may get it now: down, full, cold, or outside the group or window of its repeats
-    late_write,     // read, but the aim is out of reach and others wait for the writer
+    deadline,            // its time is over
+    shed_load,           // shed, as the wait foreseen is too long for its worth
+    no_decode_endpoint,  // on arrival: every writer is down
+    attempts_exhausted,  // as many as the settings allow
+    may_have_run,        // and its class may not be repeated
+    retry_budget,        // this gateway's retries are used up
+    no_endpoint,      // none may get it now: down, full, cold, or outside the group or window of its repeats
+    decode_too_late,  // read, but the aim is out of reach and others wait for the writer
     shutdown,
 };
 constexpr std::size_t kEndCauses = 9;
 
-struct Refuse {  // final: did not run, may come again
+struct Reject {  // final: did not run, may come again
     RequestId request;
-    Millis pause = 0;  // advice when to come again; 0: none
+    Millis retry_after = 0;  // advice when to come again; 0: none
     EndCause cause = EndCause::deadline;
 };
 struct Fail {  // final: may have run
@@ -243,7 +254,7 @@
     std::string text;
 };
 
-using Action = std::variant<Attempt, StopAttempt, HoldPlace, DropState, Refuse, Fail, MoveStream, Probe,
+using Action = std::variant<StartAttempt, StopAttempt, HoldPlace, DropState, Reject, Fail, MoveStream, Probe,
                             SetTimer, WatchEndpoints, PollEndpoints, Log>;
 
 class Router {
--- a/src/control/stall_detector.cpp
+++ b/src/control/stall_detector.cpp
@@ -33,9 +33,9 @@
     looked_ = looked_ > 1e299 ? at : std::max(looked_, at);
 }
 
-Millis AttemptTime::due() const {
-    if (limit <= 0) return end;
-    return std::min(end, sent + limit + std::max(0.0, stood_handed - stood_sent));
+Millis AttemptClock::due() const {
+    if (timeout <= 0) return request_deadline;
+    return std::min(request_deadline, sent_at + timeout + std::max(0.0, stalled_at_write - stalled_at_send));
 }
 
 }  // namespace gorsenotch::control
--- a/src/control/stall_detector.h
+++ b/src/control/stall_detector.h
@@ -44,14 +44,17 @@
 
 // When an attempt's time is up. `sent`: when it was begun, with stood() then; `handed`: stood() when its
 // bytes were handed over, or now if they are not yet.
-struct AttemptTime {
-    Millis sent = 0, limit = 0, end = 0;  // `end`: the request's own deadline, which nothing moves
-    Millis stood_sent = 0, stood_handed = 0;
-    bool handed = false;  // stood_handed is final
+struct AttemptClock {
+    Millis sent_at = 0, timeout = 0,
+           request_deadline = 0;  // `end`: the request's own deadline, which nothing moves
+    Millis stalled_at_send = 0, stalled_at_write = 0;
+    bool written = false;  // stalled_at_write is final
     // Own standstills between the two do not count against the engine.
     Millis due() const;
     // Whether the engine had all the time it was given; if not, its end is this process's doing.
-    bool engines_fault() const { return due() < end || stood_handed - stood_sent <= 0; }
+    bool endpoint_at_fault() const {
+        return due() < request_deadline || stalled_at_write - stalled_at_send <= 0;
+    }
 };
 
 }  // namespace gorsenotch::control
--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -30,9 +30,9 @@
 };
 
 struct Verdict {  // what a whole answer, or its head, means
-    Result result = Result::error;
+    AttemptResult result = AttemptResult::error;
     double note = 0;         // as Outcome::note
-    std::string parameters;  // read_done: to hand to the write, as the engine gave them
+    std::string parameters;  // prefill_done: to hand to the write, as the engine gave them
     std::string why;         // for the log where result is not good
 };
 
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -68,8 +68,9 @@
     Verdict v;
     v.why = "status " + std::to_string(status) + ": " + error_text(json);
     // Only what states that nothing ran counts as not run: 429 at admission, and a state that is gone.
-    if (status == 429) v.result = Result::full;
-    if (status == 424 && error_type(json) == "kv_transfer_error") v.result = Result::full, v.note = 1;
+    if (status == 429) v.result = AttemptResult::rejected;
+    if (status == 424 && error_type(json) == "kv_transfer_error")
+        v.result = AttemptResult::rejected, v.note = 1;
     return v;
 }
 
@@ -221,7 +222,7 @@
             v.why = "the read's answer has no transfer parameters";
             return v;
         }
-        v.result = Result::read_done;
+        v.result = AttemptResult::prefill_done;
         v.parameters = params->dump();
         if (const auto u = json.find("usage"); u != json.end() && u->is_object())
             v.note = static_cast<double>(usage_of(*u).cached);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -62,11 +62,12 @@
     return static_cast<Millis>(duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count());
 }
 
-void Gateway::start(const std::string& address, engine::Wanted wanted, std::shared_ptr<Exchange> exchange) {
+void Gateway::start(const std::string& address, engine::Wanted wanted,
+                    std::shared_ptr<UpstreamExchange> exchange) {
     upstream_->start(address, proxy::Upstream::render(address, wanted, true), std::move(exchange));
 }
-void Gateway::pause(const Exchange& exchange, bool on) { upstream_->pause(exchange, on); }
-void Gateway::close(const Exchange& exchange) { upstream_->close(exchange); }
+void Gateway::pause(const UpstreamExchange& exchange, bool on) { upstream_->pause(exchange, on); }
+void Gateway::close(const UpstreamExchange& exchange) { upstream_->close(exchange); }
 void Gateway::send_aside(const std::string& address, engine::Wanted wanted, Millis limit) {
     upstream_->send_aside(address, std::move(wanted), limit);
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -34,9 +34,9 @@
     Millis now() override;
     Millis wall_ms() override;
     void start(const std::string& address, engine::Wanted wanted,
-               std::shared_ptr<Exchange> exchange) override;
-    void pause(const Exchange& exchange, bool on) override;
-    void close(const Exchange& exchange) override;
+               std::shared_ptr<UpstreamExchange> exchange) override;
+    void pause(const UpstreamExchange& exchange, bool on) override;
+    void close(const UpstreamExchange& exchange) override;
     void send_aside(const std::string& address, engine::Wanted wanted, Millis limit) override;
     void log(const char* level, const char* event, api::Json fields) override;
     void stood_still(Millis for_ms) override;
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -8,25 +8,25 @@
 namespace gorsenotch::gateway {
 namespace {
 
-const char* word(Result r) {
+const char* word(AttemptResult r) {
     switch (r) {
-        case Result::served:
+        case AttemptResult::served:
             return "served";
-        case Result::error:
+        case AttemptResult::error:
             return "error";
-        case Result::full:
+        case AttemptResult::rejected:
             return "full";
-        case Result::late:
+        case AttemptResult::timed_out:
             return "late";
-        case Result::unreachable:
+        case AttemptResult::unreachable:
             return "unreachable";
-        case Result::reset:
+        case AttemptResult::reset:
             return "reset";
-        case Result::cancelled:
+        case AttemptResult::cancelled:
             return "cancelled";
-        case Result::not_sent:
+        case AttemptResult::not_sent:
             return "not_sent";
-        case Result::read_done:
+        case AttemptResult::prefill_done:
             return "read_done";
     }
     return "unknown";
@@ -68,9 +68,9 @@
     return it == requests_.end() ? nullptr : &it->second;
 }
 
-Core::Try* Core::find_try(Request* r, int attempt) {
-    if (!r || attempt < 0 || static_cast<std::size_t>(attempt) >= r->tries.size()) return nullptr;
-    return &r->tries[static_cast<std::size_t>(attempt)];
+Core::AttemptState* Core::find_attempt(Request* r, int attempt) {
+    if (!r || attempt < 0 || static_cast<std::size_t>(attempt) >= r->attempts.size()) return nullptr;
+    return &r->attempts[static_cast<std::size_t>(attempt)];
 }
 
 // ---- what comes in --------------------------------------------------------------------------------------
@@ -128,8 +128,8 @@
     feed(ClientGone{id});
     r = find(id);
     if (!r) return;
-    for (auto& t : r->tries) {  // a stream that nobody reads ends
-        if (t.out && t.first) return end_exchange(t, &Exchange::cancelled);
+    for (auto& t : r->attempts) {  // a stream that nobody reads ends
+        if (t.out && t.first) return end_exchange(t, &UpstreamExchange::cancelled);
     }
 }
 
@@ -137,7 +137,7 @@
     Request* r = find(id);
     if (!r || r->congested == congested) return;
     r->congested = congested;
-    for (auto& t : r->tries) {
+    for (auto& t : r->attempts) {
         if (!t.out || !t.first) continue;
         t.heard = ports_.now();
         ports_.pause(*t.exchange, congested);
@@ -150,7 +150,8 @@
     for (std::size_t i = 0; i < done_.size(); ++i) {
         Request* r = find(done_[i]);
         if (!r || !r->closed) continue;
-        if (std::any_of(r->tries.begin(), r->tries.end(), [](const Try& t) { return t.out; })) continue;
+        if (std::any_of(r->attempts.begin(), r->attempts.end(), [](const AttemptState& t) { return t.out; }))
+            continue;
         drop(*r, true);
         report(*r);
         driver_.drop(*r);
@@ -160,12 +161,13 @@
 }
 
 void Core::carry(const Action& action) {
-    std::visit(Overloaded{[&](const Attempt& a) { start(a); }, [&](const StopAttempt& a) { stop(a); },
+    std::visit(Overloaded{[&](const StartAttempt& a) { start(a); }, [&](const StopAttempt& a) { stop(a); },
                           [&](const DropState& a) {
                               if (Request* r = find(a.request)) drop(*r, false);
                           },
-                          [&](const Refuse& a) {
-                              if (Request* r = find(a.request)) refuse(*r, 529, kOverloaded, a.pause, true);
+                          [&](const Reject& a) {
+                              if (Request* r = find(a.request))
+                                  refuse(*r, 529, kOverloaded, a.retry_after, true);
                           },
                           [&](const Fail& a) {
                               if (Request* r = find(a.request)) refuse(*r, 500, kFailed, -1, false);
@@ -179,24 +181,24 @@
                action);
 }
 
-void Core::start(const Attempt& a) {
+void Core::start(const StartAttempt& a) {
     Request* r = find(a.request);
     if (!r) return;
-    const int n = static_cast<int>(r->tries.size());
+    const int n = static_cast<int>(r->attempts.size());
     const Millis now = ports_.now();
-    Try t;
+    AttemptState t;
     t.endpoint = a.endpoint;
     t.id = a.request + "." + std::to_string(n);
     t.sent = t.heard = now;
-    t.time = driver_.begin(a.limit, r->deadline);
+    t.time = driver_.begin(a.timeout, r->deadline);
     const auto it = endpoints_.find(a.endpoint);
     // Guards against a send to a server that the latest list no longer holds; nothing was sent then.
     if (it == endpoints_.end() || it->second.endpoint.status == EndpointStatus::removed || r->closed) {
         t.out = false;
-        r->tries.push_back(std::move(t));
-        Outcome o;
-        o.request = a.request, o.attempt = n, o.endpoint = a.endpoint, o.result = Result::not_sent;
-        o.closed = r->closed;
+        r->attempts.push_back(std::move(t));
+        AttemptEnded o;
+        o.request = a.request, o.attempt = n, o.endpoint = a.endpoint, o.result = AttemptResult::not_sent;
+        o.request_closed = r->closed;
         return feed(o);
     }
     const Role role = p_.module.kinds[static_cast<std::size_t>(it->second.endpoint.kind)].role;
@@ -204,14 +206,15 @@
     t.address = it->second.address;
     const engine::AttemptInfo info{t.id, r->r.key, p_.classes[static_cast<std::size_t>(r->r.cls)],
                                    r->deadline - now};
-    auto wanted = t.read
-                      ? dialect_->read(r->r.chat, info)
-                      : dialect_->write(r->r.chat, info, r->state_try >= 0 ? r->parameters : std::string());
-    t.exchange = std::make_shared<Exchange>(*dialect_, t.read, p_.limits.event_bytes, std::size_t{262144});
+    auto wanted =
+        t.read ? dialect_->read(r->r.chat, info)
+               : dialect_->write(r->r.chat, info, r->state_attempt >= 0 ? r->parameters : std::string());
+    t.exchange =
+        std::make_shared<UpstreamExchange>(*dialect_, t.read, p_.limits.event_bytes, std::size_t{262144});
     const std::string id = a.request;
     t.exchange->on_sent = [this, id, n] {
         Request* own = find(id);
-        Try* sent = find_try(own, n);
+        AttemptState* sent = find_attempt(own, n);
         if (!sent) return;
         driver_.handed(sent->time);
         sent->handed = true;
@@ -220,43 +223,43 @@
     };
     t.exchange->on_first = [this, id, n] { first(id, n); };
     t.exchange->on_text = [this, id, n](std::string_view piece) { text(id, n, piece); };
-    t.exchange->on_over = [this, id, n](Ending e) { over(id, n, std::move(e)); };
+    t.exchange->on_over = [this, id, n](AttemptOutcome e) { over(id, n, std::move(e)); };
     if (t.read) r->states.push_back(n);
     r->held.attempt_begun(now, a.endpoint, !t.read);
     watch_held(*r);
     alarm(Kind::limit, t.time.due(), r, n);
     const auto exchange = t.exchange;
     const std::string address = t.address;
-    r->tries.push_back(std::move(t));
+    r->attempts.push_back(std::move(t));
     ports_.start(address, std::move(wanted), exchange);
 }
 
 // Ends an attempt from this side. The connection is closed first: what still comes on it is nobody's.
-void Core::end_exchange(Try& t, void (Exchange::*how)()) {
+void Core::end_exchange(AttemptState& t, void (UpstreamExchange::*how)()) {
     const auto exchange = t.exchange;
     ((*exchange).*how)();
     ports_.close(*exchange);
 }
 
 void Core::stop(const StopAttempt& a) {
-    Try* t = find_try(find(a.request), a.attempt);
-    if (t && t->out && !t->first) end_exchange(*t, &Exchange::cancelled);
+    AttemptState* t = find_attempt(find(a.request), a.attempt);
+    if (t && t->out && !t->first) end_exchange(*t, &UpstreamExchange::cancelled);
 }
 
 // Guards against pinned states: whatever a read may have left is let go of by the read's own id, even where
 // its answer was lost. Skips what an attempt that is out still needs.
 void Core::drop(Request& r, bool all) {
-    const bool writing = std::any_of(r.tries.begin(), r.tries.end(),
-                                     [](const Try& t) { return t.out && !t.read && !t.first; });
+    const bool writing = std::any_of(r.attempts.begin(), r.attempts.end(),
+                                     [](const AttemptState& t) { return t.out && !t.read && !t.first; });
     std::vector<int> kept;
     for (const int n : r.states) {
-        const Try& t = r.tries[static_cast<std::size_t>(n)];
-        if (!all && (t.out || (writing && n == r.state_try))) {
+        const AttemptState& t = r.attempts[static_cast<std::size_t>(n)];
+        if (!all && (t.out || (writing && n == r.state_attempt))) {
             kept.push_back(n);
             continue;
         }
         ports_.send_aside(t.address, dialect_->let_go(t.id), p_.module.release_within);
-        if (n == r.state_try) r.state_try = -1, r.parameters.clear();
+        if (n == r.state_attempt) r.state_attempt = -1, r.parameters.clear();
     }
     r.states = std::move(kept);
 }
@@ -280,9 +283,9 @@
     feed(StateReleased{id});
     Request* own = find(id);
     if (!own) return;
-    if (!own->tries.empty()) {
-        Try& latest = own->tries.back();
-        if (latest.out && !latest.read && !latest.handed) end_exchange(latest, &Exchange::cancelled);
+    if (!own->attempts.empty()) {
+        AttemptState& latest = own->attempts.back();
+        if (latest.out && !latest.read && !latest.handed) end_exchange(latest, &UpstreamExchange::cancelled);
     }
     if ((own = find(id))) drop(*own, false);
 }
@@ -321,13 +324,13 @@
 void Core::first(const std::string& id, int attempt) {
     driver_.catch_up();
     Request* r = find(id);
-    Try* t = find_try(r, attempt);
+    AttemptState* t = find_attempt(r, attempt);
     if (!t || !t->out) return;
     t->first = true;
     t->heard = ports_.now();
     // The write has fetched the state: from now on there is nothing of it to let go of.
-    std::erase(r->states, r->state_try);
-    r->state_try = -1, r->parameters.clear();
+    std::erase(r->states, r->state_attempt);
+    r->state_attempt = -1, r->parameters.clear();
     r->held.taken();
     alarm(Kind::idle, t->heard + p_.limits.stream_idle_ms, r, attempt);
     const auto exchange = t->exchange;
@@ -347,7 +350,7 @@
 
 void Core::text(const std::string& id, int attempt, std::string_view piece) {
     Request* r = find(id);
-    Try* t = find_try(r, attempt);
+    AttemptState* t = find_attempt(r, attempt);
     if (!t || !t->out || r->closed) return;
     t->heard = r->spoke = ports_.now();
     std::string bytes = r->r.answer->text(piece);
@@ -356,37 +359,37 @@
         r->r.client = nullptr;
         close(*r, 500, "too_long");
         if (client) client->whole(500, std::move(bytes), -1, false);
-        if ((t = find_try(find(id), attempt)) && t->out) end_exchange(*t, &Exchange::cancelled);
+        if ((t = find_attempt(find(id), attempt)) && t->out) end_exchange(*t, &UpstreamExchange::cancelled);
         return;
     }
     if (!bytes.empty() && r->r.client) r->r.client->body(std::move(bytes));
 }
 
-void Core::over(const std::string& id, int attempt, Ending e) {
+void Core::over(const std::string& id, int attempt, AttemptOutcome e) {
     driver_.catch_up();
     Request* r = find(id);
-    Try* t = find_try(r, attempt);
+    AttemptState* t = find_attempt(r, attempt);
     if (!t || !t->out) return;
     t->out = false;
     const Millis now = ports_.now();
     r->held.attempt_over(now, never_ran(e.result));
     if (t->read && !never_ran(e.result)) {
-        const bool done = e.result == Result::read_done;
+        const bool done = e.result == AttemptResult::prefill_done;
         r->held.made(now, done ? control::HeldOrigin::read_done : control::HeldOrigin::read_lost,
                      t->endpoint);
         watch_held(*r);
     }
-    if (e.result == Result::read_done) {
-        r->state_try = attempt;
+    if (e.result == AttemptResult::prefill_done) {
+        r->state_attempt = attempt;
         r->parameters = e.parameters;
     } else if (t->read && never_ran(e.result)) {
         std::erase(r->states, attempt);
     }
-    if (!t->read && e.result == Result::full && e.note == 1) {
-        std::erase(r->states, r->state_try);
-        r->state_try = -1, r->parameters.clear();
+    if (!t->read && e.result == AttemptResult::rejected && e.detail == 1) {
+        std::erase(r->states, r->state_attempt);
+        r->state_attempt = -1, r->parameters.clear();
     }
-    if (e.result != Result::served && e.result != Result::read_done) {
+    if (e.result != AttemptResult::served && e.result != AttemptResult::prefill_done) {
         ports_.log("info", "attempt",
                    {{"request", id},
                     {"attempt", attempt},
@@ -394,19 +397,20 @@
                     {"result", word(e.result)},
                     {"why", e.why}});
     }
-    Outcome o;
+    AttemptEnded o;
     o.request = id, o.attempt = attempt, o.endpoint = t->endpoint, o.result = e.result;
-    o.took = now - t->sent, o.note = e.note, o.report = e.report;
+    o.took = now - t->sent, o.detail = e.detail, o.report = e.report;
     Client* client = r->r.client;
     if (e.begun && !r->closed) {
         r->usage = e.usage;
         r->r.client = nullptr;
-        std::string bytes = e.result == Result::served ? r->r.answer->finish(e.stop, e.usage, e.sequence)
-                                                       : r->r.answer->fail(kBroken);
+        std::string bytes = e.result == AttemptResult::served
+                                ? r->r.answer->finish(e.stop, e.usage, e.sequence)
+                                : r->r.answer->fail(kBroken);
         if (r->r.chat.stream) {
-            close(*r, 200, e.result == Result::served ? "served" : "broken");
+            close(*r, 200, e.result == AttemptResult::served ? "served" : "broken");
             if (client) client->body(std::move(bytes)), client->done();
-        } else if (e.result == Result::served) {
+        } else if (e.result == AttemptResult::served) {
             close(*r, 200, "served");
             if (client) client->whole(200, std::move(bytes), -1, std::nullopt);
         } else {
@@ -417,7 +421,7 @@
         }
         r = find(id);
     }
-    if (r) o.closed = r->closed, done_.push_back(id);
+    if (r) o.request_closed = r->closed, done_.push_back(id);
     feed(std::move(o));
 }
 
@@ -430,14 +434,14 @@
         if (!r) continue;
         if (!r->closed) {
             // Told that a repeat is harmless only where that is sure.
-            const bool ran =
-                std::any_of(r->tries.begin(), r->tries.end(), [](const Try& t) { return !t.read; });
+            const bool ran = std::any_of(r->attempts.begin(), r->attempts.end(),
+                                         [](const AttemptState& t) { return !t.read; });
             const bool harmless = !ran || p_.module.classes[static_cast<std::size_t>(r->r.cls)].idempotency ==
                                               Idempotency::idempotent;
             refuse(*r, harmless ? 529 : 500, harmless ? kOverloaded : kFailed, harmless ? 0 : -1, harmless);
         }
-        for (std::size_t n = 0; (r = find(id)) && n < r->tries.size(); ++n) {
-            if (r->tries[n].out) end_exchange(r->tries[n], &Exchange::cancelled);
+        for (std::size_t n = 0; (r = find(id)) && n < r->attempts.size(); ++n) {
+            if (r->attempts[n].out) end_exchange(r->attempts[n], &UpstreamExchange::cancelled);
         }
         if ((r = find(id))) {
             done_.push_back(id);
@@ -458,19 +462,20 @@
     const Millis now = ports_.now();
     const std::string id = r->r.id;
     if (a.kind == Kind::limit) {
-        Try* t = find_try(r, a.attempt);
+        AttemptState* t = find_attempt(r, a.attempt);
         if (!t || !t->out || t->first) return;
         if (!driver_.up(t->time)) return alarm(Kind::limit, t->time.due(), r, a.attempt);
-        end_exchange(*t, t->time.engines_fault() ? &Exchange::expired : &Exchange::cancelled);
+        end_exchange(*t,
+                     t->time.endpoint_at_fault() ? &UpstreamExchange::expired : &UpstreamExchange::cancelled);
     } else if (a.kind == Kind::idle) {
         // Guards against a begun stream whose engine went silent: nobody else would end it.
-        Try* t = find_try(r, a.attempt);
+        AttemptState* t = find_attempt(r, a.attempt);
         if (!t || !t->out) return;
         if (r->congested) t->heard = now;
         if (t->heard + p_.limits.stream_idle_ms > now) {
             return alarm(Kind::idle, t->heard + p_.limits.stream_idle_ms, r, a.attempt);
         }
-        end_exchange(*t, &Exchange::stalled);
+        end_exchange(*t, &UpstreamExchange::stalled);
     } else if (a.kind == Kind::held) {
         held_due(*r);
     } else if (a.kind == Kind::whole) {
@@ -478,8 +483,8 @@
         refuse(*r, 504, {504, "timeout_error", "the answer took longer than the client waits"}, -1, false);
         feed(ClientGone{id});
         if (!(r = find(id))) return;
-        for (auto& t : r->tries) {
-            if (t.out && t.first) return end_exchange(t, &Exchange::cancelled);
+        for (auto& t : r->attempts) {
+            if (t.out && t.first) return end_exchange(t, &UpstreamExchange::cancelled);
         }
     } else if (a.kind == Kind::ping) {
         if (r->closed || !r->r.client) return;
@@ -497,7 +502,7 @@
                         {"ending", r.ending},
                         {"status", r.status},
                         {"ms", std::round(1000 * (r.closed_at - r.arrived)) / 1000},
-                        {"attempts", r.tries.size()},
+                        {"attempts", r.attempts.size()},
                         {"output_tokens", r.usage.output}};
     if (r.r.tenant >= 0) fields["tenant"] = p_.tenants[static_cast<std::size_t>(r.r.tenant)];
     ports_.log("info", "answer", std::move(fields));
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -40,11 +40,11 @@
     virtual Millis wall_ms() = 0;  // since 1970
     // Carries an attempt to an engine. Calls into the Exchange come later, never from within start().
     virtual void start(const std::string& address, engine::Wanted wanted,
-                       std::shared_ptr<Exchange> exchange) = 0;
+                       std::shared_ptr<UpstreamExchange> exchange) = 0;
     // Stops or goes on reading from the engine.
-    virtual void pause(const Exchange& exchange, bool on) = 0;
+    virtual void pause(const UpstreamExchange& exchange, bool on) = 0;
     // The Exchange was ended from this side: its connection can't be kept.
-    virtual void close(const Exchange& exchange) = 0;
+    virtual void close(const UpstreamExchange& exchange) = 0;
     // A call whose answer nobody waits for; tried a few times within `limit` ms where no connection comes
     // about.
     virtual void send_aside(const std::string& address, engine::Wanted wanted, Millis limit) = 0;
@@ -93,13 +93,13 @@
     state::Witness* witness = nullptr;  // not owned; may be null
 
 private:
-    struct Try {
-        std::shared_ptr<Exchange> exchange;
+    struct AttemptState {
+        std::shared_ptr<UpstreamExchange> exchange;
         EndpointId endpoint = 0;
         std::string id, address;
         bool read = false, out = true, first = false, handed = false;
         Millis sent = 0, heard = 0;
-        control::AttemptTime time;
+        control::AttemptClock time;
     };
     enum class Kind { router, limit, idle, whole, ping, held };
     struct Request;
@@ -110,11 +110,11 @@
         Millis arrived = 0, deadline = 0, spoke = 0, closed_at = 0;
         bool closed = false;  // its client has its final answer, or is gone
         bool congested = false;
-        std::deque<Try> tries;
+        std::deque<AttemptState> attempts;
         std::vector<int> states;  // tries (reads) that may have left a state
         std::string parameters;   // of the state at hand
         control::HeldState held;  // the lease on those states
-        int state_try = -1;
+        int state_attempt = -1;
         int status = 0;
         api::Usage usage;
         const char* ending = "";
@@ -122,11 +122,11 @@
     };
 
     Request* find(const std::string& id);
-    Try* find_try(Request* r, int attempt);
+    AttemptState* find_attempt(Request* r, int attempt);
     void feed(Event e) { driver_.feed(std::move(e)); }
     void sweep();
     void carry(const Action& a);
-    void start(const Attempt& a);
+    void start(const StartAttempt& a);
     void stop(const StopAttempt& a);
     void drop(Request& r, bool all);
     void watch_held(Request& r);
@@ -135,9 +135,9 @@
     void fail_stream(Request& r, const api::ApiError& e);
     void first(const std::string& id, int attempt);
     void text(const std::string& id, int attempt, std::string_view piece);
-    void over(const std::string& id, int attempt, Ending e);
+    void over(const std::string& id, int attempt, AttemptOutcome e);
     void close(Request& r, int status, const char* ending);
-    void end_exchange(Try& t, void (Exchange::*how)());
+    void end_exchange(AttemptState& t, void (UpstreamExchange::*how)());
     void alarm(Kind kind, Millis at, Request* owner, int attempt = 0);
     void due(const Driver::Alarm& a);
     void report(const Request& r);
--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -2,7 +2,8 @@
 
 namespace gorsenotch::gateway {
 
-Exchange::Exchange(const engine::Dialect& dialect, bool read, std::size_t max_event, std::size_t max_body)
+UpstreamExchange::UpstreamExchange(const engine::Dialect& dialect, bool read, std::size_t max_event,
+                                   std::size_t max_body)
     : dialect_(dialect),
       read_(read),
       max_body_(max_body),
@@ -14,12 +15,12 @@
     sse_.on_event = [this](std::string_view, std::string_view data) { event(data); };
 }
 
-void Exchange::sent() {
+void UpstreamExchange::sent() {
     sent_ = true;
     if (on_sent) on_sent();
 }
 
-void Exchange::data(std::string_view bytes) {
+void UpstreamExchange::data(std::string_view bytes) {
     if (spoilt_) return;
     // Bytes after the end of the answer belong to nobody: whoever sends them can't be trusted with another.
     if (clean_) {
@@ -29,19 +30,20 @@
     const std::size_t taken = parser_.feed(bytes);
     if (parser_.fault() != http::Fault::none) {
         spoilt_ = true;
-        return broken(begun_ ? Result::reset : Result::error, "the engine's answer is malformed");
+        return broken(begun_ ? AttemptResult::reset : AttemptResult::error,
+                      "the engine's answer is malformed");
     }
     if (parser_.complete() && taken < bytes.size()) spoilt_ = true;
 }
 
-void Exchange::head() {
+void UpstreamExchange::head() {
     if (over_) return;
     report_ = dialect_.report(parser_.headers);
     const std::string* type = http::find(parser_.headers, "content-type");
     stream_ = !read_ && parser_.status == 200 && type && type->rfind("text/event-stream", 0) == 0;
 }
 
-void Exchange::body(std::string_view bytes) {
+void UpstreamExchange::body(std::string_view bytes) {
     if (over_) {
         if (stream_ && linger_) sse_.feed(bytes);  // for events that must not come any more
         return;
@@ -49,18 +51,18 @@
     if (stream_) {
         if (!sse_.feed(bytes) && !over_) {
             spoilt_ = true;
-            broken(begun_ ? Result::reset : Result::error, "an event longer than the limit");
+            broken(begun_ ? AttemptResult::reset : AttemptResult::error, "an event longer than the limit");
         }
         return;
     }
     if (body_.size() + bytes.size() > max_body_) {
         spoilt_ = true;
-        return broken(Result::error, "an answer longer than the limit");
+        return broken(AttemptResult::error, "an answer longer than the limit");
     }
     body_.append(bytes);
 }
 
-void Exchange::event(std::string_view data) {
+void UpstreamExchange::event(std::string_view data) {
     if (over_) {  // an event after the last one
         spoilt_ = true;
         return;
@@ -70,7 +72,8 @@
         using Kind = engine::Piece::Kind;
         if (p.kind == Kind::broken) {
             spoilt_ = true;
-            return broken(begun_ ? Result::reset : Result::error, "the engine broke the stream: " + p.text);
+            return broken(begun_ ? AttemptResult::reset : AttemptResult::error,
+                          "the engine broke the stream: " + p.text);
         }
         if (p.kind == Kind::usage) usage_ = p.usage;
         // After the stop there is no more text; what comes all the same is dropped.
@@ -89,67 +92,72 @@
             }
         }
         if (p.kind == Kind::done) {
-            if (!stopped_) return broken(begun_ ? Result::reset : Result::error, "a stream without its end");
+            if (!stopped_)
+                return broken(begun_ ? AttemptResult::reset : AttemptResult::error,
+                              "a stream without its end");
             linger_ = true;
-            Ending e;
-            e.result = Result::served;
+            AttemptOutcome e;
+            e.result = AttemptResult::served;
             return finish(e);
         }
     }
 }
 
-void Exchange::complete() {
+void UpstreamExchange::complete() {
     clean_ = parser_.keep_alive && parser_.status >= 200;
     if (over_) return;
     if (stream_) {
         // All text has come when the stop has, even if the engine leaves out the last marker.
-        if (!stopped_) return broken(begun_ ? Result::reset : Result::error, "a stream without its end");
-        Ending e;
-        e.result = Result::served;
+        if (!stopped_)
+            return broken(begun_ ? AttemptResult::reset : AttemptResult::error, "a stream without its end");
+        AttemptOutcome e;
+        e.result = AttemptResult::served;
         return finish(e);
     }
     const auto v =
         read_ ? dialect_.judge_read(parser_.status, body_) : dialect_.judge_refusal(parser_.status, body_);
-    Ending e;
-    e.result = v.result, e.note = v.note, e.parameters = v.parameters, e.why = v.why;
+    AttemptOutcome e;
+    e.result = v.result, e.detail = v.note, e.parameters = v.parameters, e.why = v.why;
     finish(e);
 }
 
-void Exchange::ended() {
+void UpstreamExchange::ended() {
     spoilt_ = true;
     if (over_) return;
     if (parser_.finish() && over_) return;
     if (begun_ && stopped_) {
-        Ending e;
-        e.result = Result::served;
+        AttemptOutcome e;
+        e.result = AttemptResult::served;
         return finish(e);
     }
     // Guards against a repeat of what may have been delivered: only where no byte was written is it sure that
     // nothing came to the engine. A reused connection that dies before its first byte is no exception.
-    broken(sent_ ? Result::reset : Result::unreachable, "the engine closed the connection");
+    broken(sent_ ? AttemptResult::reset : AttemptResult::unreachable, "the engine closed the connection");
 }
 
-void Exchange::refused_dial() { broken(Result::unreachable, "no connection"); }
-void Exchange::not_sent() { broken(Result::not_sent, "not sent"); }
-void Exchange::expired() { broken(sent_ ? Result::late : Result::unreachable, "no answer in time"); }
-void Exchange::cancelled() { broken(Result::cancelled, "no longer wanted"); }
-void Exchange::stalled() { broken(Result::late, "the stream fell silent"); }
+void UpstreamExchange::refused_dial() { broken(AttemptResult::unreachable, "no connection"); }
+void UpstreamExchange::not_sent() { broken(AttemptResult::not_sent, "not sent"); }
+void UpstreamExchange::expired() {
+    broken(sent_ ? AttemptResult::timed_out : AttemptResult::unreachable, "no answer in time");
+}
+void UpstreamExchange::cancelled() { broken(AttemptResult::cancelled, "no longer wanted"); }
+void UpstreamExchange::stalled() { broken(AttemptResult::timed_out, "the stream fell silent"); }
 
-void Exchange::broken(Result result, std::string why) {
+void UpstreamExchange::broken(AttemptResult result, std::string why) {
     if (over_) return;
     spoilt_ = true;
-    Ending e;
+    AttemptOutcome e;
     e.result = result;
     e.why = std::move(why);
     finish(std::move(e));
 }
 
-void Exchange::finish(Ending e) {
+void UpstreamExchange::finish(AttemptOutcome e) {
     if (over_) return;
     over_ = true;
     e.begun = begun_, e.stop = stop_, e.sequence = sequence_, e.usage = usage_, e.report = report_;
     // An engine that reports no usage: each piece of text counts as one token.
-    if (e.result == Result::served && e.usage.output == 0) e.usage.output = pieces_;
+    if (e.result == AttemptResult::served && e.usage.output == 0) e.usage.output = pieces_;
     body_.clear();
     if (const auto f = on_over) f(std::move(e));
 }
--- a/src/gateway/upstream_exchange.h
+++ b/src/gateway/upstream_exchange.h
@@ -14,9 +14,9 @@
 
 namespace gorsenotch::gateway {
 
-struct Ending {
-    Result result = Result::error;
-    double note = 0;
+struct AttemptOutcome {
+    AttemptResult result = AttemptResult::error;
+    double detail = 0;
     std::string parameters;  // of a read
     std::string why;         // for the log
     api::Stop stop = api::Stop::end;
@@ -26,14 +26,14 @@
     bool begun = false;  // the stream had begun
 };
 
-class Exchange : public proxy::Carried {
+class UpstreamExchange : public proxy::Carried {
 public:
     std::function<void()> on_sent;  // its bytes are being handed over
     std::function<void()> on_first;
     std::function<void(std::string_view)> on_text;
-    std::function<void(Ending)> on_over;
+    std::function<void(AttemptOutcome)> on_over;
 
-    Exchange(const engine::Dialect& dialect, bool read, std::size_t max_event, std::size_t max_body);
+    UpstreamExchange(const engine::Dialect& dialect, bool read, std::size_t max_event, std::size_t max_body);
 
     void sent() override;
     void data(std::string_view bytes) override;
@@ -54,8 +54,8 @@
     void body(std::string_view bytes);
     void event(std::string_view data);
     void complete();
-    void broken(Result result, std::string why);
-    void finish(Ending e);
+    void broken(AttemptResult result, std::string why);
+    void finish(AttemptOutcome e);
 
     const engine::Dialect& dialect_;
     const bool read_;
--- a/src/platform/access_log.cpp
+++ b/src/platform/access_log.cpp
@@ -44,7 +44,7 @@
     const Millis aim = c.latency_objective + c.latency_objective_per_1000_tokens * p.prompt_tokens / 1000;
     if (p.first > aim) {
         const bool read_late = std::any_of(p.attempts.begin(), p.attempts.end(), [&](const AttemptRecord& l) {
-            return l.result == Result::read_done && !l.out && l.ended > aim;
+            return l.result == AttemptResult::prefill_done && !l.out && l.ended > aim;
         });
         return read_late ? Disposition::late_read : Disposition::late_write;
     }
--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -56,7 +56,7 @@
 struct AttemptRecord {
     std::string server;
     bool read = false, out = false;
-    Result result = Result::served;
+    AttemptResult result = AttemptResult::served;
     Millis sent = 0, ended = 0;
 };
 
@@ -92,7 +92,7 @@
     LineBudget lines_{kLinesPerSecond};
 };
 
-// A held state's life: "held 612 read_done at r1, made 23, at_risk 623; w0 sent 23 unproved". Times are ms
+// A held state's life: "held 612 prefill_done at r1, made 23, at_risk 623; w0 sent 23 unproved". Times are ms
 // since `arrived`, but for the first, its age at `now`.
 std::string describe_held(const control::HeldState::Timeline& timeline, Millis arrived, Millis now,
                           const std::string& holder, const std::string& awaited);
--- a/src/platform/health_checker.cpp
+++ b/src/platform/health_checker.cpp
@@ -42,11 +42,11 @@
     Server& server = servers_[id];
     if (!host || !can_ask() || server.question) return;
     ++asked_;
-    server.question = std::make_shared<Attempt>(Attempt::Kind::call);
+    server.question = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
     server.asked = ports_.now();
     const auto question = server.question;
     question->on_heard = [this, id, sent = server.asked] { answered(id, sent); };
-    question->on_over = [this, id](const Ending&) { servers_[id].question.reset(); };
+    question->on_over = [this, id](const AttemptOutcome&) { servers_[id].question.reset(); };
     set_alarm_(server.asked + patience_, id);
     ports_.start(host->dial_address, held_call("DELETE", over_before_, host->dial_address), question);
 }
--- a/src/platform/health_checker.h
+++ b/src/platform/health_checker.h
@@ -43,7 +43,7 @@
 private:
     struct Server {
         Millis sent = -1e18, at = -1e18;  // of what was answered last, and when
-        std::shared_ptr<Attempt> question;
+        std::shared_ptr<UpstreamExchange> question;
         Millis asked = 0;
     };
     void close(Server& server);
--- a/src/platform/lease_releaser.cpp
+++ b/src/platform/lease_releaser.cpp
@@ -142,7 +142,7 @@
     if (host) host->last_failure = ports_.now();
     call.attempt->on_over = nullptr;
     ports_.close(*call.attempt);
-    call.attempt->give_up(Result::cancelled, "no answer");
+    call.attempt->give_up(AttemptResult::cancelled, "no answer");
     --calls_out_;
 }
 
@@ -194,12 +194,12 @@
 
 void Releases::call(std::uint64_t id, Release& release, const DiscoveredEndpoint& to) {
     make_room();
-    const auto call = std::make_shared<Attempt>(Attempt::Kind::call);
+    const auto call = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
     release.calls.push_back({call, to.endpoint.id, ports_.now()});
     ++calls_out_;
     ++release.calls_made;
     ++release.unanswered;
-    call->on_over = [this, id, by = to.endpoint.id, sent = ports_.now()](const Ending& e) {
+    call->on_over = [this, id, by = to.endpoint.id, sent = ports_.now()](const AttemptOutcome& e) {
         --calls_out_;
         if (DiscoveredEndpoint* host = endpoints_.find(by))
             (e.status > 0 ? host->last_success : host->last_failure) = ports_.now();
--- a/src/platform/lease_releaser.h
+++ b/src/platform/lease_releaser.h
@@ -83,7 +83,7 @@
 
 private:
     struct Call {
-        std::shared_ptr<Attempt> attempt;
+        std::shared_ptr<UpstreamExchange> attempt;
         EndpointId server = 0;
         Millis begun = 0;
     };
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -211,7 +211,7 @@
     }
 }
 
-void Node::start(const std::string& address, std::string request, std::shared_ptr<Attempt> attempt,
+void Node::start(const std::string& address, std::string request, std::shared_ptr<UpstreamExchange> attempt,
                  Connection connection) {
     upstream_.start(address, std::move(request), std::move(attempt), connection == Connection::fresh);
 }
@@ -232,7 +232,7 @@
     const auto& u = upstream_.tally();
     nlohmann::json dispositions = counts(kDispositions, relay_.access().dispositions());
     dispositions["not_logged"] = relay_.access().not_logged();
-    const auto result = [&](Result r) { return c.results[static_cast<int>(r)]; };
+    const auto result = [&](AttemptResult r) { return c.results[static_cast<int>(r)]; };
     log::write("info", "state",
                {{"up_ms", std::round(net::now() - started_)},
                 {"cpu_ms", std::round(cpu)},
@@ -259,15 +259,15 @@
                 {"client_ends", counts(kEndReasons, t.ended)},
                 {"server_ends", counts(proxy::kLinkEnds, u.ended)},
                 {"results",
-                 {{"read", result(Result::read_done)},
-                  {"served", result(Result::served)},
-                  {"error", result(Result::error)},
-                  {"full", result(Result::full)},
-                  {"late", result(Result::late)},
-                  {"unreachable", result(Result::unreachable)},
-                  {"reset", result(Result::reset)},
-                  {"cancelled", result(Result::cancelled)},
-                  {"not_sent", result(Result::not_sent)}}},
+                 {{"read", result(AttemptResult::prefill_done)},
+                  {"served", result(AttemptResult::served)},
+                  {"error", result(AttemptResult::error)},
+                  {"full", result(AttemptResult::rejected)},
+                  {"late", result(AttemptResult::timed_out)},
+                  {"unreachable", result(AttemptResult::unreachable)},
+                  {"reset", result(AttemptResult::reset)},
+                  {"cancelled", result(AttemptResult::cancelled)},
+                  {"not_sent", result(AttemptResult::not_sent)}}},
                 {"released", {released.begun, released.asked_again, released.failed}},
                 {"release_ends", counts(kReleaseEnds, c.release_ends)},
                 {"release_reasons", counts(kReleaseReasons, c.release_reasons)},
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -31,10 +31,10 @@
 
 private:
     Millis now() override { return net::now(); }
-    void start(const std::string& address, std::string request, std::shared_ptr<Attempt> attempt,
+    void start(const std::string& address, std::string request, std::shared_ptr<UpstreamExchange> attempt,
                Connection connection) override;
-    void pause(const Attempt& attempt, bool on) override { upstream_.pause(attempt, on); }
-    void close(const Attempt& attempt) override { upstream_.close(attempt); }
+    void pause(const UpstreamExchange& attempt, bool on) override { upstream_.pause(attempt, on); }
+    void close(const UpstreamExchange& attempt) override { upstream_.close(attempt); }
     bool connected(const std::string& address) override { return upstream_.idle_at(address); }
     void log(const char* level, const char* event, const std::string& text) override;
 
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -54,16 +54,16 @@
     return find(handle);
 }
 
-Relay::Try* Relay::find_try(Request* r, int attempt) {
-    if (!r || attempt < 0 || static_cast<std::size_t>(attempt) >= r->tries.size()) return nullptr;
-    return &r->tries[static_cast<std::size_t>(attempt)];
+Relay::AttemptState* Relay::find_attempt(Request* r, int attempt) {
+    if (!r || attempt < 0 || static_cast<std::size_t>(attempt) >= r->attempts.size()) return nullptr;
+    return &r->attempts[static_cast<std::size_t>(attempt)];
 }
 
 bool Relay::busy(const Request& r) {
-    return std::any_of(r.tries.begin(), r.tries.end(), [](const Try& t) { return t.out; });
+    return std::any_of(r.attempts.begin(), r.attempts.end(), [](const AttemptState& t) { return t.out; });
 }
 
-bool Relay::begun(const Request& r) { return !r.tries.empty() && r.tries.back().first; }
+bool Relay::begun(const Request& r) { return !r.attempts.empty() && r.attempts.back().first; }
 
 std::optional<EndpointStatus> Relay::endpoint_status(EndpointId server) {
     const DiscoveredEndpoint* host = endpoints_.find(server);
@@ -150,28 +150,28 @@
     Request* r = find(handle);
     if (!r || r->congested == congested) return;
     r->congested = congested;
-    if (!begun(*r) || !r->tries.back().out) return;
-    r->tries.back().heard = ports_.now();
-    ports_.pause(*r->tries.back().attempt, congested);
+    if (!begun(*r) || !r->attempts.back().out) return;
+    r->attempts.back().heard = ports_.now();
+    ports_.pause(*r->attempts.back().exchange, congested);
 }
 
 // ---- the Router's actions -------------------------------------------------------------------------------
 
 void Relay::carry(const Action& action) {
-    std::visit(Overloaded{[&](const gorsenotch::Attempt& a) { start(a); },
+    std::visit(Overloaded{[&](const gorsenotch::StartAttempt& a) { start(a); },
                           [&](const StopAttempt& a) {
-                              Try* t = find_try(find(a.request), a.attempt);
-                              if (t && t->out && !t->first) stop(*t, Result::cancelled, "called off");
+                              AttemptState* t = find_attempt(find(a.request), a.attempt);
+                              if (t && t->out && !t->first) stop(*t, AttemptResult::cancelled, "called off");
                           },
                           [&](const HoldPlace& a) { hold(a); },
                           [&](const DropState& a) {
                               // Carried out once the Router is at rest, if no attempt follows.
                               if (const Request* r = find(a.request)) revisit_when_idle(r->handle);
                           },
-                          [&](const Refuse& a) {
+                          [&](const Reject& a) {
                               if (Request* r = find(a.request)) {
                                   if (!r->closed) ++counts_.refused;
-                                  final(*r, 503, named_.settings.retry_after ? a.pause : 0, "refused",
+                                  final(*r, 503, named_.settings.retry_after ? a.retry_after : 0, "refused",
                                         a.cause);
                               }
                           },
@@ -192,39 +192,40 @@
                action);
 }
 
-void Relay::start(const gorsenotch::Attempt& a) {
+void Relay::start(const gorsenotch::StartAttempt& a) {
     Request* r = find(a.request);
     if (!r) return;
     const std::uint64_t handle = r->handle;
-    const int n = static_cast<int>(r->tries.size());
+    const int n = static_cast<int>(r->attempts.size());
     const Millis now = ports_.now();
     const DiscoveredEndpoint* host = endpoints_.find(a.endpoint);
-    Try t;
+    AttemptState t;
     t.endpoint = a.endpoint;
     t.sent = t.heard = now;
-    t.time = driver_.begin(a.limit, r->deadline);
+    t.time = driver_.begin(a.timeout, r->deadline);
     if (!may_begin(handle, a.endpoint, a.send_by, now, false)) {
         t.out = false;
-        r->tries.push_back(std::move(t));
-        Outcome o;
-        o.request = a.request, o.attempt = n, o.endpoint = a.endpoint, o.result = Result::not_sent;
-        o.closed = r->closed;
+        r->attempts.push_back(std::move(t));
+        AttemptEnded o;
+        o.request = a.request, o.attempt = n, o.endpoint = a.endpoint, o.result = AttemptResult::not_sent;
+        o.request_closed = r->closed;
         ++counts_.results[static_cast<int>(o.result)];
         return driver_.feed(std::move(o));
     }
     t.read = named_.settings.kinds[static_cast<std::size_t>(host->endpoint.kind)].role == Role::read;
-    t.attempt = std::make_shared<Attempt>(t.read ? Attempt::Kind::read : Attempt::Kind::write);
+    t.exchange = std::make_shared<UpstreamExchange>(t.read ? UpstreamExchange::Kind::read
+                                                           : UpstreamExchange::Kind::write);
     const bool takes = !t.read && r->held.held();
-    t.attempt->on_go = [this, handle, server = a.endpoint, by = a.send_by, now, takes] {
+    t.exchange->on_go = [this, handle, server = a.endpoint, by = a.send_by, now, takes] {
         return may_begin(handle, server, by, now, takes);
     };
-    t.attempt->on_sent = [this, handle, n, to = host->endpoint] {
+    t.exchange->on_sent = [this, handle, n, to = host->endpoint] {
         audit_.sent(handle, n, to, named_.settings.kinds[static_cast<std::size_t>(to.kind)].role,
                     ports_.now());
     };
-    t.attempt->on_handed = [this, handle, n] {
+    t.exchange->on_handed = [this, handle, n] {
         Request* own = find(handle);
-        Try* it = find_try(own, n);
+        AttemptState* it = find_attempt(own, n);
         if (!it) return;
         driver_.handed(it->time);
         it->handed = true;
@@ -232,17 +233,17 @@
         own->held.attempt_handed(ports_.now(), ports_.now() + usual);
         watch_held(*own);
     };
-    t.attempt->on_heard = [this, handle, server = a.endpoint, now] {
+    t.exchange->on_heard = [this, handle, server = a.endpoint, now] {
         liveness_.answered(server, now);
         audit_.server_answered(ports_.now());
         Request* own = find(handle);
         if (!own) return;
         own->held.attempt_answered(ports_.now());
-        if (!own->tries.back().read) audit_.write_answered(handle);
+        if (!own->attempts.back().read) audit_.write_answered(handle);
     };
-    t.attempt->on_first = [this, handle, n](std::string_view events) { first(handle, n, events); };
-    t.attempt->on_more = [this, handle, n](std::string_view events) { more(handle, n, events); };
-    t.attempt->on_over = [this, handle, n](const Ending& e) { over(handle, n, e); };
+    t.exchange->on_first = [this, handle, n](std::string_view events) { first(handle, n, events); };
+    t.exchange->on_more = [this, handle, n](std::string_view events) { more(handle, n, events); };
+    t.exchange->on_over = [this, handle, n](const AttemptOutcome& e) { over(handle, n, e); };
     r->held.attempt_begun(now, a.endpoint, !t.read);
     // A release that is still under way would take what the write is to take. A read has nothing to lose by
     // it, and what stands from before is let go of meanwhile.
@@ -252,11 +253,12 @@
     request.reserve(r->in.head.size() + r->in.body.size() + 128);
     request.append(r->in.head);
     // Guards against a server that is told more time than is left: the connection may take long to come up.
-    t.attempt->on_stamp = [this, handle, n, at = request.size()](std::string& text) {
-        const Try* own = find_try(find(handle), n);
+    t.exchange->on_stamp = [this, handle, n, at = request.size()](std::string& text) {
+        const AttemptState* own = find_attempt(find(handle), n);
         if (!own) return;
-        const control::AttemptTime& time = own->time;
-        const Millis until = time.limit > 0 ? std::min(time.sent + time.limit, time.end) : time.end;
+        const control::AttemptClock& time = own->time;
+        const Millis until = time.timeout > 0 ? std::min(time.sent_at + time.timeout, time.request_deadline)
+                                              : time.request_deadline;
         const auto left = static_cast<long long>(std::max(1.0, until - ports_.now()));
         text.insert(at, "x-remaining: " + std::to_string(left) + "m\r\n");
     };
@@ -267,16 +269,16 @@
         .append("\r\n\r\n")
         .append(r->in.body);
     driver_.alarm(Kind::limit, t.time.due(), r, n, 0, true);
-    const auto attempt = t.attempt;
+    const auto attempt = t.exchange;
     const std::string address = host->dial_address;
     ++counts_.attempts, ++out_;
-    r->tries.push_back(std::move(t));
+    r->attempts.push_back(std::move(t));
     ports_.start(address, std::move(request), attempt);
 }
 
 // Ends an attempt from this side. Its connection is closed first: what still comes on it is nobody's.
-void Relay::stop(Try& t, Result result, const char* why) {
-    const auto attempt = t.attempt;
+void Relay::stop(AttemptState& t, AttemptResult result, const char* why) {
+    const auto attempt = t.exchange;
     ports_.close(*attempt);
     attempt->give_up(result, why);
 }
@@ -288,9 +290,9 @@
     const EndpointId server = a.endpoint;
     r->held.made(ports_.now(), control::HeldOrigin::place_asked, server);
     watch_held(*r);
-    r->hold = std::make_shared<Attempt>(Attempt::Kind::call);
+    r->hold = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
     r->hold->on_go = [this, server] { return endpoint_status(server) == EndpointStatus::healthy; };
-    r->hold->on_over = [this, handle, server](const Ending& e) {
+    r->hold->on_over = [this, handle, server](const AttemptOutcome& e) {
         Request* it = find(handle);
         // 204 and no answer say nothing: a place may be held all the same, and is let go of in the end.
         if (!it || (e.status != 200 && e.status != 409)) return;
@@ -363,11 +365,11 @@
     const std::uint64_t handle = r.handle;
     driver_.feed(StateReleased{std::to_string(handle)});
     Request* own = find(handle);
-    if (!own || own->tries.empty()) return;
+    if (!own || own->attempts.empty()) return;
     // What waits for a connection would find nothing to take: the time is better used for another read.
-    Try& latest = own->tries.back();
+    AttemptState& latest = own->attempts.back();
     if (latest.out && !latest.read && !latest.handed)
-        stop(latest, Result::cancelled, "its state was let go of");
+        stop(latest, AttemptResult::cancelled, "its state was let go of");
 }
 
 std::string Relay::name(EndpointId server) {
@@ -428,13 +430,13 @@
     if (r.held.held()) p.held = describe(r);
     p.first = r.begun < 0 ? -1 : r.begun - r.arrived;
     p.ended = ports_.now() - r.arrived;
-    for (const auto& t : r.tries) {
+    for (const auto& t : r.attempts) {
         p.attempts.push_back({{}, t.read, t.out, t.result, t.sent - r.arrived, t.ended - r.arrived});
     }
     const Disposition f = disposition ? *disposition : access_.served(p);
     if (!access_.count(ports_.now(), f, cause)) return;
     for (std::size_t i = 0; i < p.attempts.size(); ++i) {
-        const DiscoveredEndpoint* host = endpoints_.find(r.tries[i].endpoint);
+        const DiscoveredEndpoint* host = endpoints_.find(r.attempts[i].endpoint);
         p.attempts[i].server = host ? host->name : "gone";
     }
     ports_.log("info", "request", access_.line(p, f));
@@ -443,10 +445,10 @@
 void Relay::final(Request& r, int status, Millis pause, const char* why, EndCause cause) {
     if (r.closed) return;
     log_request(r,
-                begun(r)          ? Disposition::broken
-                : status != 503   ? Disposition::failed
-                : r.tries.empty() ? Disposition::refused_unsent
-                                  : Disposition::refused,
+                begun(r)             ? Disposition::broken
+                : status != 503      ? Disposition::failed
+                : r.attempts.empty() ? Disposition::refused_unsent
+                                     : Disposition::refused,
                 cause);
     Client* client = r.client;
     r.client = nullptr;
@@ -466,7 +468,7 @@
 
 // A stream that nobody reads any more ends.
 void Relay::end_stream(Request& r, const char* why) {
-    if (begun(r) && r.tries.back().out) stop(r.tries.back(), Result::cancelled, why);
+    if (begun(r) && r.attempts.back().out) stop(r.attempts.back(), AttemptResult::cancelled, why);
 }
 
 void Relay::move(Request& r, const char* why) {
@@ -479,7 +481,7 @@
 void Relay::first(std::uint64_t handle, int attempt, std::string_view events) {
     driver_.catch_up();
     Request* r = find(handle);
-    Try* t = find_try(r, attempt);
+    AttemptState* t = find_attempt(r, attempt);
     if (!t || !t->out) return;
     t->first = true;
     t->heard = r->begun = ports_.now();
@@ -494,58 +496,59 @@
     }
     r = find(handle);
     if (!r) return;
-    t = find_try(r, attempt);
+    t = find_attempt(r, attempt);
     driver_.feed(FirstToken{std::to_string(handle), attempt, t->endpoint, t->heard - t->sent});
     if (!(r = find(handle)) || !r->closed) return;
-    t = find_try(r, attempt);  // its client left before the first token
-    if (t->out) stop(*t, Result::cancelled, "the client left");
+    t = find_attempt(r, attempt);  // its client left before the first token
+    if (t->out) stop(*t, AttemptResult::cancelled, "the client left");
 }
 
 void Relay::more(std::uint64_t handle, int attempt, std::string_view events) {
     Request* r = find(handle);
-    Try* t = find_try(r, attempt);
+    AttemptState* t = find_attempt(r, attempt);
     if (!t || !t->out || r->closed) return;
     t->heard = ports_.now();
     if (const double n = completion_tokens(events); n > 0) r->tokens = n;
     if (r->client) r->client->more(events);
 }
 
-void Relay::over(std::uint64_t handle, int attempt, const Ending& e) {
+void Relay::over(std::uint64_t handle, int attempt, const AttemptOutcome& e) {
     driver_.catch_up();
     Request* r = find(handle);
-    Try* t = find_try(r, attempt);
+    AttemptState* t = find_attempt(r, attempt);
     if (!t || !t->out) return;
     t->out = false;
     --out_;
     ++counts_.results[static_cast<int>(e.result)];
     audit_.ended(handle, attempt, never_ran(e.result));
-    if (e.result == Result::read_done)
+    if (e.result == AttemptResult::prefill_done)
         audit_.read_answered(handle, ports_.now(), driver_.stood());
-    else if (e.result == Result::full && e.note == 1)
+    else if (e.result == AttemptResult::rejected && e.detail == 1)
         audit_.state_taken(handle);  // its server says that there is nothing to take
     else if (!t->read)
         audit_.write_ended(handle, ports_.now(), driver_.stood());
     const Millis now = ports_.now();
     t->ended = now, t->result = e.result;
     if (DiscoveredEndpoint* h = endpoints_.find(t->endpoint)) {
-        (e.status > 0 && e.result != Result::reset ? h->last_success : h->last_failure) = now;
+        (e.status > 0 && e.result != AttemptResult::reset ? h->last_success : h->last_failure) = now;
     }
     r->held.attempt_over(now, never_ran(e.result));
-    if (e.result == Result::read_done) read_times_.add(now - t->sent, r->in.arrival.prompt_tokens);
-    if (t->read && e.result == Result::read_done)
+    if (e.result == AttemptResult::prefill_done) read_times_.add(now - t->sent, r->in.arrival.prompt_tokens);
+    if (t->read && e.result == AttemptResult::prefill_done)
         r->held.made(now, control::HeldOrigin::read_done, t->endpoint);
     else if (t->read && !never_ran(e.result))
         r->held.made(now, control::HeldOrigin::read_lost, t->endpoint);
     watch_held(*r);
-    Outcome o;
+    AttemptEnded o;
     o.request = std::to_string(handle), o.attempt = attempt, o.endpoint = t->endpoint, o.result = e.result;
-    o.took = now - t->sent, o.note = e.note;
+    o.took = now - t->sent, o.detail = e.detail;
     if (e.begun && !r->closed) {
-        log_request(*r, e.result == Result::served ? std::nullopt : std::optional(Disposition::broken));
+        log_request(*r,
+                    e.result == AttemptResult::served ? std::nullopt : std::optional(Disposition::broken));
         Client* client = r->client;
         r->client = nullptr;
         close(*r);
-        if (e.result == Result::served) {
+        if (e.result == AttemptResult::served) {
             ++counts_.served;
             if (client) client->done();
         } else {
@@ -554,7 +557,7 @@
         }
         r = find(handle);
     }
-    if (r) o.closed = r->closed, revisit_when_idle(handle);
+    if (r) o.request_closed = r->closed, revisit_when_idle(handle);
     driver_.feed(std::move(o));
 }
 
@@ -582,11 +585,12 @@
     std::vector<std::uint64_t> handles;
     for (const auto& [handle, r] : requests_) {
         if (r.closed || !begun(r) || r.congested || r.arrived < taken_after) continue;
-        if (r.tries.back().out && now - r.tries.back().heard >= kSilentAtStop) handles.push_back(handle);
+        if (r.attempts.back().out && now - r.attempts.back().heard >= kSilentAtStop)
+            handles.push_back(handle);
     }
     for (const auto handle : handles) {
         Request* r = find(handle);
-        if (r && !r->closed) stop(r->tries.back(), Result::reset, "the stream fell silent");
+        if (r && !r->closed) stop(r->attempts.back(), AttemptResult::reset, "the stream fell silent");
     }
 }
 
@@ -599,23 +603,24 @@
         if (r->hold && !r->hold->over()) {
             const auto call = r->hold;
             ports_.close(*call);
-            call->give_up(Result::late, "no answer");
+            call->give_up(AttemptResult::timed_out, "no answer");
         }
         return;
     }
     if (a.kind == Kind::held) return held_due(*r);
-    Try* t = find_try(r, a.attempt);
+    AttemptState* t = find_attempt(r, a.attempt);
     if (!t || !t->out) return;
     if (a.kind == Kind::limit) {
         if (t->first) return;
         if (!driver_.up(t->time)) return driver_.alarm(Kind::limit, t->time.due(), r, a.attempt, 0, true);
-        stop(*t, t->time.engines_fault() ? Result::late : Result::cancelled, "no answer in time");
+        stop(*t, t->time.endpoint_at_fault() ? AttemptResult::timed_out : AttemptResult::cancelled,
+             "no answer in time");
     } else if (a.kind == Kind::idle) {
         // Guards against a begun stream whose server went silent: nobody else would end it.
         if (r->congested) t->heard = now;
         if (t->heard + kSilence > now)
             return driver_.alarm(Kind::idle, t->heard + kSilence, r, a.attempt, 0, true);
-        stop(*t, Result::reset, "the stream fell silent");
+        stop(*t, AttemptResult::reset, "the stream fell silent");
     }
 }
 
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -95,13 +95,13 @@
     const control::Audit& audit() const { return audit_; }
 
 private:
-    struct Try {
-        std::shared_ptr<Attempt> attempt;
+    struct AttemptState {
+        std::shared_ptr<UpstreamExchange> exchange;
         EndpointId endpoint = 0;
         bool read = false, out = true, first = false, handed = false;
         Millis sent = 0, heard = 0, ended = 0;
-        Result result = Result::served;
-        control::AttemptTime time;
+        AttemptResult result = AttemptResult::served;
+        control::AttemptClock time;
     };
     struct Request;
     enum class Kind { router, limit, idle, hold, release, held, question };
@@ -117,23 +117,23 @@
         bool congested = false;
         control::HeldState held;  // what model servers may hold for it
         Millis held_due = -1;     // when held_due() is called next; below 0: not
-        std::deque<Try> tries;
-        std::shared_ptr<Attempt> hold;
+        std::deque<AttemptState> attempts;
+        std::shared_ptr<UpstreamExchange> hold;
         std::uint64_t release = 0;  // the latest release under way
         Driver::Mine alarms, timeouts;
     };
 
     Request* find(std::uint64_t handle);
     Request* find(const RequestId& id);
-    Try* find_try(Request* r, int attempt);
+    AttemptState* find_attempt(Request* r, int attempt);
     static bool busy(const Request& r);   // an attempt is out
     static bool begun(const Request& r);  // its stream has; no attempt follows that one
     std::optional<EndpointStatus> endpoint_status(EndpointId server);  // by the latest list
     // Whether an attempt may begin now, see control/send_preconditions: asked when it is decided and again
     // before its first byte. `since`: when it was decided; `takes`: it is to take a read state.
     bool may_begin(std::uint64_t handle, EndpointId server, Millis send_by, Millis since, bool takes);
-    void start(const gorsenotch::Attempt& a);
-    void stop(Try& t, Result result, const char* why);
+    void start(const gorsenotch::StartAttempt& a);
+    void stop(AttemptState& t, AttemptResult result, const char* why);
     void hold(const HoldPlace& a);
     void release_held(Request& r, ReleaseReason reason);
     void watch_held(Request& r);
@@ -148,7 +148,7 @@
     void move(Request& r, const char* why);
     void first(std::uint64_t handle, int attempt, std::string_view events);
     void more(std::uint64_t handle, int attempt, std::string_view events);
-    void over(std::uint64_t handle, int attempt, const Ending& e);
+    void over(std::uint64_t handle, int attempt, const AttemptOutcome& e);
     void client_left(Request& r);
     void close(Request& r);
     void on_breach(control::Rule rule, std::uint64_t handle, const std::string& what);
--- a/src/platform/upstream_exchange.cpp
+++ b/src/platform/upstream_exchange.cpp
@@ -24,20 +24,20 @@
 
 }  // namespace
 
-Attempt::Attempt(Kind kind)
+UpstreamExchange::UpstreamExchange(Kind kind)
     : kind_(kind), parser_(http::Parser::Kind::response, http::Limits{kHead, 100, 0, kChunk}) {
     parser_.on_headers = [this] { head(); };
     parser_.on_body = [this](std::string_view b) { body(b); };
     parser_.on_complete = [this] { complete(); };
 }
 
-void Attempt::handed() {
+void UpstreamExchange::handed() {
     if (over_) return;
     handed_ = true;
     if (on_handed) on_handed();
 }
 
-void Attempt::data(std::string_view bytes) {
+void UpstreamExchange::data(std::string_view bytes) {
     if (!over_ && !std::exchange(heard_, true) && on_heard) on_heard();
     if (spoilt_) return;
     if (clean_) {  // behind the end of the answer: the answer is good, the connection is not
@@ -52,7 +52,7 @@
     if (!bytes.empty()) spoilt_ = true;
 }
 
-void Attempt::head() {
+void UpstreamExchange::head() {
     if (over_ || parser_.status < 200) return;
     status_ = parser_.status;
     const auto* away = http::find(parser_.headers, "x-turned-away");
@@ -61,7 +61,7 @@
     stream_ = kind_ == Kind::write && status_ == 200 && type && type->rfind("text/event-stream", 0) == 0;
 }
 
-void Attempt::body(std::string_view bytes) {
+void UpstreamExchange::body(std::string_view bytes) {
     if (over_ || spoilt_) return;
     if (begun_) return on_more ? on_more(bytes) : void();
     if (body_.size() + bytes.size() > (stream_ ? kFirstEvent : kWhole)) return spoil("too long");
@@ -73,7 +73,7 @@
     if (on_first) on_first(first);
 }
 
-void Attempt::complete() {
+void UpstreamExchange::complete() {
     if (parser_.status < 200) {
         if (parser_.status == 101 || ++interim_ > kInterim) spoil("too many interim answers");
         return;
@@ -82,45 +82,47 @@
     clean_ = true;
     if (!parser_.keep_alive) spoilt_ = true;
     if (over_) return;
-    if (kind_ == Kind::call) return finish(Result::served, 0, "");
-    if (turned_away_ && (status_ == 503 || status_ == 504)) return finish(Result::full, 0, "turned away");
-    if (turned_away_ && status_ == 410) return finish(Result::full, 1, "no state to fetch");
-    if (kind_ == Kind::read && status_ == 202) return finish(Result::read_done, cached_tokens(body_), "");
-    if (begun_) return finish(Result::served, 0, "");
-    finish(Result::error, 0, stream_ ? "a stream without an event" : "an error");
+    if (kind_ == Kind::call) return finish(AttemptResult::served, 0, "");
+    if (turned_away_ && (status_ == 503 || status_ == 504))
+        return finish(AttemptResult::rejected, 0, "turned away");
+    if (turned_away_ && status_ == 410) return finish(AttemptResult::rejected, 1, "no state to fetch");
+    if (kind_ == Kind::read && status_ == 202)
+        return finish(AttemptResult::prefill_done, cached_tokens(body_), "");
+    if (begun_) return finish(AttemptResult::served, 0, "");
+    finish(AttemptResult::error, 0, stream_ ? "a stream without an event" : "an error");
 }
 
-void Attempt::spoil(const char* why) {
+void UpstreamExchange::spoil(const char* why) {
     spoilt_ = true;
-    finish(begun_ ? Result::reset : Result::error, 0, why);
+    finish(begun_ ? AttemptResult::reset : AttemptResult::error, 0, why);
 }
 
-void Attempt::ended() {
+void UpstreamExchange::ended() {
     spoilt_ = true;
     // Until its last byte was handed over it can't have run.
-    finish(handed_ ? Result::reset : Result::unreachable, 0, "the connection broke");
+    finish(handed_ ? AttemptResult::reset : AttemptResult::unreachable, 0, "the connection broke");
 }
 
-void Attempt::refused_dial() {
+void UpstreamExchange::refused_dial() {
     spoilt_ = true;
-    finish(Result::unreachable, 0, "no connection came up");
+    finish(AttemptResult::unreachable, 0, "no connection came up");
 }
 
-void Attempt::not_sent() { finish(Result::not_sent, 0, "not sent"); }
+void UpstreamExchange::not_sent() { finish(AttemptResult::not_sent, 0, "not sent"); }
 
-void Attempt::give_up(Result result, const char* why) {
+void UpstreamExchange::give_up(AttemptResult result, const char* why) {
     spoilt_ = true;
     // What never left whole never ran, however it ended.
-    if (!handed_ && result == Result::late) result = Result::unreachable;
-    if (!handed_ && result == Result::cancelled) result = Result::not_sent;
+    if (!handed_ && result == AttemptResult::timed_out) result = AttemptResult::unreachable;
+    if (!handed_ && result == AttemptResult::cancelled) result = AttemptResult::not_sent;
     finish(result, 0, why);
 }
 
-void Attempt::finish(Result result, double note, const char* why) {
+void UpstreamExchange::finish(AttemptResult result, double note, const char* why) {
     if (over_) return;
     over_ = true;
-    Ending e;
-    e.result = result, e.status = status_, e.note = note, e.begun = begun_, e.why = why;
+    AttemptOutcome e;
+    e.result = result, e.status = status_, e.detail = note, e.begun = begun_, e.why = why;
     body_ = std::string();
     const auto f = std::move(on_over);
     if (f) f(e);
--- a/src/platform/upstream_exchange.h
+++ b/src/platform/upstream_exchange.h
@@ -16,15 +16,15 @@
 
 namespace gorsenotch::platform {
 
-struct Ending {
-    Result result = Result::error;
+struct AttemptOutcome {
+    AttemptResult result = AttemptResult::error;
     int status = 0;      // of the answer; 0: none came
-    double note = 0;     // as Outcome::note
+    double detail = 0;   // as Outcome::note
     bool begun = false;  // the stream had begun
     const char* why = "";
 };
 
-class Attempt : public proxy::Carried {
+class UpstreamExchange : public proxy::Carried {
 public:
     enum class Kind { read, write, call };  // call: to hold a place or let go; every answer is its end
 
@@ -34,9 +34,9 @@
     std::function<void()> on_handed;
     std::function<void()> on_heard;  // the first byte of an answer: it has arrived at a server that runs
     std::function<void(std::string_view)> on_first, on_more;
-    std::function<void(const Ending&)> on_over;
+    std::function<void(const AttemptOutcome&)> on_over;
 
-    explicit Attempt(Kind kind);
+    explicit UpstreamExchange(Kind kind);
 
     bool may_go() override { return !over_ && (!on_go || on_go()); }
     void stamp(std::string& request) override {
@@ -56,14 +56,14 @@
     bool lingering() const override { return false; }
 
     // Ends it from this side: its time is up, or nobody wants it any more. Its connection is to be closed.
-    void give_up(Result result, const char* why);
+    void give_up(AttemptResult result, const char* why);
 
 private:
     void head();
     void body(std::string_view bytes);
     void complete();
     void spoil(const char* why);
-    void finish(Result result, double note, const char* why);
+    void finish(AttemptResult result, double note, const char* why);
 
     const Kind kind_;
     http::Parser parser_;
--- a/src/proxy/router_driver.h
+++ b/src/proxy/router_driver.h
@@ -93,19 +93,19 @@
     }
 
     // The time of an attempt that begins now; `end`: the request's own deadline.
-    control::AttemptTime begin(Millis limit, Millis end) {
+    control::AttemptClock begin(Millis limit, Millis end) {
         return {now(), limit, end, lateness_.stood(), lateness_.stood()};
     }
     // Its bytes are handed over. Where its connection opened in a standstill, that is found now and seen to
     // with the next event: the one who calls can't have its connection taken from under it.
-    void handed(control::AttemptTime& t) {
+    void handed(control::AttemptClock& t) {
         lateness_.works(now());
-        if (t.handed) return;
-        t.handed = true, t.stood_handed = lateness_.stood();
+        if (t.written) return;
+        t.written = true, t.stalled_at_write = lateness_.stood();
     }
     // Whether it is up; if not, its end may have moved to a later due().
-    bool up(control::AttemptTime& t) {
-        if (!t.handed) t.stood_handed = lateness_.stood();
+    bool up(control::AttemptClock& t) {
+        if (!t.written) t.stalled_at_write = lateness_.stood();
         return t.due() <= now();
     }
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -94,38 +94,38 @@
         prompt_ += (a.prompt_tokens - prompt_) / seen;
         fresh_ += (fresh(r) - fresh_) / seen;
         if (a.deadline <= now_) return end(r, EndCause::deadline);
-        if (!writer_in_reach()) return end(r, EndCause::no_writer);
-        if (shed(r)) return end(r, EndCause::load);
+        if (!writer_in_reach()) return end(r, EndCause::no_decode_endpoint);
+        if (shed(r)) return end(r, EndCause::shed_load);
         act(SetTimer{r.serial, std::max(now_, a.deadline - s_.step)});
         advance(r);
     }
 
-    void on(const Outcome& o) {
+    void on(const AttemptEnded& o) {
         EndpointState* server = find_endpoint(o.endpoint);
         if (server) hear(*server, o.report);
         const auto it = requests_.find(o.request);
         if (it == requests_.end() || !it->second.out || o.attempt != it->second.attempts - 1) return;
         Request& r = it->second;
-        if (r.stage != streaming) observe_time(r, o.result == Result::read_done);
+        if (r.stage != streaming) observe_time(r, o.result == AttemptResult::prefill_done);
         if (server) settle(*server, r, o);
         // A stream that was called off just as it began, and after all is still owed an answer.
-        if (!o.closed && r.stage == streaming && r.ended && !r.final) r.ended = false;
+        if (!o.request_closed && r.stage == streaming && r.ended && !r.final) r.ended = false;
         leave(r);
         const bool wrote = !(server && server->role == Role::read);
-        if (wrote && !never_ran(o.result) && o.result != Result::read_done && !r.may_have_run) {
+        if (wrote && !never_ran(o.result) && o.result != AttemptResult::prefill_done && !r.may_have_run) {
             r.may_have_run = true;
             r.ran_at = o.endpoint;
             r.ran_sent = r.handed;
         }
-        const bool no_state = o.result == Result::full && o.note == 1;
+        const bool no_state = o.result == AttemptResult::rejected && o.detail == 1;
         if (no_state) hold(r, false);
-        if (o.result == Result::read_done) {
+        if (o.result == AttemptResult::prefill_done) {
             r.reader = o.endpoint;
             hold(r, true);
         }
-        if (o.closed) r.ended = true;
+        if (o.request_closed) r.ended = true;
         if (r.ended) return finish(r);
-        if (o.result != Result::read_done && !no_state) r.failed.push_back(o.endpoint);
+        if (o.result != AttemptResult::prefill_done && !no_state) r.failed.push_back(o.endpoint);
         // Guards against pinned states: a read whose end was lost, or a state whose reader is only cut off,
         // may still stand there though this gateway heard of none.
         if (!r.state) act(DropState{r.a.request});
@@ -283,7 +283,7 @@
     // Sends the request to its next stage, or ends it.
     void advance(Request& r) {
         if (r.a.deadline <= now_) return end(r, EndCause::deadline);
-        if (r.attempts >= s_.max_attempts) return end(r, EndCause::attempts_used);
+        if (r.attempts >= s_.max_attempts) return end(r, EndCause::attempts_exhausted);
         if (r.may_have_run && s_.classes[cls(r)].idempotency == Idempotency::unsafe)
             return end(r, EndCause::may_have_run);
         // Guards against retry storms: each attempt past the ordinary read and write takes from the budget.
@@ -295,13 +295,13 @@
         if (!r.state) to = pick_reader(r);
         const Stage stage = r.state || !to ? waiting : reading;
         if (!to && (r.state || s_.local_read)) to = pick_writer(r);
-        if (!to) return end(r, EndCause::no_server);
+        if (!to) return end(r, EndCause::no_endpoint);
         // Guards against writers kept busy with late answers, which earn little: when others wait and the aim
         // is out of reach, the read is given up. May do harm where late answers are worth much.
         if (r.state && !r.a.resumed && to->out[waiting] > 1 &&
             now_ - r.arrived + completion_time(waiting, r).value() * (to->out[waiting] + 1) >
                 latency_objective(r)) {
-            return end(r, EndCause::late_write);
+            return end(r, EndCause::decode_too_late);
         }
         send(r, *to, stage);
     }
@@ -324,7 +324,8 @@
         s.sends.add(now_);
         s.recent.push_back(now_);
         prune(s);
-        act(Attempt{r.a.request, s.endpoint.id, limit(r, stage), std::min(r.a.deadline, retry_deadline(r))});
+        act(StartAttempt{r.a.request, s.endpoint.id, limit(r, stage),
+                         std::min(r.a.deadline, retry_deadline(r))});
     }
 
     // How long to wait for this attempt. Guards against silence: a request at a dead server must still reach
@@ -396,7 +397,7 @@
         const bool harmless = c.idempotency == Idempotency::idempotent || !(r.may_have_run || r.out) ||
                               (c.idempotency == Idempotency::with_key && c.dedup_scope == DedupScope::all);
         if (harmless) {
-            act(Refuse{r.a.request, s_.retry_after ? std::min(s_.max_retry_after, wait(r)) : 0, cause});
+            act(Reject{r.a.request, s_.retry_after ? std::min(s_.max_retry_after, wait(r)) : 0, cause});
         } else {
             act(Fail{r.a.request, cause});
         }
@@ -709,15 +710,15 @@
     }
 
     // Judges a server by the outcome of an attempt.
-    void settle(EndpointState& s, const Request& r, const Outcome& o) {
+    void settle(EndpointState& s, const Request& r, const AttemptEnded& o) {
         const bool early = s.suspect && r.sent < s.suspected;  // tells nothing new of a suspect
         switch (o.result) {
-            case Result::served:
-            case Result::read_done:
+            case AttemptResult::served:
+            case AttemptResult::prefill_done:
                 s.answered = now_;
                 s.failed[cls(r)] = -kNever;
                 s.broken = false;
-                if (o.result == Result::read_done) sample(s, r, reading);
+                if (o.result == AttemptResult::prefill_done) sample(s, r, reading);
                 if (r.stage == streaming) sample(s, r, streaming);
                 s.errors *= 1 - kErrorStep;
                 if (!early && s.suspect) {
@@ -732,7 +733,7 @@
                     }
                 }
                 return;
-            case Result::unreachable:
+            case AttemptResult::unreachable:
                 // Guards against a whole server shunned, and then taken for cold, for one connection: when it
                 // is down the next does not come up either. Covers connections reset as they open. May do
                 // harm by one more attempt, or one more wait for a connection, at a server that is gone.
@@ -741,30 +742,31 @@
                 s.was_down = true;
                 if (!early) suspect_server(s);
                 return;
-            case Result::full:
-                if (o.note != 1) s.full_until = now_ + completion_time(waiting, r).value();
+            case AttemptResult::rejected:
+                if (o.detail != 1) s.full_until = now_ + completion_time(waiting, r).value();
                 return;
-            case Result::late:
+            case AttemptResult::timed_out:
                 keep_abandoned_read(s, r);
                 if (r.stopped) return;
                 [[fallthrough]];
-            case Result::reset:
+            case AttemptResult::reset:
                 // Guards against servers shunned for streams that break off or are spoilt on the way, which
                 // any may have. Where the server died, the next connection does not come up.
                 if (r.stage == streaming) return;
                 [[fallthrough]];
-            case Result::error:
+            case AttemptResult::error:
                 s.failed[cls(r)] = now_;
                 if (early) return;
-                s.errors += kErrorStep * (o.result == Result::reset ? kResetWeight : 1) * (1 - s.errors);
+                s.errors +=
+                    kErrorStep * (o.result == AttemptResult::reset ? kResetWeight : 1) * (1 - s.errors);
                 // With few visits no second failure comes in time to confirm the first.
                 if (s.suspect || ((s.errors > kErrorFlag || sparse()) && minority(s))) suspect_server(s);
                 return;
-            case Result::cancelled:
+            case AttemptResult::cancelled:
                 keep_abandoned_read(s, r);
                 if (r.stopped && !r.excused) s.failed[cls(r)] = now_;
                 return;
-            case Result::not_sent:
+            case AttemptResult::not_sent:
                 return;
         }
     }
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -48,16 +48,16 @@
     return *value;
 }
 
-Result result(const std::string& s) {
-    return choice<Result>(s, {{"GOOD", Result::served},
-                              {"BAD", Result::error},
-                              {"FULL", Result::full},
-                              {"LATE", Result::late},
-                              {"NOCONN", Result::unreachable},
-                              {"RST", Result::reset},
-                              {"CXL", Result::cancelled},
-                              {"NOP", Result::not_sent},
-                              {"ready_to_answer", Result::read_done}});
+AttemptResult result(const std::string& s) {
+    return choice<AttemptResult>(s, {{"GOOD", AttemptResult::served},
+                                     {"BAD", AttemptResult::error},
+                                     {"FULL", AttemptResult::rejected},
+                                     {"LATE", AttemptResult::timed_out},
+                                     {"NOCONN", AttemptResult::unreachable},
+                                     {"RST", AttemptResult::reset},
+                                     {"CXL", AttemptResult::cancelled},
+                                     {"NOP", AttemptResult::not_sent},
+                                     {"ready_to_answer", AttemptResult::prefill_done}});
 }
 
 LoadReport report(const std::string& s) {
@@ -193,14 +193,14 @@
         a.resumed = bits & 16;
         feed(f[1], a);
     } else if (word == "finished") {
-        Outcome o;
+        AttemptEnded o;
         o.request = part(f, 2);
         o.attempt = whole<int>(part(f, 3));
         o.endpoint = whole<EndpointId>(part(f, 4));
         o.result = result(part(f, 5));
         o.took = number(part(f, 6));
-        o.closed = flag(part(f, 7));
-        o.note = number(part(f, 8));
+        o.request_closed = flag(part(f, 7));
+        o.detail = number(part(f, 8));
         o.report = report(part(f, 9));
         feed(part(f, 1), o);
     } else if (word == "first") {
@@ -211,8 +211,9 @@
     } else if (word == "client_gone") {
         feed(part(f, 1), ClientGone{part(f, 2)});
     } else if (word == "ping_result") {
-        feed(part(f, 1), ProbeResult{whole<EndpointId>(part(f, 3)), result(part(f, 2)) == Result::served,
-                                     number(part(f, 4)), report(part(f, 5))});
+        feed(part(f, 1),
+             ProbeResult{whole<EndpointId>(part(f, 3)), result(part(f, 2)) == AttemptResult::served,
+                         number(part(f, 4)), report(part(f, 5))});
     } else if (word == "due") {
         feed(part(f, 1), Due{whole<std::uint64_t>(part(f, 2))});
     } else if (word == "fleet") {
@@ -260,11 +261,11 @@
         out_ << text.str() << '\n';
     };
     std::visit(
-        Overloaded{[&](const Attempt& a) { say("attempt", a.request, a.endpoint, a.limit); },
+        Overloaded{[&](const StartAttempt& a) { say("attempt", a.request, a.endpoint, a.timeout); },
                    [&](const StopAttempt& a) { say("stop_attempt", a.request, a.attempt); },
                    [&](const HoldPlace& a) { say("hold_place", a.request, a.endpoint); },
                    [&](const DropState& a) { say("drop_state", a.request); },
-                   [&](const Refuse& a) { say("reject", a.request, a.pause); },
+                   [&](const Reject& a) { say("reject", a.request, a.retry_after); },
                    [&](const Fail& a) { say("end_failed", a.request); },
                    [&](const MoveStream& a) { say("reassign", a.request); },
                    [&](const Probe& a) { say("touch", a.endpoint); },
--- a/src/state/decision_journal.cpp
+++ b/src/state/decision_journal.cpp
@@ -26,15 +26,15 @@
                         {"q", a.prefix_tokens}, {"m", a.max_tokens},  {"again", a.client_retry},
                         {"back", a.resumed}};
             },
-            [](const Outcome& o) -> Json {
+            [](const AttemptEnded& o) -> Json {
                 return {{"e", "outcome"},
                         {"r", o.request},
                         {"n", o.attempt},
                         {"s", o.endpoint},
                         {"w", static_cast<int>(o.result)},
                         {"took", o.took},
-                        {"z", o.closed},
-                        {"note", o.note},
+                        {"z", o.request_closed},
+                        {"note", o.detail},
                         {"load", report_json(o.report)}};
             },
             [](const FirstToken& f) -> Json {
@@ -106,11 +106,11 @@
         return a;
     }
     if (e == "outcome") {
-        Outcome o;
+        AttemptEnded o;
         o.request = j.at("r"), o.attempt = whole<int>(j.at("n"));
         o.endpoint = whole<EndpointId>(j.at("s"));
-        o.result = choice(j.at("w"), Result::read_done);
-        o.took = j.at("took"), o.closed = j.at("z"), o.note = j.at("note");
+        o.result = choice(j.at("w"), AttemptResult::prefill_done);
+        o.took = j.at("took"), o.request_closed = j.at("z"), o.detail = j.at("note");
         o.report = report_of(j.at("load"));
         return o;
     }
@@ -140,11 +140,11 @@
 }
 
 Json action_json(const Action& action) {
-    return std::visit(Overloaded{[](const Attempt& a) -> Json {
+    return std::visit(Overloaded{[](const StartAttempt& a) -> Json {
                                      return {{"a", "attempt"},
                                              {"r", a.request},
                                              {"s", a.endpoint},
-                                             {"limit", a.limit},
+                                             {"limit", a.timeout},
                                              {"by", a.send_by}};
                                  },
                                  [](const StopAttempt& a) -> Json {
@@ -156,8 +156,8 @@
                                  [](const DropState& a) -> Json {
                                      return {{"a", "drop"}, {"r", a.request}};
                                  },
-                                 [](const Refuse& a) -> Json {
-                                     return {{"a", "refuse"}, {"r", a.request}, {"pause", a.pause}};
+                                 [](const Reject& a) -> Json {
+                                     return {{"a", "refuse"}, {"r", a.request}, {"pause", a.retry_after}};
                                  },
                                  [](const Fail& a) -> Json {
                                      return {{"a", "fail"}, {"r", a.request}};
--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -6,7 +6,7 @@
 namespace gorsenotch::test {
 namespace {
 
-using control::AttemptTime;
+using control::AttemptClock;
 using control::Lateness;
 
 TEST(Lateness, ASleepIsNoStandstillButAnOversleptOneIs) {
@@ -54,16 +54,16 @@
 }
 
 TEST(Lateness, TimeBeforeTheBytesWereHandedOverIsNotTheEngines) {
-    AttemptTime t{1000, 500, 9000, 0, 0};
+    AttemptClock t{1000, 500, 9000, 0, 0};
     EXPECT_EQ(t.due(), 1500);
-    EXPECT_TRUE(t.engines_fault());
-    t.stood_handed = 2000;
+    EXPECT_TRUE(t.endpoint_at_fault());
+    t.stalled_at_write = 2000;
     EXPECT_EQ(t.due(), 3500);
-    EXPECT_TRUE(t.engines_fault());
-    t.end = 3000;  // the client's deadline moves for nobody
+    EXPECT_TRUE(t.endpoint_at_fault());
+    t.request_deadline = 3000;  // the client's deadline moves for nobody
     EXPECT_EQ(t.due(), 3000);
-    EXPECT_FALSE(t.engines_fault());
-    t.limit = 0;
+    EXPECT_FALSE(t.endpoint_at_fault());
+    t.timeout = 0;
     EXPECT_EQ(t.due(), 3000);
 }
 
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -117,7 +117,7 @@
 
 std::string exchange_trace(std::string_view bytes, std::size_t size, bool read) {
     const auto dialect = engine::vllm();
-    gateway::Exchange e(*dialect, read, 256, 4096);
+    gateway::UpstreamExchange e(*dialect, read, 256, 4096);
     std::string text;
     int firsts = 0, overs = 0, result = -1;
     e.on_first = [&] { need(overs == 0 && ++firsts == 1, "one first token, before the end"); };
@@ -125,7 +125,7 @@
         need(firsts == 1 && overs == 0, "text between the first token and the end");
         text += piece;
     };
-    e.on_over = [&](gateway::Ending ending) {
+    e.on_over = [&](gateway::AttemptOutcome ending) {
         need(++overs == 1, "one end");
         need(ending.begun == (firsts == 1), "the end knows whether it had begun");
         result = static_cast<int>(ending.result);
@@ -229,8 +229,8 @@
     need(id && *id == in.txn, "under the client's id");
 }
 
-std::string attempt_trace(std::string_view bytes, std::size_t size, platform::Attempt::Kind kind) {
-    platform::Attempt a(kind);
+std::string attempt_trace(std::string_view bytes, std::size_t size, platform::UpstreamExchange::Kind kind) {
+    platform::UpstreamExchange a(kind);
     std::string text;
     int firsts = 0, overs = 0, result = -1;
     a.on_first = [&](std::string_view b) {
@@ -241,7 +241,7 @@
         need(firsts == 1 && overs == 0, "events between the first and the end");
         text += b;
     };
-    a.on_over = [&](const platform::Ending& e) {
+    a.on_over = [&](const platform::AttemptOutcome& e) {
         need(++overs == 1 && e.begun == (firsts == 1), "one end, which knows whether it had begun");
         result = static_cast<int>(e.result);
     };
@@ -252,12 +252,12 @@
     });
     a.ended();
     need(overs == 1 && a.over() && !a.reusable(), "an end whatever came, and the connection carries nothing");
-    a.give_up(Result::late, ""), a.data("x"), a.not_sent();
+    a.give_up(AttemptResult::timed_out, ""), a.data("x"), a.not_sent();
     return text + "|" + std::to_string(result);
 }
 
 void attempt(std::string_view bytes) {
-    using Kind = platform::Attempt::Kind;
+    using Kind = platform::UpstreamExchange::Kind;
     for (const auto kind : {Kind::read, Kind::write, Kind::call}) {
         const std::string whole = attempt_trace(bytes, bytes.size() + 1, kind);
         need(attempt_trace(bytes, 1, kind) == whole, "the same end however the bytes are cut");
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -9,7 +9,7 @@
 namespace gorsenotch::test {
 
 using gateway::Core;
-using gateway::Exchange;
+using gateway::UpstreamExchange;
 
 struct FakeClient : gateway::Client {
     std::string stream;
@@ -39,7 +39,7 @@
 struct Sent {
     std::string address;
     engine::Wanted wanted;
-    std::shared_ptr<Exchange> exchange;
+    std::shared_ptr<UpstreamExchange> exchange;
     bool closed = false, paused = false;
     std::string id() const { return *http::find(wanted.headers, "x-request-id"); }
     bool read() const { return wanted.body.find("\"do_remote_decode\":true") != std::string::npos; }
@@ -51,15 +51,15 @@
     std::vector<std::pair<std::string, std::string>> let_go;  // address, read's id
     Millis now() override { return clock; }
     Millis wall_ms() override { return 1e12 + clock; }
-    void start(const std::string& a, engine::Wanted w, std::shared_ptr<Exchange> e) override {
+    void start(const std::string& a, engine::Wanted w, std::shared_ptr<UpstreamExchange> e) override {
         sent.push_back({a, std::move(w), std::move(e)});
     }
-    void pause(const Exchange& e, bool on) override {
+    void pause(const UpstreamExchange& e, bool on) override {
         for (auto& s : sent) {
             if (s.exchange.get() == &e) s.paused = on;
         }
     }
-    void close(const Exchange& e) override {
+    void close(const UpstreamExchange& e) override {
         for (auto& s : sent) {
             if (s.exchange.get() == &e) s.closed = true;
         }
--- a/tests/gateway/upstream_exchange_test.cpp
+++ b/tests/gateway/upstream_exchange_test.cpp
@@ -7,7 +7,7 @@
 struct Seen {
     int firsts = 0, overs = 0;
     std::string text;
-    gateway::Ending ending;
+    gateway::AttemptOutcome ending;
     bool reusable = false, lingering = false;
 };
 
@@ -16,7 +16,7 @@
 // Feeds the bytes in pieces of `size`, then lets the connection do what `then` says.
 Seen run(bool read, const std::string& bytes, Then then, std::size_t size) {
     static const auto dialect = engine::vllm();
-    Exchange e(*dialect, read, 4096, 4096);
+    UpstreamExchange e(*dialect, read, 4096, 4096);
     Seen seen;
     e.on_first = [&] {
         ++seen.firsts;
@@ -27,7 +27,7 @@
         EXPECT_EQ(seen.overs, 0);
         seen.text += t;
     };
-    e.on_over = [&](gateway::Ending end) { ++seen.overs, seen.ending = std::move(end); };
+    e.on_over = [&](gateway::AttemptOutcome end) { ++seen.overs, seen.ending = std::move(end); };
     e.sent();
     for (std::size_t at = 0; at < bytes.size(); at += size) e.data(bytes.substr(at, size));
     if (then == Then::closes) e.ended();
@@ -41,7 +41,7 @@
     bool read;
     std::string bytes;
     Then then;
-    Result result;
+    AttemptResult result;
     std::string text;
     bool reusable;
 };
@@ -59,80 +59,81 @@
         http::chunk("{\"kv_transfer_params\":{\"do_remote_") + http::chunk("prefill\":true}}") +
         std::string(http::last_chunk);
     return {
-        {"stream", false, kWhole, Then::nothing, Result::served, "ab", true},
-        {"read", true, read_answer("x"), Then::nothing, Result::read_done, "", true},
-        {"read in chunks", true, chunked_read, Then::nothing, Result::read_done, "", true},
-        {"silence, then a time-out", false, "", Then::expires, Result::late, "", false},
-        {"reset before the status line", false, "", Then::closes, Result::reset, "", false},
-        {"reset in the status line", false, "HTTP/1.1 20", Then::closes, Result::reset, "", false},
-        {"reset in the headers", false, "HTTP/1.1 200 OK\r\ncontent-type: te", Then::closes, Result::reset,
-         "", false},
-        {"reset after the headers", false, stream_head(), Then::closes, Result::reset, "", false},
-        {"reset between two events", false, stream_head() + delta("a"), Then::closes, Result::reset, "a",
-         false},
+        {"stream", false, kWhole, Then::nothing, AttemptResult::served, "ab", true},
+        {"read", true, read_answer("x"), Then::nothing, AttemptResult::prefill_done, "", true},
+        {"read in chunks", true, chunked_read, Then::nothing, AttemptResult::prefill_done, "", true},
+        {"silence, then a time-out", false, "", Then::expires, AttemptResult::timed_out, "", false},
+        {"reset before the status line", false, "", Then::closes, AttemptResult::reset, "", false},
+        {"reset in the status line", false, "HTTP/1.1 20", Then::closes, AttemptResult::reset, "", false},
+        {"reset in the headers", false, "HTTP/1.1 200 OK\r\ncontent-type: te", Then::closes,
+         AttemptResult::reset, "", false},
+        {"reset after the headers", false, stream_head(), Then::closes, AttemptResult::reset, "", false},
+        {"reset between two events", false, stream_head() + delta("a"), Then::closes, AttemptResult::reset,
+         "a", false},
         {"reset inside an event", false, stream_head() + delta("a") + cut(delta("b"), 20), Then::closes,
-         Result::reset, "a", false},
+         AttemptResult::reset, "a", false},
         {"half an event, then a time-out", false, stream_head() + cut(delta("a"), 20), Then::expires,
-         Result::late, "", false},
+         AttemptResult::timed_out, "", false},
         {"reset after the stop: all text was there", false, stream_head() + delta("a") + stop_event(),
-         Then::closes, Result::served, "a", false},
+         Then::closes, AttemptResult::served, "a", false},
         {"the end without a stop", false, stream_head() + delta("a") + done_event(), Then::nothing,
-         Result::reset, "a", false},
+         AttemptResult::reset, "a", false},
         {"the message's end without any event", false, stream_head() + std::string(http::last_chunk),
-         Then::nothing, Result::error, "", false},
+         Then::nothing, AttemptResult::error, "", false},
         {"no last marker", false, stream_head() + delta("a") + stop_event() + std::string(http::last_chunk),
-         Then::nothing, Result::served, "a", true},
+         Then::nothing, AttemptResult::served, "a", true},
         {"an event after the last", false,
          stream_head() + delta("a") + stop_event() + http::chunk("data: [DONE]\n\n") + delta("z") +
              std::string(http::last_chunk),
-         Then::nothing, Result::served, "a", false},
+         Then::nothing, AttemptResult::served, "a", false},
         {"text after the stop", false, stream_head() + delta("a") + stop_event() + delta("z") + done_event(),
-         Then::nothing, Result::served, "a", true},
-        {"bytes after the message", false, kWhole + "HTTP/1.1 200 OK\r\n", Then::nothing, Result::served,
-         "ab", false},
+         Then::nothing, AttemptResult::served, "a", true},
+        {"bytes after the message", false, kWhole + "HTTP/1.1 200 OK\r\n", Then::nothing,
+         AttemptResult::served, "ab", false},
         {"two answers to one request", true, read_answer("x") + read_answer("y"), Then::nothing,
-         Result::read_done, "", false},
+         AttemptResult::prefill_done, "", false},
         {"an error inside the stream", false,
          stream_head() + delta("a") + http::chunk("data: {\"error\":{\"message\":\"oom\"}}\n\n"),
-         Then::nothing, Result::reset, "a", false},
+         Then::nothing, AttemptResult::reset, "a", false},
         {"not JSON in the stream", false, stream_head() + http::chunk("data: {\"choi\n\n"), Then::nothing,
-         Result::error, "", false},
+         AttemptResult::error, "", false},
         {"unknown events are passed by", false,
          stream_head() + http::chunk(": hello\n\nevent: x\ndata: {\"object\":\"new\"}\n\n") + delta("a") +
              stop_event() + done_event(),
-         Then::nothing, Result::served, "a", true},
-        {"no transfer parameters", true, json(200, "{\"choices\":[]}"), Then::nothing, Result::error, "",
-         true},
+         Then::nothing, AttemptResult::served, "a", true},
+        {"no transfer parameters", true, json(200, "{\"choices\":[]}"), Then::nothing, AttemptResult::error,
+         "", true},
         {"transfer parameters of a wrong form", true, json(200, "{\"kv_transfer_params\":[1]}"),
-         Then::nothing, Result::error, "", true},
+         Then::nothing, AttemptResult::error, "", true},
         {"a length that is too long", true, "HTTP/1.1 200 OK\r\ncontent-length: 500\r\n\r\n{}", Then::closes,
-         Result::reset, "", false},
+         AttemptResult::reset, "", false},
         {"a length that is too short", true, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}{}{}",
-         Then::nothing, Result::error, "", false},
+         Then::nothing, AttemptResult::error, "", false},
         {"both forms of length", true,
          "HTTP/1.1 200 OK\r\ncontent-length: 2\r\ntransfer-encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n",
-         Then::nothing, Result::error, "", false},
+         Then::nothing, AttemptResult::error, "", false},
         {"a redirect", false, "HTTP/1.1 302 Found\r\nlocation: /x\r\ncontent-length: 0\r\n\r\n",
-         Then::nothing, Result::error, "", true},
-        {"not HTTP", false, "SSH-2.0-OpenSSH\r\n", Then::nothing, Result::error, "", false},
-        {"a full engine", false, json(429, "{}"), Then::nothing, Result::full, "", true},
-        {"an error", false, json(500, "{}"), Then::nothing, Result::error, "", true},
-        {"503 may have run", false, json(503, "{}"), Then::nothing, Result::error, "", true},
-        {"JSON where a stream was asked for", false, json(200, "{}"), Then::nothing, Result::error, "", true},
+         Then::nothing, AttemptResult::error, "", true},
+        {"not HTTP", false, "SSH-2.0-OpenSSH\r\n", Then::nothing, AttemptResult::error, "", false},
+        {"a full engine", false, json(429, "{}"), Then::nothing, AttemptResult::rejected, "", true},
+        {"an error", false, json(500, "{}"), Then::nothing, AttemptResult::error, "", true},
+        {"503 may have run", false, json(503, "{}"), Then::nothing, AttemptResult::error, "", true},
+        {"JSON where a stream was asked for", false, json(200, "{}"), Then::nothing, AttemptResult::error, "",
+         true},
         {"a line without end", false, stream_head() + http::chunk("data: " + std::string(6000, 'x')),
-         Then::nothing, Result::error, "", false},
+         Then::nothing, AttemptResult::error, "", false},
         {"a line without end after text", false,
-         stream_head() + delta("a") + http::chunk(std::string(6000, 'x')), Then::nothing, Result::reset, "a",
-         false},
+         stream_head() + delta("a") + http::chunk(std::string(6000, 'x')), Then::nothing,
+         AttemptResult::reset, "a", false},
         {"a body without end", true, "HTTP/1.1 200 OK\r\n\r\n" + std::string(6000, 'x'), Then::nothing,
-         Result::error, "", false},
+         AttemptResult::error, "", false},
         {"headers without end", true, "HTTP/1.1 200 OK\r\nx: " + std::string(20000, 'x'), Then::nothing,
-         Result::error, "", false},
+         AttemptResult::error, "", false},
         {"closes after a good answer", false,
          http::response_head(200, {{"content-type", "text/event-stream"}}) +
              "data: {\"choices\":[{\"delta\":{\"content\":\"a\"},\"finish_reason\":\"stop\"}]}\n\ndata: "
              "[DONE]\n\n",
-         Then::closes, Result::served, "a", false},
+         Then::closes, AttemptResult::served, "a", false},
     };
 }
 
@@ -156,34 +157,34 @@
         EXPECT_EQ(s.overs, 1);
         EXPECT_EQ(std::string("ab").rfind(s.text, 0), 0u);
         const bool stopped = n >= (stream_head() + delta("a") + delta("b") + stop_event()).size() - 2;
-        EXPECT_EQ(s.ending.result == Result::served, stopped) << n;
+        EXPECT_EQ(s.ending.result == AttemptResult::served, stopped) << n;
         EXPECT_FALSE(s.reusable);
     }
 }
 
 TEST(Exchange, OnlyAnUnopenedConnectionIsSurelyUndelivered) {
     const auto dialect = engine::vllm();
-    const auto end = [&](bool sent, void (Exchange::*how)()) {
-        Exchange e(*dialect, false, 100, 100);
-        Result r = Result::served;
-        e.on_over = [&](gateway::Ending x) { r = x.result; };
+    const auto end = [&](bool sent, void (UpstreamExchange::*how)()) {
+        UpstreamExchange e(*dialect, false, 100, 100);
+        AttemptResult r = AttemptResult::served;
+        e.on_over = [&](gateway::AttemptOutcome x) { r = x.result; };
         if (sent) e.sent();
         (e.*how)();
         return r;
     };
-    EXPECT_EQ(end(false, &Exchange::refused_dial), Result::unreachable);
-    EXPECT_EQ(end(false, &Exchange::ended), Result::unreachable);
-    EXPECT_EQ(end(false, &Exchange::expired), Result::unreachable);
-    EXPECT_EQ(end(true, &Exchange::ended), Result::reset);
-    EXPECT_EQ(end(true, &Exchange::expired), Result::late);
-    EXPECT_EQ(end(true, &Exchange::cancelled), Result::cancelled);
+    EXPECT_EQ(end(false, &UpstreamExchange::refused_dial), AttemptResult::unreachable);
+    EXPECT_EQ(end(false, &UpstreamExchange::ended), AttemptResult::unreachable);
+    EXPECT_EQ(end(false, &UpstreamExchange::expired), AttemptResult::unreachable);
+    EXPECT_EQ(end(true, &UpstreamExchange::ended), AttemptResult::reset);
+    EXPECT_EQ(end(true, &UpstreamExchange::expired), AttemptResult::timed_out);
+    EXPECT_EQ(end(true, &UpstreamExchange::cancelled), AttemptResult::cancelled);
 }
 
 TEST(Exchange, NothingAfterItsEnd) {
     const auto dialect = engine::vllm();
-    Exchange e(*dialect, false, 4096, 4096);
+    UpstreamExchange e(*dialect, false, 4096, 4096);
     int overs = 0, texts = 0;
-    e.on_over = [&](gateway::Ending) { ++overs; };
+    e.on_over = [&](gateway::AttemptOutcome) { ++overs; };
     e.on_text = [&](std::string_view) { ++texts; };
     e.sent();
     e.data(stream_head() + delta("a"));
--- a/tests/platform/access_log_test.cpp
+++ b/tests/platform/access_log_test.cpp
@@ -22,8 +22,8 @@
     const AccessLog log(s);
     RequestRecord p;
     p.prompt_tokens = 2000;  // aim: 1,200 ms
-    p.attempts = {{"r", true, false, Result::read_done, 0, 100},
-                  {"w", false, false, Result::served, 100, 2000}};
+    p.attempts = {{"r", true, false, AttemptResult::prefill_done, 0, 100},
+                  {"w", false, false, AttemptResult::served, 100, 2000}};
     p.first = 200, p.ended = 2000, p.tokens = 100;
     EXPECT_EQ(log.served(p), Disposition::in_time);
     p.tokens = 20;
@@ -41,17 +41,18 @@
     const Settings s = chat();
     AccessLog log(s);
     int told = 0;
-    for (int i = 0; i < 1000; ++i) told += log.count(i, Disposition::refused, EndCause::load);
+    for (int i = 0; i < 1000; ++i) told += log.count(i, Disposition::refused, EndCause::shed_load);
     EXPECT_EQ(told, AccessLog::kLinesPerSecond);
     EXPECT_EQ(log.not_logged(), 1000u - AccessLog::kLinesPerSecond);
     EXPECT_TRUE(log.count(1001, Disposition::refused));
     EXPECT_FALSE(log.count(5000, Disposition::in_time)) << "what ended well is only counted";
     EXPECT_EQ(log.dispositions()[static_cast<std::size_t>(Disposition::refused)], 1001u);
-    EXPECT_EQ(log.causes()[static_cast<std::size_t>(EndCause::load)], 1000u);
+    EXPECT_EQ(log.causes()[static_cast<std::size_t>(EndCause::shed_load)], 1000u);
     RequestRecord p;
     p.txn = "t1", p.ended = 900;
     p.cause = EndCause::retry_budget;
-    for (int i = 0; i < 500; ++i) p.attempts.push_back({"w1", false, false, Result::unreachable, 1, 251});
+    for (int i = 0; i < 500; ++i)
+        p.attempts.push_back({"w1", false, false, AttemptResult::unreachable, 1, 251});
     const std::string line = log.line(p, Disposition::refused);
     EXPECT_EQ(line.rfind("t1 refused cause retry_budget class 0", 0), 0u) << line;
     EXPECT_NE(line.find("write w1 1 +250 unreachable"), std::string::npos) << line;
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -253,11 +253,12 @@
 
 struct Told {
     std::string events;
-    std::optional<Ending> end;
-    std::shared_ptr<platform::Attempt> attempt;
-    explicit Told(platform::Attempt::Kind kind) : attempt(std::make_shared<platform::Attempt>(kind)) {
+    std::optional<AttemptOutcome> end;
+    std::shared_ptr<platform::UpstreamExchange> attempt;
+    explicit Told(platform::UpstreamExchange::Kind kind)
+        : attempt(std::make_shared<platform::UpstreamExchange>(kind)) {
         attempt->on_first = attempt->on_more = [this](std::string_view b) { events.append(b); };
-        attempt->on_over = [this](const Ending& e) {
+        attempt->on_over = [this](const AttemptOutcome& e) {
             EXPECT_FALSE(end);
             end = e;
         };
@@ -269,42 +270,43 @@
     }
 };
 
-using Kind = platform::Attempt::Kind;
+using Kind = platform::UpstreamExchange::Kind;
 TEST(PlatformAttempt, OutcomesByTheTableInPiecesOfEverySize) {
     const std::string away = "X-Turned-Away: 1\r\ncontent-length: 0\r\n\r\n";
     struct Case {
         Kind kind;
         std::string bytes;
-        Result result;
+        AttemptResult result;
         double note;
         bool reusable;
     };
     const Case cases[] = {
         {Kind::read, "HTTP/1.1 202 Accepted\r\ncontent-length: 23\r\n\r\n{\"cached_tokens\": 4096}",
-         Result::read_done, 4096, true},
-        {Kind::read, "HTTP/1.1 202 Accepted\r\ncontent-length: 4\r\n\r\nnone", Result::read_done, 0, true},
+         AttemptResult::prefill_done, 4096, true},
+        {Kind::read, "HTTP/1.1 202 Accepted\r\ncontent-length: 4\r\n\r\nnone", AttemptResult::prefill_done, 0,
+         true},
         {Kind::write, kStream + chunked("data: a\n\n") + chunked("data: [DONE]\n\n") + "0\r\n\r\n",
-         Result::served, 0, true},
+         AttemptResult::served, 0, true},
         {Kind::write,
          "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n\r\n" + kStream + chunked("data: a\n\n") +
              "0\r\n\r\n",
-         Result::served, 0, true},
+         AttemptResult::served, 0, true},
         {Kind::write,
          kStream + chunked("data: a\n\n") + "0\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n",
-         Result::served, 0, false},
-        {Kind::write, "HTTP/1.1 503 no\r\n" + away, Result::full, 0, true},
-        {Kind::read, "HTTP/1.1 504 no\r\n" + away, Result::full, 0, true},
-        {Kind::write, "HTTP/1.1 410 Gone\r\n" + away, Result::full, 1, true},
-        {Kind::write, "HTTP/1.1 503 no\r\ncontent-length: 0\r\n\r\n", Result::error, 0, true},
-        {Kind::write, "HTTP/1.1 500 no\r\ncontent-length: 0\r\n\r\n", Result::error, 0, true},
-        {Kind::write, "noise and more noise\r\n\r\n", Result::error, 0, false},
-        {Kind::write, "HTTP/1.1 200 OK\r\nx: " + std::string(40000, 'x'), Result::error, 0, false},
-        {Kind::write, kStream + "zz\r\n", Result::error, 0, false},
-        {Kind::write, kStream + "c0000000\r\nxxxx", Result::error, 0, false},
-        {Kind::write, kStream + chunked("data: half"), Result::error, 0, false},  // and then "zz"
-        {Kind::write, kStream + chunked("data: a\n\n") + "c0000000\r\nxxxx", Result::reset, 0, false},
-        {Kind::write, kStream + chunked("data: a\n\n") + "2\r\nabcdef\r\n", Result::reset, 0, false},
-        {Kind::call, "HTTP/1.1 204 No Content\r\n\r\n", Result::served, 0, true},
+         AttemptResult::served, 0, false},
+        {Kind::write, "HTTP/1.1 503 no\r\n" + away, AttemptResult::rejected, 0, true},
+        {Kind::read, "HTTP/1.1 504 no\r\n" + away, AttemptResult::rejected, 0, true},
+        {Kind::write, "HTTP/1.1 410 Gone\r\n" + away, AttemptResult::rejected, 1, true},
+        {Kind::write, "HTTP/1.1 503 no\r\ncontent-length: 0\r\n\r\n", AttemptResult::error, 0, true},
+        {Kind::write, "HTTP/1.1 500 no\r\ncontent-length: 0\r\n\r\n", AttemptResult::error, 0, true},
+        {Kind::write, "noise and more noise\r\n\r\n", AttemptResult::error, 0, false},
+        {Kind::write, "HTTP/1.1 200 OK\r\nx: " + std::string(40000, 'x'), AttemptResult::error, 0, false},
+        {Kind::write, kStream + "zz\r\n", AttemptResult::error, 0, false},
+        {Kind::write, kStream + "c0000000\r\nxxxx", AttemptResult::error, 0, false},
+        {Kind::write, kStream + chunked("data: half"), AttemptResult::error, 0, false},  // and then "zz"
+        {Kind::write, kStream + chunked("data: a\n\n") + "c0000000\r\nxxxx", AttemptResult::reset, 0, false},
+        {Kind::write, kStream + chunked("data: a\n\n") + "2\r\nabcdef\r\n", AttemptResult::reset, 0, false},
+        {Kind::call, "HTTP/1.1 204 No Content\r\n\r\n", AttemptResult::served, 0, true},
     };
     for (const auto& c : cases) {
         for (const std::size_t piece : {std::size_t{1}, std::size_t{2}, std::size_t{7}, std::size_t{50000}}) {
@@ -313,7 +315,7 @@
             if (c.bytes.ends_with("data: half\r\n")) t.feed("zz\r\n", piece);
             ASSERT_TRUE(t.end) << c.bytes.substr(0, 60) << " by " << piece;
             EXPECT_EQ(t.end->result, c.result) << c.bytes.substr(0, 60);
-            EXPECT_EQ(t.end->note, c.note);
+            EXPECT_EQ(t.end->detail, c.note);
             EXPECT_EQ(t.attempt->reusable(), c.reusable) << c.bytes.substr(0, 60) << " by " << piece;
         }
     }
@@ -330,33 +332,33 @@
         EXPECT_FALSE(t.end);
         t.feed("0\r\n\r\n", piece);
         ASSERT_TRUE(t.end);
-        EXPECT_EQ(t.end->result, Result::served);
+        EXPECT_EQ(t.end->result, AttemptResult::served);
     }
     Told half(Kind::write);
     half.feed(kStream + chunked("data: {"), 100);
     EXPECT_EQ(half.events, "");
     half.attempt->ended();
-    EXPECT_EQ(half.end->result, Result::reset);
+    EXPECT_EQ(half.end->result, AttemptResult::reset);
     EXPECT_FALSE(half.end->begun);
 }
 
 TEST(PlatformAttempt, WhatBrokeBeforeTheLastByteNeverRan) {
-    platform::Attempt a(Kind::write);
-    Result r = Result::served;
-    a.on_over = [&](const Ending& e) { r = e.result; };
+    platform::UpstreamExchange a(Kind::write);
+    AttemptResult r = AttemptResult::served;
+    a.on_over = [&](const AttemptOutcome& e) { r = e.result; };
     a.sent();
     a.ended();
-    EXPECT_EQ(r, Result::unreachable);
-    platform::Attempt b(Kind::write);
-    b.on_over = [&](const Ending& e) { r = e.result; };
+    EXPECT_EQ(r, AttemptResult::unreachable);
+    platform::UpstreamExchange b(Kind::write);
+    b.on_over = [&](const AttemptOutcome& e) { r = e.result; };
     b.sent();
     b.handed();
     b.ended();
-    EXPECT_EQ(r, Result::reset);
-    platform::Attempt c(Kind::write);
-    c.on_over = [&](const Ending& e) { r = e.result; };
-    c.give_up(Result::late, "");
-    EXPECT_EQ(r, Result::unreachable) << "no connection came up in its time";
+    EXPECT_EQ(r, AttemptResult::reset);
+    platform::UpstreamExchange c(Kind::write);
+    c.on_over = [&](const AttemptOutcome& e) { r = e.result; };
+    c.give_up(AttemptResult::timed_out, "");
+    EXPECT_EQ(r, AttemptResult::unreachable) << "no connection came up in its time";
 }
 
 }  // namespace
--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -52,7 +52,7 @@
 struct PlatformWorld : Ports {
     struct Sent {
         std::string address, request;
-        std::shared_ptr<platform::Attempt> attempt;
+        std::shared_ptr<platform::UpstreamExchange> attempt;
         bool closed = false;
     };
     Millis clock = 1000;
@@ -60,7 +60,7 @@
     bool dials_wait = false;  // the test says itself when one has come up
     std::vector<Sent> sent;
     Millis now() override { return clock; }
-    void start(const std::string& address, std::string request, std::shared_ptr<platform::Attempt> a,
+    void start(const std::string& address, std::string request, std::shared_ptr<platform::UpstreamExchange> a,
                Connection) override {
         if (dials_wait) return sent.push_back({address, std::move(request), std::move(a), false});
         if (!a->may_go()) {
@@ -73,8 +73,8 @@
         a->handed();
         sent.push_back({address, std::move(request), std::move(a), false});
     }
-    void pause(const platform::Attempt&, bool) override {}
-    void close(const platform::Attempt& a) override {
+    void pause(const platform::UpstreamExchange&, bool) override {}
+    void close(const platform::UpstreamExchange& a) override {
         for (auto& s : sent) s.closed |= s.attempt.get() == &a;
     }
     bool connected(const std::string&) override { return false; }
--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -261,8 +261,8 @@
     relay.shutdown();
     EXPECT_EQ(client.ended, 1);
     EXPECT_TRUE(write->over()) << "called off";
-    EXPECT_EQ(relay.counts().results[static_cast<int>(Result::not_sent)], 1u);
-    EXPECT_EQ(relay.counts().results[static_cast<int>(Result::cancelled)], 0u);
+    EXPECT_EQ(relay.counts().results[static_cast<int>(AttemptResult::not_sent)], 1u);
+    EXPECT_EQ(relay.counts().results[static_cast<int>(AttemptResult::cancelled)], 0u);
     settle();
 }
 
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -72,15 +72,15 @@
         end.after(ms);
         loop.run();
     }
-    std::shared_ptr<platform::Attempt> start(std::optional<platform::Ending>& end) {
-        auto call = std::make_shared<platform::Attempt>(platform::Attempt::Kind::call);
-        call->on_over = [&end](const platform::Ending& e) { end = e; };
+    std::shared_ptr<platform::UpstreamExchange> start(std::optional<platform::AttemptOutcome>& end) {
+        auto call = std::make_shared<platform::UpstreamExchange>(platform::UpstreamExchange::Kind::call);
+        call->on_over = [&end](const platform::AttemptOutcome& e) { end = e; };
         upstream.start(server.address(), "DELETE /x HTTP/1.1\r\n\r\n", call);
         return call;
     }
     // One exchange on a new connection, which is kept and has rested.
     void exchange() {
-        std::optional<platform::Ending> end;
+        std::optional<platform::AttemptOutcome> end;
         start(end);
         run(10);
         server.accept();
@@ -93,7 +93,7 @@
     }
     // A request that must come on the second connection and be answered.
     void expect_on_another() {
-        std::optional<platform::Ending> end;
+        std::optional<platform::AttemptOutcome> end;
         start(end);
         run(10);
         server.accept();
@@ -104,13 +104,13 @@
         run(10);
         ASSERT_TRUE(end);
         EXPECT_EQ(end->status, 204);
-        EXPECT_EQ(end->result, Result::served);
+        EXPECT_EQ(end->result, AttemptResult::served);
     }
 };
 
 TEST_F(UpstreamTest, AKeptConnectionCarriesTheNextRequest) {
     exchange();
-    std::optional<platform::Ending> end;
+    std::optional<platform::AttemptOutcome> end;
     start(end);
     run(10);
     EXPECT_NE(server.read(0), "");
@@ -133,7 +133,7 @@
 
 // Found in the page of the fleet days: a second answer may come some milliseconds behind the first.
 TEST_F(UpstreamTest, ASecondAnswerSomeMillisecondsLateIsNobodys) {
-    std::optional<platform::Ending> first;
+    std::optional<platform::AttemptOutcome> first;
     start(first);
     run(10);
     server.accept();
@@ -142,7 +142,7 @@
     server.write(0, kAnswer);
     run(5);
     ASSERT_TRUE(first);
-    std::optional<platform::Ending> next;
+    std::optional<platform::AttemptOutcome> next;
     start(next);
     server.write(0, kAnswer);  // the second one, right behind the next request's first byte
     run(10);
--- a/tests/router/fleet_test.cpp
+++ b/tests/router/fleet_test.cpp
@@ -34,7 +34,7 @@
     // The server of the last action, if that is an attempt.
     static EndpointId attempted(const Bench& bench) {
         for (const auto& action : bench.actions) {
-            if (const auto* attempt = std::get_if<Attempt>(&action)) return attempt->endpoint;
+            if (const auto* attempt = std::get_if<StartAttempt>(&action)) return attempt->endpoint;
         }
         return 0;
     }
@@ -71,7 +71,7 @@
         const auto now = 10 + static_cast<Millis>(session);
         const RequestId id = "s" + std::to_string(session);
         const EndpointId read = ask(bench, id, now, session);
-        bench.feed(now, outcome(id, 0, read, Result::read_done));
+        bench.feed(now, outcome(id, 0, read, AttemptResult::prefill_done));
         const EndpointId written = attempted(bench);
         ASSERT_NE(written, 0u);
         same += (written - 1000) / kCellSize == (read - 1000) / kCellSize;
@@ -94,11 +94,11 @@
         const auto now = 500 + 100 * static_cast<Millis>(session);
         const RequestId id = "s" + std::to_string(session);
         ASSERT_EQ(ask(bench, id, now, session), entries[1234].id);
-        bench.feed(now + 10, outcome(id, 0, entries[1234].id, Result::read_done));
+        bench.feed(now + 10, outcome(id, 0, entries[1234].id, AttemptResult::prefill_done));
         ASSERT_EQ(attempted(bench), entries[1235].id);
         FirstToken first{id, 1, entries[1235].id, 20};
         bench.feed(now + 30, first);
-        bench.feed(now + 60, outcome(id, 1, entries[1235].id, Result::served, true));
+        bench.feed(now + 60, outcome(id, 1, entries[1235].id, AttemptResult::served, true));
     }
     EXPECT_TRUE(bench.checker.breaches.empty()) << bench.checker.breaches.front();
 }
--- a/tests/router/guards_test.cpp
+++ b/tests/router/guards_test.cpp
@@ -18,18 +18,18 @@
     }
     EndpointId read_at(const RequestId& id, Millis now) {
         bench->feed(now, arrival(id, now));
-        const auto a = bench->all<Attempt>();
+        const auto a = bench->all<StartAttempt>();
         return a.empty() ? 0 : a[0].endpoint;
     }
     // Takes a request through read and stream, `pace` ms a stage, wherever the Router sends it.
     EndpointId serve(const RequestId& id, Millis now) {
         const EndpointId r = read_at(id, now);
         if (!r) return 0;
-        bench->feed(now + 5, outcome(id, 0, r, Result::read_done));
-        const auto a = bench->all<Attempt>();
+        bench->feed(now + 5, outcome(id, 0, r, AttemptResult::prefill_done));
+        const auto a = bench->all<StartAttempt>();
         if (a.empty()) return r;
         bench->feed(now + 8, FirstToken{id, 1, a[0].endpoint, 3});
-        bench->feed(now + 9, outcome(id, 1, a[0].endpoint, Result::served, true));
+        bench->feed(now + 9, outcome(id, 1, a[0].endpoint, AttemptResult::served, true));
         return r;
     }
     static constexpr Millis kNever = 1e18;
@@ -44,19 +44,20 @@
             while (!ends.empty() && ends.begin()->first <= now) {
                 const RequestId id = ends.begin()->second;
                 ends.erase(ends.begin());
-                if (where.count(id)) bench->feed(now - 1, outcome(id, 1, where[id], Result::served, true));
+                if (where.count(id))
+                    bench->feed(now - 1, outcome(id, 1, where[id], AttemptResult::served, true));
                 where.erase(id);
             }
             bench->run_to(now);
             for (const auto& m : bench->all<MoveStream>()) {
                 moved(where[m.request]);
-                bench->feed(now, outcome(m.request, 1, where[m.request], Result::cancelled, true));
+                bench->feed(now, outcome(m.request, 1, where[m.request], AttemptResult::cancelled, true));
                 where.erase(m.request);
             }
             const RequestId id = "s" + std::to_string(i);
             if (!read_at(id, now)) continue;
-            bench->feed(now + 1, outcome(id, 0, 1, Result::read_done));
-            const auto a = bench->all<Attempt>();
+            bench->feed(now + 1, outcome(id, 0, 1, AttemptResult::prefill_done));
+            const auto a = bench->all<StartAttempt>();
             if (a.empty()) continue;
             bench->feed(now + 2, FirstToken{id, 1, a[0].endpoint, 1});
             where[id] = a[0].endpoint;
@@ -70,11 +71,11 @@
 TEST_F(Guards, AnUnreachableServerIsLeftOnceASecondConnectionFails) {
     start(plain_settings(), {reader(1), reader(2), writer(11)});
     const EndpointId dead = read_at("a", 10);
-    bench->feed(20, outcome("a", 0, dead, Result::unreachable));
-    EXPECT_NE(bench->all<Attempt>().at(0).endpoint, dead);
+    bench->feed(20, outcome("a", 0, dead, AttemptResult::unreachable));
+    EXPECT_NE(bench->all<StartAttempt>().at(0).endpoint, dead);
     int n = 0;
     while (read_at("b" + std::to_string(++n), 25) != dead) ASSERT_LT(n, 10);
-    bench->feed(28, outcome("b" + std::to_string(n), 0, dead, Result::unreachable));
+    bench->feed(28, outcome("b" + std::to_string(n), 0, dead, AttemptResult::unreachable));
     for (int i = 0; i < 10; ++i) EXPECT_NE(read_at("r" + std::to_string(i), 30 + i), dead);
 }
 
@@ -88,11 +89,11 @@
         int attempt = 0;
         while (to == 1) {
             ++at_bad;
-            bench->feed(now + 1, outcome(id, attempt++, 1, Result::error));
-            const auto a = bench->all<Attempt>();
+            bench->feed(now + 1, outcome(id, attempt++, 1, AttemptResult::error));
+            const auto a = bench->all<StartAttempt>();
             to = a.empty() ? 0 : a[0].endpoint;
         }
-        if (to) bench->feed(now + 2, outcome(id, attempt, to, Result::read_done));
+        if (to) bench->feed(now + 2, outcome(id, attempt, to, AttemptResult::prefill_done));
         bench->feed(now + 3, ClientGone{id});
     }
     EXPECT_LE(at_bad, 8);
@@ -109,9 +110,9 @@
     bench->run_to(1600);  // within the aim of a second
     const auto stops = bench->all<StopAttempt>();
     ASSERT_EQ(stops.size(), 1u);
-    bench->feed(1601, outcome("stuck", 0, silent, Result::cancelled));
-    ASSERT_EQ(bench->all<Attempt>().size(), 1u);
-    EXPECT_NE(bench->all<Attempt>()[0].endpoint, silent);
+    bench->feed(1601, outcome("stuck", 0, silent, AttemptResult::cancelled));
+    ASSERT_EQ(bench->all<StartAttempt>().size(), 1u);
+    EXPECT_NE(bench->all<StartAttempt>()[0].endpoint, silent);
 }
 
 // The gateway stands still for two seconds: no timer comes, then all that waited comes at once. None of the
@@ -131,8 +132,8 @@
     bench->run_to(2901);                      // and every timer that fell due meanwhile
     EXPECT_TRUE(bench->all<StopAttempt>().empty());
     for (const auto& [id, server] : at) {
-        bench->feed(2902, outcome(id, 0, server, Result::read_done));
-        EXPECT_EQ(bench->all<Attempt>().size(), 1u) << id;
+        bench->feed(2902, outcome(id, 0, server, AttemptResult::prefill_done));
+        EXPECT_EQ(bench->all<StartAttempt>().size(), 1u) << id;
     }
     std::set<EndpointId> used;
     for (int i = 0; i < 30; ++i) used.insert(read_at("n" + std::to_string(i), 2910 + i));
@@ -173,28 +174,28 @@
     int n = 0;
     Millis now = 10;
     // The next read that goes to `server` ends so; those before it end well. Of 30 none may go there: "".
-    const auto next_at = [&](EndpointId server, Result result) {
+    const auto next_at = [&](EndpointId server, AttemptResult result) {
         for (int i = 0; i < 30; ++i) {
             const RequestId id = "r" + std::to_string(++n);
             const EndpointId to = read_at(id, now += 2);
-            bench->feed(now += 1, outcome(id, 0, to, to == server ? result : Result::read_done));
-            const auto a = bench->all<Attempt>();
+            bench->feed(now += 1, outcome(id, 0, to, to == server ? result : AttemptResult::prefill_done));
+            const auto a = bench->all<StartAttempt>();
             bench->feed(now += 1, ClientGone{id});
-            if (!a.empty()) bench->feed(now, outcome(id, 1, a[0].endpoint, Result::not_sent, true));
+            if (!a.empty()) bench->feed(now, outcome(id, 1, a[0].endpoint, AttemptResult::not_sent, true));
             if (to == server) return true;
         }
         return false;
     };
-    for (const Result one : {Result::reset, Result::unreachable}) {
+    for (const AttemptResult one : {AttemptResult::reset, AttemptResult::unreachable}) {
         EXPECT_TRUE(next_at(1, one));
-        EXPECT_TRUE(next_at(1, Result::read_done));
+        EXPECT_TRUE(next_at(1, AttemptResult::prefill_done));
         EXPECT_TRUE(next_at(1, one));  // answered in between: alone again
-        EXPECT_TRUE(next_at(1, Result::read_done));
-        for (int i = 0; i < 5; ++i) EXPECT_TRUE(next_at(1, Result::read_done));
+        EXPECT_TRUE(next_at(1, AttemptResult::prefill_done));
+        for (int i = 0; i < 5; ++i) EXPECT_TRUE(next_at(1, AttemptResult::prefill_done));
     }
-    EXPECT_TRUE(next_at(1, Result::unreachable));
-    EXPECT_TRUE(next_at(1, Result::unreachable));  // two running: it is down
-    EXPECT_FALSE(next_at(1, Result::read_done));
+    EXPECT_TRUE(next_at(1, AttemptResult::unreachable));
+    EXPECT_TRUE(next_at(1, AttemptResult::unreachable));  // two running: it is down
+    EXPECT_FALSE(next_at(1, AttemptResult::prefill_done));
 }
 
 // Found on sockets: streams spoilt on the way, from any server alike, took one writer after another out.
@@ -205,14 +206,15 @@
         const RequestId id = "s" + std::to_string(i);
         const Millis now = 10 + 20 * i;
         if (!read_at(id, now)) continue;
-        bench->feed(now + 1, outcome(id, 0, 1, Result::read_done));
-        const auto a = bench->all<Attempt>();
+        bench->feed(now + 1, outcome(id, 0, 1, AttemptResult::prefill_done));
+        const auto a = bench->all<StartAttempt>();
         ASSERT_FALSE(a.empty());
         const bool bad = a[0].endpoint == 11;
         after += bad && broken >= 3;
         broken += bad;
         bench->feed(now + 2, FirstToken{id, 1, a[0].endpoint, 1});
-        bench->feed(now + 9, outcome(id, 1, a[0].endpoint, bad ? Result::reset : Result::served, true));
+        bench->feed(now + 9,
+                    outcome(id, 1, a[0].endpoint, bad ? AttemptResult::reset : AttemptResult::served, true));
     }
     EXPECT_GT(after, 5);
 }
@@ -237,10 +239,10 @@
 TEST_F(Guards, ASuspectComesBackByATrickle) {
     start(plain_settings(), {reader(1), reader(2), writer(11)});
     EndpointId dead = read_at("a", 10);
-    bench->feed(12, outcome("a", 0, dead, Result::unreachable));
+    bench->feed(12, outcome("a", 0, dead, AttemptResult::unreachable));
     int n = 0;
     while (read_at("b" + std::to_string(++n), 15) != dead) ASSERT_LT(n, 10);
-    bench->feed(20, outcome("b" + std::to_string(n), 0, dead, Result::unreachable));
+    bench->feed(20, outcome("b" + std::to_string(n), 0, dead, AttemptResult::unreachable));
     const Millis later = 20 + 1000 + 1;  // the least pause is the shortest aim
     int back = 0;
     for (int i = 0; i < 10; ++i) back += read_at("t" + std::to_string(i), later) == dead;
@@ -254,10 +256,11 @@
         for (Millis now = 10; now < 20;) {
             const RequestId id = "a" + std::to_string(now);
             const EndpointId to = read_at(id, now += 1);
-            bench->feed(now, outcome(id, 0, to, to == 1 ? Result::unreachable : Result::read_done));
-            const auto a = bench->all<Attempt>();
+            bench->feed(
+                now, outcome(id, 0, to, to == 1 ? AttemptResult::unreachable : AttemptResult::prefill_done));
+            const auto a = bench->all<StartAttempt>();
             bench->feed(now, ClientGone{id});
-            if (!a.empty()) bench->feed(now, outcome(id, 1, a[0].endpoint, Result::not_sent, true));
+            if (!a.empty()) bench->feed(now, outcome(id, 1, a[0].endpoint, AttemptResult::not_sent, true));
         }
         bench->feed(30, list({reader(2), writer(11)}));
         bench->run_to(30 + away);
@@ -306,24 +309,24 @@
 TEST_F(Guards, WithoutServersARequestIsRefusedAtOnce) {
     start(plain_settings(), {});
     bench->feed(10, arrival("a", 10));
-    EXPECT_EQ(bench->all<Refuse>().size(), 1u);
+    EXPECT_EQ(bench->all<Reject>().size(), 1u);
 }
 
 // Guards against a log that cannot say why a request was refused or failed: each cause in one case.
 TEST_F(Guards, AFinalAnswerTellsItsCause) {
     const auto cause = [this] {
-        const auto refused = bench->all<Refuse>();
+        const auto refused = bench->all<Reject>();
         const auto failed = bench->all<Fail>();
         EXPECT_EQ(refused.size() + failed.size(), 1u);
         return refused.empty() ? failed.at(0).cause : refused.at(0).cause;
     };
     start(plain_settings(), {});
     bench->feed(10, arrival("a", 10));
-    EXPECT_EQ(cause(), EndCause::no_writer);
+    EXPECT_EQ(cause(), EndCause::no_decode_endpoint);
 
     start(plain_settings(), {writer(11)});
     bench->feed(10, arrival("a", 10));
-    EXPECT_EQ(cause(), EndCause::no_server) << "no reader";
+    EXPECT_EQ(cause(), EndCause::no_endpoint) << "no reader";
 
     start(plain_settings(), {reader(1), writer(11)});
     read_at("a", 10);
@@ -338,26 +341,27 @@
     Settings once = plain_settings();
     once.classes[0].idempotency = Idempotency::unsafe;
     start(once, {reader(1), writer(11)});
-    bench->feed(20, outcome("a", 0, read_at("a", 10), Result::read_done));
-    bench->feed(30, outcome("a", 1, 11, Result::reset));
+    bench->feed(20, outcome("a", 0, read_at("a", 10), AttemptResult::prefill_done));
+    bench->feed(30, outcome("a", 1, 11, AttemptResult::reset));
     EXPECT_EQ(cause(), EndCause::may_have_run);
 
     Settings two = plain_settings();
     two.max_attempts = 2;
     start(two, {reader(1), writer(11)});
-    bench->feed(20, outcome("a", 0, read_at("a", 10), Result::read_done));
-    bench->feed(30, outcome("a", 1, 11, Result::full));
-    EXPECT_EQ(cause(), EndCause::attempts_used);
+    bench->feed(20, outcome("a", 0, read_at("a", 10), AttemptResult::prefill_done));
+    bench->feed(30, outcome("a", 1, 11, AttemptResult::rejected));
+    EXPECT_EQ(cause(), EndCause::attempts_exhausted);
 }
 
 TEST_F(Guards, AFullHouseEndsInOneAnswerWithNothingHeld) {
     start(plain_settings(), {reader(1), writer(11)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(20, outcome("a", 0, r, Result::read_done));
+    bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
     Millis now = 30;
     int attempt = 1;
-    while (!bench->all<Attempt>().empty()) bench->feed(now++, outcome("a", attempt++, 11, Result::full));
-    EXPECT_EQ(bench->all<Refuse>().size(), 1u);
+    while (!bench->all<StartAttempt>().empty())
+        bench->feed(now++, outcome("a", attempt++, 11, AttemptResult::rejected));
+    EXPECT_EQ(bench->all<Reject>().size(), 1u);
     EXPECT_EQ(bench->all<DropState>().size(), 1u);
     EXPECT_LE(attempt, 6);
 }
@@ -365,13 +369,13 @@
 TEST_F(Guards, OddRequestsGetOneAnswer) {
     start(plain_settings(), {reader(1), writer(11)});
     bench->feed(10, arrival("empty", 10, 0));
-    EXPECT_EQ(bench->all<Attempt>().size(), 1u);
+    EXPECT_EQ(bench->all<StartAttempt>().size(), 1u);
     Arrival late = arrival("late", 10);
     late.deadline = 5;
     bench->checker.event(10, late);
     bench->actions.clear();
     bench->router.handle(10, late, bench->actions);
-    EXPECT_EQ(bench->all<Refuse>().size(), 1u);
+    EXPECT_EQ(bench->all<Reject>().size(), 1u);
     bench->checker.event(10, ClientGone{"late"});
 }
 
@@ -379,10 +383,10 @@
     start(plain_settings(), {reader(1), writer(11)});
     const EndpointId r = read_at("a", 10);
     bench->run_to(5010);
-    EXPECT_EQ(bench->all<Refuse>().size(), 1u);
-    bench->feed(5012, outcome("a", 0, r, Result::read_done));
+    EXPECT_EQ(bench->all<Reject>().size(), 1u);
+    bench->feed(5012, outcome("a", 0, r, AttemptResult::prefill_done));
     EXPECT_EQ(bench->all<DropState>().size(), 1u);
-    EXPECT_TRUE(bench->all<Attempt>().empty());
+    EXPECT_TRUE(bench->all<StartAttempt>().empty());
 }
 
 TEST_F(Guards, AGoneClientsStateIsDropped) {
@@ -390,20 +394,20 @@
     const EndpointId r = read_at("a", 10);
     bench->feed(15, ClientGone{"a"});
     EXPECT_EQ(bench->all<StopAttempt>().size(), 1u);
-    bench->feed(20, outcome("a", 0, r, Result::read_done, true));
+    bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done, true));
     EXPECT_EQ(bench->all<DropState>().size(), 1u);
 }
 
 TEST_F(Guards, AStreamCalledOffAsItBeganIsStillOwedAnAnswer) {
     start(plain_settings(), {reader(1), writer(11)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(20, outcome("a", 0, r, Result::read_done));
+    bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
     bench->feed(30, FirstToken{"a", 1, 11, 5});
     bench->checker.breaches.clear();
     // The drill of the wire ends such an attempt as cancelled and the request as still open.
     bench->actions.clear();
-    bench->router.handle(40, outcome("a", 1, 11, Result::cancelled), bench->actions);
-    EXPECT_EQ(bench->all<Attempt>().size() + bench->all<Refuse>().size(), 1u);
+    bench->router.handle(40, outcome("a", 1, 11, AttemptResult::cancelled), bench->actions);
+    EXPECT_EQ(bench->all<StartAttempt>().size() + bench->all<Reject>().size(), 1u);
 }
 
 TEST_F(Guards, AOnceRequestThatMayHaveRunIsFailedNotRefused) {
@@ -411,11 +415,11 @@
     s.classes[0].idempotency = Idempotency::unsafe;
     start(s, {reader(1), writer(11), writer(12)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(20, outcome("a", 0, r, Result::read_done));
-    const EndpointId w = bench->all<Attempt>().at(0).endpoint;
-    bench->feed(30, outcome("a", 1, w, Result::reset));
+    bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
+    const EndpointId w = bench->all<StartAttempt>().at(0).endpoint;
+    bench->feed(30, outcome("a", 1, w, AttemptResult::reset));
     EXPECT_EQ(bench->all<Fail>().size(), 1u);
-    EXPECT_TRUE(bench->all<Attempt>().empty());
+    EXPECT_TRUE(bench->all<StartAttempt>().empty());
 }
 
 TEST_F(Guards, AKeyedRequestStaysInItsGroup) {
@@ -425,10 +429,10 @@
     s.classes[0].dedup_window = 5000;
     start(s, {reader(1, 0), writer(11, 0), writer(12, 1), writer(13, 0)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(20, outcome("a", 0, r, Result::read_done));
-    const EndpointId w = bench->all<Attempt>().at(0).endpoint;
-    bench->feed(30, outcome("a", 1, w, Result::reset));
-    EXPECT_EQ(bench->all<Attempt>().at(0).endpoint, w == 11 ? 13u : 11u);
+    bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
+    const EndpointId w = bench->all<StartAttempt>().at(0).endpoint;
+    bench->feed(30, outcome("a", 1, w, AttemptResult::reset));
+    EXPECT_EQ(bench->all<StartAttempt>().at(0).endpoint, w == 11 ? 13u : 11u);
 }
 
 TEST_F(Guards, AKeyedRequestIsReadAnewInItsGroupOnly) {
@@ -438,13 +442,14 @@
     s.classes[0].dedup_window = 5000;
     start(s, {reader(1, 0), writer(11, 1), reader(2, 0), reader(3, 0)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(20, outcome("a", 0, r, Result::read_done));
-    bench->feed(30, outcome("a", 1, 11, Result::reset));
-    ASSERT_EQ(bench->all<Attempt>().size(), 1u);
-    Outcome no_state = outcome("a", 2, 11, Result::full);
-    no_state.note = 1;
+    bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
+    bench->feed(30, outcome("a", 1, 11, AttemptResult::reset));
+    ASSERT_EQ(bench->all<StartAttempt>().size(), 1u);
+    AttemptEnded no_state = outcome("a", 2, 11, AttemptResult::rejected);
+    no_state.detail = 1;
     bench->feed(40, no_state);
-    EXPECT_TRUE(bench->all<Attempt>().empty()) << "a read is a send, and no reader is in the writer's zone";
+    EXPECT_TRUE(bench->all<StartAttempt>().empty())
+        << "a read is a send, and no reader is in the writer's zone";
     EXPECT_EQ(bench->all<Fail>().size(), 1u);
     EXPECT_TRUE(bench->checker.breaches.empty()) << bench->checker.breaches[0];
 }
@@ -457,17 +462,17 @@
     for (const Millis reset_at : {600.0, 700.0}) {
         start(s, {reader(1), reader(2), writer(11), writer(12)});
         const EndpointId r = read_at("a", 10);
-        bench->feed(20, outcome("a", 0, r, Result::read_done));
-        const EndpointId w = bench->all<Attempt>().at(0).endpoint;
-        bench->feed(reset_at, outcome("a", 1, w, Result::reset));
+        bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
+        const EndpointId w = bench->all<StartAttempt>().at(0).endpoint;
+        bench->feed(reset_at, outcome("a", 1, w, AttemptResult::reset));
         if (reset_at < 650) {
-            ASSERT_EQ(bench->all<Attempt>().size(), 1u);
-            const Millis send_by = bench->all<Attempt>()[0].send_by;
+            ASSERT_EQ(bench->all<StartAttempt>().size(), 1u);
+            const Millis send_by = bench->all<StartAttempt>()[0].send_by;
             EXPECT_GT(send_by, reset_at);
             EXPECT_LE(send_by, 20 + 1000 - 0.5 * 250) << "its bytes need time to arrive";
         } else {
-            EXPECT_TRUE(bench->all<Attempt>().empty());
-            EXPECT_EQ(bench->all<Refuse>().size(), 1u)
+            EXPECT_TRUE(bench->all<StartAttempt>().empty());
+            EXPECT_EQ(bench->all<Reject>().size(), 1u)
                 << "all servers drop its repeats, so it may come again";
         }
         EXPECT_TRUE(bench->checker.breaches.empty());
@@ -492,28 +497,28 @@
         // One was read and its connection to the writer did not come up; one waits for the writer's answer.
         const EndpointId unsent = read_at("unsent", 10);
         const EndpointId sent = read_at("sent", 11);
-        bench->feed(20, outcome("sent", 0, sent, Result::read_done));
-        bench->feed(21, outcome("unsent", 0, unsent, Result::reset));
-        const auto again = bench->all<Attempt>();
+        bench->feed(20, outcome("sent", 0, sent, AttemptResult::prefill_done));
+        bench->feed(21, outcome("unsent", 0, unsent, AttemptResult::reset));
+        const auto again = bench->all<StartAttempt>();
         ASSERT_EQ(again.size(), 1u);
-        bench->feed(22, outcome("unsent", 1, again[0].endpoint, Result::full));
+        bench->feed(22, outcome("unsent", 1, again[0].endpoint, AttemptResult::rejected));
         bench->feed(30, Shutdown{});
         const auto refused = [this](const RequestId& id) {
-            const auto all = bench->all<Refuse>();
-            return std::any_of(all.begin(), all.end(), [&](const Refuse& r) { return r.request == id; });
+            const auto all = bench->all<Reject>();
+            return std::any_of(all.begin(), all.end(), [&](const Reject& r) { return r.request == id; });
         };
-        EXPECT_EQ(bench->all<Refuse>().size() + bench->all<Fail>().size(), 2u);
+        EXPECT_EQ(bench->all<Reject>().size() + bench->all<Fail>().size(), 2u);
         EXPECT_EQ(refused("sent"), c.refused_sent);
         EXPECT_TRUE(bench->checker.breaches.empty()) << bench->checker.breaches[0];
         bench->feed(31, Shutdown{});
-        EXPECT_EQ(bench->all<Refuse>().size() + bench->all<Fail>().size(), 0u) << "one answer each";
+        EXPECT_EQ(bench->all<Reject>().size() + bench->all<Fail>().size(), 0u) << "one answer each";
     }
 }
 
 TEST_F(Guards, AShutdownLeavesStreamsThatHaveBegun) {
     start(plain_settings(), {reader(1), writer(11)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(20, outcome("a", 0, r, Result::read_done));
+    bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
     bench->feed(30, FirstToken{"a", 1, 11, 5});
     bench->feed(40, Shutdown{});
     EXPECT_TRUE(bench->actions.empty());
@@ -540,7 +545,7 @@
         Arrival a = arrival("r" + std::to_string(i), 10 + i);
         a.tenant = i % 2;
         bench->feed(10 + i, a);
-        refused[i % 2] += static_cast<int>(bench->all<Refuse>().size());
+        refused[i % 2] += static_cast<int>(bench->all<Reject>().size());
     }
     EXPECT_GT(refused[0], refused[1]);
 }
@@ -548,26 +553,26 @@
 TEST_F(Guards, AStateThatIsOnlyCutOffIsLetGo) {
     start(plain_settings(), {reader(1), reader(2), writer(11)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(20, outcome("a", 0, r, Result::read_done));
-    Outcome cut = outcome("a", 1, 11, Result::full);
-    cut.note = 1;  // the writer could not fetch it; it may still stand at the reader
+    bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
+    AttemptEnded cut = outcome("a", 1, 11, AttemptResult::rejected);
+    cut.detail = 1;  // the writer could not fetch it; it may still stand at the reader
     bench->feed(30, cut);
     EXPECT_EQ(bench->all<DropState>().size(), 1u);
-    EXPECT_EQ(bench->all<Attempt>().size(), 1u);  // and it is read again
+    EXPECT_EQ(bench->all<StartAttempt>().size(), 1u);  // and it is read again
 }
 
 // The host's lease on a state ends (control/kv_lease): what it has let go of is not written from again.
 TEST_F(Guards, AStateThatTheHostHasLetGoOfIsReadAnew) {
     start(plain_settings(), {reader(1), writer(11), writer(12)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(20, outcome("a", 0, r, Result::read_done));
-    ASSERT_EQ(bench->all<Attempt>().size(), 1u);
-    const EndpointId at = bench->all<Attempt>()[0].endpoint;
+    bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
+    ASSERT_EQ(bench->all<StartAttempt>().size(), 1u);
+    const EndpointId at = bench->all<StartAttempt>()[0].endpoint;
     bench->feed(320, StateReleased{"a"});
-    EXPECT_TRUE(bench->all<Attempt>().empty()) << "the write that is out goes on";
-    bench->feed(330, outcome("a", 1, at, Result::unreachable));
-    ASSERT_EQ(bench->all<Attempt>().size(), 1u);
-    EXPECT_EQ(bench->all<Attempt>()[0].endpoint, r);
+    EXPECT_TRUE(bench->all<StartAttempt>().empty()) << "the write that is out goes on";
+    bench->feed(330, outcome("a", 1, at, AttemptResult::unreachable));
+    ASSERT_EQ(bench->all<StartAttempt>().size(), 1u);
+    EXPECT_EQ(bench->all<StartAttempt>()[0].endpoint, r);
     EXPECT_EQ(bench->checker.breaches, std::vector<std::string>{});
     bench->feed(340, StateReleased{"unknown"});
     EXPECT_TRUE(bench->actions.empty());
@@ -576,18 +581,18 @@
 TEST_F(Guards, AWriteThatIsAnsweredAfterItsStateWasLetGoOfIsServed) {
     start(plain_settings(), {reader(1), writer(11)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(20, outcome("a", 0, r, Result::read_done));
+    bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
     bench->feed(320, StateReleased{"a"});
     bench->feed(400, FirstToken{"a", 1, 11, 380});
-    bench->feed(500, outcome("a", 1, 11, Result::served, true));
-    EXPECT_TRUE(bench->all<Attempt>().empty());
+    bench->feed(500, outcome("a", 1, 11, AttemptResult::served, true));
+    EXPECT_TRUE(bench->all<StartAttempt>().empty());
     EXPECT_EQ(bench->checker.breaches, std::vector<std::string>{});
 }
 
 TEST_F(Guards, AReadWhoseEndWasLostIsLetGo) {
     start(plain_settings(), {reader(1), reader(2), writer(11)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(400, outcome("a", 0, r, Result::reset));
+    bench->feed(400, outcome("a", 0, r, AttemptResult::reset));
     EXPECT_EQ(bench->all<DropState>().size(), 1u);
 }
 
@@ -596,34 +601,34 @@
     for (int i = 0; i < 3; ++i) {
         const RequestId id = "w" + std::to_string(i);
         ASSERT_EQ(read_at(id, 10 + i), 1u);
-        bench->feed(20 + i, outcome(id, 0, 1, Result::read_done));
+        bench->feed(20 + i, outcome(id, 0, 1, AttemptResult::prefill_done));
     }
     // Two or more wait at the only writer; this read ends after its aim of a second.
     ASSERT_EQ(read_at("late", 30), 1u);
-    bench->feed(1100, outcome("late", 0, 1, Result::read_done));
-    EXPECT_EQ(bench->all<Refuse>().size(), 1u);
-    EXPECT_EQ(bench->all<Refuse>().at(0).cause, EndCause::late_write);
+    bench->feed(1100, outcome("late", 0, 1, AttemptResult::prefill_done));
+    EXPECT_EQ(bench->all<Reject>().size(), 1u);
+    EXPECT_EQ(bench->all<Reject>().at(0).cause, EndCause::decode_too_late);
     EXPECT_EQ(bench->all<DropState>().size(), 1u);
 }
 
 TEST_F(Guards, ALateStateIsServedWhenNobodyWaits) {
     start(plain_settings(), {reader(1), writer(11)});
     ASSERT_EQ(read_at("late", 30), 1u);
-    bench->feed(1100, outcome("late", 0, 1, Result::read_done));
-    EXPECT_EQ(bench->all<Attempt>().size(), 1u);
+    bench->feed(1100, outcome("late", 0, 1, AttemptResult::prefill_done));
+    EXPECT_EQ(bench->all<StartAttempt>().size(), 1u);
 }
 
 TEST_F(Guards, AStreamDoesNotLetShortWaitsFlagItsWriter) {
     start(plain_settings(), {reader(1), writer(11), writer(12), writer(13)});
     // A stream, then a wait at the same writer of well under half the aim.
     ASSERT_EQ(read_at("s", 1300), 1u);
-    bench->feed(1301, outcome("s", 0, 1, Result::read_done));
-    const EndpointId w = bench->all<Attempt>().at(0).endpoint;
+    bench->feed(1301, outcome("s", 0, 1, AttemptResult::prefill_done));
+    const EndpointId w = bench->all<StartAttempt>().at(0).endpoint;
     bench->feed(1302, FirstToken{"s", 1, w, 1});
     for (int i = 0; i < 3; ++i) {
         const RequestId id = "x" + std::to_string(i);
         ASSERT_EQ(read_at(id, 1303 + i), 1u);
-        bench->feed(1310 + i, outcome(id, 0, 1, Result::read_done));
+        bench->feed(1310 + i, outcome(id, 0, 1, AttemptResult::prefill_done));
     }
     bench->run_to(1700);
     EXPECT_TRUE(bench->all<MoveStream>().empty());
@@ -651,37 +656,37 @@
         bench->run_to(now);
         const EndpointId at = read_at(id, now);
         bench->run_to(now + 90);
-        bench->feed(now + 90, outcome(id, 0, at, Result::read_done));
-        const EndpointId w = bench->all<Attempt>().at(0).endpoint;
+        bench->feed(now + 90, outcome(id, 0, at, AttemptResult::prefill_done));
+        const EndpointId w = bench->all<StartAttempt>().at(0).endpoint;
         bench->feed(now + 100, FirstToken{id, 1, w, 10});
-        bench->feed(now + 140, outcome(id, 1, w, Result::served, true));
+        bench->feed(now + 140, outcome(id, 1, w, AttemptResult::served, true));
     }
     bench->feed(now, arrival("out", now));  // something is out, so that waits are foreseen
     Arrival a = arrival("long", now + 1, 16000);
     a.cls = 1;
     bench->feed(now + 1, a);
-    EXPECT_TRUE(bench->all<Refuse>().empty());
-    EXPECT_EQ(bench->all<Attempt>().size(), 1u);
+    EXPECT_TRUE(bench->all<Reject>().empty());
+    EXPECT_EQ(bench->all<StartAttempt>().size(), 1u);
 }
 
 TEST_F(Guards, NothingIsReadWhileEveryWriterIsDown) {
     start(plain_settings(), {reader(1), writer(11)});
     ASSERT_EQ(read_at("a", 10), 1u);
-    bench->feed(20, outcome("a", 0, 1, Result::read_done));
+    bench->feed(20, outcome("a", 0, 1, AttemptResult::prefill_done));
     int attempt = 1;
-    for (Millis now = 30; !bench->all<Attempt>().empty(); ++now) {
-        bench->feed(now, outcome("a", attempt++, 11, Result::unreachable));
+    for (Millis now = 30; !bench->all<StartAttempt>().empty(); ++now) {
+        bench->feed(now, outcome("a", attempt++, 11, AttemptResult::unreachable));
     }
     EXPECT_EQ(read_at("b", 100), 0u);
-    EXPECT_EQ(bench->all<Refuse>().size(), 1u);
+    EXPECT_EQ(bench->all<Reject>().size(), 1u);
     EXPECT_EQ(read_at("c", 100 + 2001), 1u);  // the longest pause of a server that is down: two aims
 }
 
 TEST_F(Guards, UnknownThingsChangeNothing) {
     start(plain_settings(), {reader(1), writer(11)});
     bench->actions.clear();
-    bench->router.handle(1, outcome("nobody", 0, 1, Result::served, true), bench->actions);
-    bench->router.handle(1, outcome("nobody", 0, 999, Result::reset), bench->actions);
+    bench->router.handle(1, outcome("nobody", 0, 1, AttemptResult::served, true), bench->actions);
+    bench->router.handle(1, outcome("nobody", 0, 999, AttemptResult::reset), bench->actions);
     bench->router.handle(1, FirstToken{"nobody", 0, 1, 1}, bench->actions);
     bench->router.handle(1, PlaceNote{"nobody", 1, true}, bench->actions);
     bench->router.handle(1, ProbeResult{999, true, 1, {}}, bench->actions);
--- a/tests/router/hung_endpoint_test.cpp
+++ b/tests/router/hung_endpoint_test.cpp
@@ -55,23 +55,23 @@
     void carry(Millis now) {
         const std::vector<Action> actions = std::exchange(bench_.actions, {});
         for (const Action& action : actions) {
-            if (const auto* a = std::get_if<Attempt>(&action)) start(now, *a);
+            if (const auto* a = std::get_if<StartAttempt>(&action)) start(now, *a);
             if (const auto* s = std::get_if<StopAttempt>(&action)) {
-                if (!out_[s->request].streams) end(now, s->request, Result::cancelled);
+                if (!out_[s->request].streams) end(now, s->request, AttemptResult::cancelled);
             }
             if (const auto* m = std::get_if<MoveStream>(&action))
-                end(now, m->request, Result::cancelled, true);
-            if (const auto* r = std::get_if<Refuse>(&action)) shed += r->cause == EndCause::load;
+                end(now, m->request, AttemptResult::cancelled, true);
+            if (const auto* r = std::get_if<Reject>(&action)) shed += r->cause == EndCause::shed_load;
         }
     }
-    void start(Millis now, const Attempt& a) {
+    void start(Millis now, const StartAttempt& a) {
         Out& out = out_[a.request];
         out = {out.attempt + 1, a.endpoint, false, false};
         const int n = out.attempt;
         const auto still = [this, id = a.request, n] { return !out_[id].over && out_[id].attempt == n; };
-        if (a.limit > 0) {
-            later(now + a.limit, [this, id = a.request, still] {
-                if (still() && !out_[id].streams) end(now_, id, Result::late);
+        if (a.timeout > 0) {
+            later(now + a.timeout, [this, id = a.request, still] {
+                if (still() && !out_[id].streams) end(now_, id, AttemptResult::timed_out);
             });
         }
         if (hangs(a.endpoint, now)) return;
@@ -79,16 +79,16 @@
         later(now + (reads ? kRead : kFirstToken),
               [this, id = a.request, server = a.endpoint, n, reads, still] {
                   if (!still()) return;
-                  if (reads) return end(now_, id, Result::read_done);
+                  if (reads) return end(now_, id, AttemptResult::prefill_done);
                   ++begun;
                   out_[id].streams = true;
                   feed(now_, FirstToken{id, n, server, kFirstToken});
                   later(now_ + kStream, [this, id, still] {
-                      if (still()) end(now_, id, Result::served, true);
+                      if (still()) end(now_, id, AttemptResult::served, true);
                   });
               });
     }
-    void end(Millis now, const RequestId& id, Result result, bool closed = false) {
+    void end(Millis now, const RequestId& id, AttemptResult result, bool closed = false) {
         Out& out = out_[id];
         if (out.over) return;
         out.over = true;
--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -12,17 +12,17 @@
     Planted() : s(plain_settings()), c(s) { c.event(0, list({reader(1), writer(11), writer(12, 1)})); }
     void reading() {
         c.event(1, arrival("a", 1));
-        c.action(1, Attempt{"a", 1, 0});
-        c.event(2, outcome("a", 0, 1, Result::read_done));
+        c.action(1, StartAttempt{"a", 1, 0});
+        c.event(2, outcome("a", 0, 1, AttemptResult::prefill_done));
     }
     // A request whose first attempt, at writer 11, may have run is sent again.
     static std::size_t breaches_sending_again(const Settings& settings, EndpointId second) {
         Checker d(settings);
         d.event(0, list({writer(11), writer(12, 1)}));
         d.event(1, arrival("a", 1));
-        d.action(1, Attempt{"a", 11, 0});
-        d.event(2, outcome("a", 0, 11, Result::reset));
-        d.action(2, Attempt{"a", second, 0});
+        d.action(1, StartAttempt{"a", 11, 0});
+        d.event(2, outcome("a", 0, 11, AttemptResult::reset));
+        d.action(2, StartAttempt{"a", second, 0});
         return d.breaches.size();
     }
     Settings s;
@@ -37,15 +37,15 @@
 
 TEST_F(Planted, SecondAnswer) {
     c.event(1, arrival("a", 1));
-    c.action(1, Refuse{"a", 0});
+    c.action(1, Reject{"a", 0});
     c.action(1, Fail{"a"});
     EXPECT_EQ(c.breaches.size(), 1u);
 }
 
 TEST_F(Planted, AttemptAfterTheEnd) {
     c.event(1, arrival("a", 1));
-    c.action(1, Refuse{"a", 0});
-    c.action(1, Attempt{"a", 1, 0});
+    c.action(1, Reject{"a", 0});
+    c.action(1, StartAttempt{"a", 1, 0});
     EXPECT_EQ(c.breaches.size(), 1u);
 }
 
@@ -65,8 +65,8 @@
 
 TEST_F(Planted, TwoAtOnce) {
     c.event(1, arrival("a", 1));
-    c.action(1, Attempt{"a", 1, 0});
-    c.action(1, Attempt{"a", 1, 0});
+    c.action(1, StartAttempt{"a", 1, 0});
+    c.action(1, StartAttempt{"a", 1, 0});
     EXPECT_EQ(c.breaches.size(), 1u);
 }
 
@@ -75,7 +75,7 @@
     d.status = EndpointStatus::draining;
     c.event(1, EndpointUpdate{EndpointUpdate::Kind::incremental, {d}});
     c.event(300, arrival("a", 300));
-    c.action(300, Attempt{"a", 1, 0});
+    c.action(300, StartAttempt{"a", 1, 0});
     EXPECT_EQ(c.breaches.size(), 1u);
 }
 
@@ -88,7 +88,7 @@
         EXPECT_EQ(c.breaches.size(), 0u);
         const RequestId id = "r" + std::to_string(i);
         c.event(3, arrival(id, 3));
-        c.action(3, Attempt{id, 2, 0});
+        c.action(3, StartAttempt{id, 2, 0});
     }
     EXPECT_EQ(c.breaches.size(), 1u);
 }
@@ -106,7 +106,7 @@
     d.event(0, list({writer(11)}));
     d.event(1, arrival("a", 1));
     d.action(1, HoldPlace{"a", 11});
-    d.action(1, Refuse{"a", 0});
+    d.action(1, Reject{"a", 0});
     d.time(502);
     EXPECT_EQ(d.breaches.size(), 1u);
 }
@@ -156,13 +156,13 @@
     int next = 0;
     const auto take = [&](const std::vector<Action>& actions) {
         for (const auto& a : actions) {
-            if (const auto* t = std::get_if<Attempt>(&a)) {
+            if (const auto* t = std::get_if<StartAttempt>(&a)) {
                 outs.push_back({t->request, attempts[t->request]++, t->endpoint});
                 outs.back().sent = now;
                 for (const auto& e : entries) {
                     if (e.id == t->endpoint) outs.back().reads = e.kind == 0;
                 }
-            } else if (const auto* r = std::get_if<Refuse>(&a)) {
+            } else if (const auto* r = std::get_if<Reject>(&a)) {
                 ended[r->request] = true;
             } else if (const auto* f = std::get_if<Fail>(&a)) {
                 ended[f->request] = true;
@@ -197,19 +197,21 @@
                 continue;
             }
             outs.erase(outs.begin() + static_cast<std::ptrdiff_t>(i));
-            static const Result kinds[] = {Result::error,       Result::full,      Result::late,
-                                           Result::unreachable, Result::reset,     Result::cancelled,
-                                           Result::not_sent,    Result::read_done, Result::read_done};
-            Outcome e = outcome(o.id, o.attempt, o.server, kinds[dice(o.reads ? 9 : 7)], ended[o.id]);
+            static const AttemptResult kinds[] = {
+                AttemptResult::error,       AttemptResult::rejected,     AttemptResult::timed_out,
+                AttemptResult::unreachable, AttemptResult::reset,        AttemptResult::cancelled,
+                AttemptResult::not_sent,    AttemptResult::prefill_done, AttemptResult::prefill_done};
+            AttemptEnded e = outcome(o.id, o.attempt, o.server, kinds[dice(o.reads ? 9 : 7)], ended[o.id]);
             // A host tells within the dial timeout that no connection came up.
-            const bool never_up = e.result == Result::unreachable || e.result == Result::not_sent;
-            if (never_up && now > o.sent + s.dial_timeout) e.result = Result::reset;
-            if (o.begun) e.result = dice(3) ? Result::served : Result::reset;
-            if (e.result == Result::full) e.note = dice(2);
+            const bool never_up =
+                e.result == AttemptResult::unreachable || e.result == AttemptResult::not_sent;
+            if (never_up && now > o.sent + s.dial_timeout) e.result = AttemptResult::reset;
+            if (o.begun) e.result = dice(3) ? AttemptResult::served : AttemptResult::reset;
+            if (e.result == AttemptResult::rejected) e.detail = dice(2);
             e.report.memory_share = dice(3) ? 0.01 * dice(100) : -1;
             if (!o.reads && !o.begun && !ended[o.id] && dice(8) == 0)
-                e.result = Result::served, e.closed = true;
-            if (e.closed) ended[o.id] = true;
+                e.result = AttemptResult::served, e.request_closed = true;
+            if (e.request_closed) ended[o.id] = true;
             feed(e);
         } else if (what < 95 && next > 0) {
             const RequestId id = "r" + std::to_string(dice(next));
@@ -241,7 +243,7 @@
         now += 1;
         bench->run_to(now);
         take(bench->actions);
-        Outcome e = outcome(o.id, o.attempt, o.server, Result::late, ended[o.id]);
+        AttemptEnded e = outcome(o.id, o.attempt, o.server, AttemptResult::timed_out, ended[o.id]);
         feed(e);
     }
     now += 20000;
--- a/tests/router/large_fleet_test.cpp
+++ b/tests/router/large_fleet_test.cpp
@@ -39,18 +39,18 @@
         a.session = session, a.cls = cls;
         b.feed(now, a);
         for (int attempt = 0;; ++attempt) {
-            const auto sends = b.all<Attempt>();
+            const auto sends = b.all<StartAttempt>();
             if (sends.size() != 1) return false;
             const EndpointId at = sends[0].endpoint;
             ++sent[at], sent_at[at].push_back(now);
             const bool reads = at < 100;
             if (fails && fails(at, cls)) {
-                b.feed(now + 1, outcome(id, attempt, at, Result::late));
+                b.feed(now + 1, outcome(id, attempt, at, AttemptResult::timed_out));
             } else if (reads) {
-                b.feed(now + 1, outcome(id, attempt, at, Result::read_done));
+                b.feed(now + 1, outcome(id, attempt, at, AttemptResult::prefill_done));
             } else {
                 b.feed(now + 2, FirstToken{id, attempt, at, 1});
-                b.feed(now + 3, outcome(id, attempt, at, Result::served, true));
+                b.feed(now + 3, outcome(id, attempt, at, AttemptResult::served, true));
                 return true;
             }
         }
@@ -210,21 +210,21 @@
     Bench bench(s);
     bench.feed(0, list(pairs(6)));
     bench.feed(10, arrival("a", 10));
-    ASSERT_EQ(bench.all<Attempt>().size(), 1u);
-    const Attempt read = bench.all<Attempt>()[0];
-    EXPECT_GE(read.limit, 2 * s.classes[0].latency_objective);
-    bench.feed(30, outcome("a", 0, read.endpoint, Result::read_done));
-    ASSERT_EQ(bench.all<Attempt>().size(), 1u);
-    EXPECT_LT(bench.all<Attempt>()[0].limit, s.classes[0].latency_objective)
+    ASSERT_EQ(bench.all<StartAttempt>().size(), 1u);
+    const StartAttempt read = bench.all<StartAttempt>()[0];
+    EXPECT_GE(read.timeout, 2 * s.classes[0].latency_objective);
+    bench.feed(30, outcome("a", 0, read.endpoint, AttemptResult::prefill_done));
+    ASSERT_EQ(bench.all<StartAttempt>().size(), 1u);
+    EXPECT_LT(bench.all<StartAttempt>()[0].timeout, s.classes[0].latency_objective)
         << "a wait is short work, and is moved soon";
     // Where servers report their load the next pick is an informed one, and a read is moved sooner.
-    Outcome heard = outcome("a", 1, bench.all<Attempt>()[0].endpoint, Result::served, true);
+    AttemptEnded heard = outcome("a", 1, bench.all<StartAttempt>()[0].endpoint, AttemptResult::served, true);
     heard.report.memory_share = 0.3;
     bench.feed(40, FirstToken{"a", 1, heard.endpoint, 1});
     bench.feed(50, heard);
     bench.feed(60, arrival("b", 60));
-    ASSERT_EQ(bench.all<Attempt>().size(), 1u);
-    EXPECT_LT(bench.all<Attempt>()[0].limit, 2 * s.classes[0].latency_objective);
+    ASSERT_EQ(bench.all<StartAttempt>().size(), 1u);
+    EXPECT_LT(bench.all<StartAttempt>()[0].timeout, 2 * s.classes[0].latency_objective);
 }
 
 // Found there too: the gateways of a zone whose readers jam never looked into the other zone, as what they
@@ -248,16 +248,16 @@
             Arrival a = arrival(id, now);
             a.session = seed * 100 + static_cast<std::uint64_t>(i);
             bench.feed(now, a);
-            const auto sends = bench.all<Attempt>();
+            const auto sends = bench.all<StartAttempt>();
             if (sends.size() != 1) continue;
             const EndpointId at = sends[0].endpoint;
             (i < 3 ? first : away) += i < 3 || i >= 20 ? at > 3 : 0;
             const Millis took = at > 3 ? 30 : 1.2 * s.classes[0].latency_objective;
             bench.run_to(now + took);
-            bench.feed(now + took, outcome(id, 0, at, Result::read_done));
-            for (const auto& w : bench.all<Attempt>()) {
+            bench.feed(now + took, outcome(id, 0, at, AttemptResult::prefill_done));
+            for (const auto& w : bench.all<StartAttempt>()) {
                 bench.feed(now + took + 1, FirstToken{id, 1, w.endpoint, 1});
-                bench.feed(now + took + 2, outcome(id, 1, w.endpoint, Result::served, true));
+                bench.feed(now + took + 2, outcome(id, 1, w.endpoint, AttemptResult::served, true));
             }
         }
     }
@@ -276,7 +276,7 @@
         bench.feed(10, arrival("a", 10));
         bench.run_to(10 + age);
         bench.feed(10 + age, arrival("b", 10 + age));
-        return !bench.all<Refuse>().empty();
+        return !bench.all<Reject>().empty();
     };
     EXPECT_FALSE(refuses_after(0.5 * s.classes[0].latency_objective));
     EXPECT_FALSE(refuses_after(1.2 * s.classes[0].latency_objective));
@@ -318,15 +318,15 @@
             a.prefix = i % 5 < 2 ? hot : 100 + (gateway * 7 + i) % 40;
             a.prefix_tokens = 2600;
             bench.feed(now, a);
-            const auto sends = bench.all<Attempt>();
+            const auto sends = bench.all<StartAttempt>();
             ASSERT_EQ(sends.size(), 1u);
             const EndpointId at = sends[0].endpoint;
             if (i >= 40 && a.prefix == hot) ++hot_reads[at], ++hot_sum;
             if (a.prefix != hot) ++rare_reads[a.prefix][at];
-            bench.feed(now + 20, outcome(id, 0, at, Result::read_done));
-            const EndpointId writer = bench.all<Attempt>().at(0).endpoint;
+            bench.feed(now + 20, outcome(id, 0, at, AttemptResult::prefill_done));
+            const EndpointId writer = bench.all<StartAttempt>().at(0).endpoint;
             bench.feed(now + 30, FirstToken{id, 1, writer, 5});
-            bench.feed(now + 40, outcome(id, 1, writer, Result::served, true));
+            bench.feed(now + 40, outcome(id, 1, writer, AttemptResult::served, true));
         }
     }
     for (const auto& [id, n] : hot_reads) EXPECT_LT(n, 0.35 * hot_sum) << "reader " << id;
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -26,18 +26,19 @@
         Request& r = requests_.at(f->request);
         r.ended = r.begun = true;
         r.state = r.place = false;
-    } else if (const auto* o = std::get_if<Outcome>(&event)) {
+    } else if (const auto* o = std::get_if<AttemptEnded>(&event)) {
         Request& r = requests_.at(o->request);
         Try& t = r.tries.at(static_cast<std::size_t>(o->attempt));
         t.out = false;
-        t.proven_not_run = t.reader || o->result == Result::full || o->result == Result::unreachable ||
-                           o->result == Result::not_sent;
-        if (o->result == Result::read_done) r.state = true;
-        if (o->result == Result::full && o->note == 1) r.state = false;
-        if (o->result == Result::served) r.state = r.place = false;
-        if (o->closed) r.ended = true;
+        t.proven_not_run = t.reader || o->result == AttemptResult::rejected ||
+                           o->result == AttemptResult::unreachable || o->result == AttemptResult::not_sent;
+        if (o->result == AttemptResult::prefill_done) r.state = true;
+        if (o->result == AttemptResult::rejected && o->detail == 1) r.state = false;
+        if (o->result == AttemptResult::served) r.state = r.place = false;
+        if (o->request_closed) r.ended = true;
         // One whose connection did not come up was never out, as far as the server can tell.
-        if (o->result != Result::unreachable && o->result != Result::not_sent) r.pinned_since = now;
+        if (o->result != AttemptResult::unreachable && o->result != AttemptResult::not_sent)
+            r.pinned_since = now;
         if ((r.state || r.place) && now > r.pinned_since + s_.release_within)
             breach(now, "pinned: state or place held for " + o->request);
     } else if (const auto* released = std::get_if<StateReleased>(&event)) {
@@ -71,7 +72,7 @@
 }
 
 void Checker::action(Millis now, const Action& action) {
-    if (const auto* a = std::get_if<Attempt>(&action)) {
+    if (const auto* a = std::get_if<StartAttempt>(&action)) {
         const auto it = requests_.find(a->request);
         if (it == requests_.end()) return breach(now, "lost: attempt for an unknown request");
         Request& r = it->second;
@@ -110,7 +111,7 @@
         }
     } else if (const auto* f = std::get_if<Fail>(&action)) {
         end(now, f->request, false);
-    } else if (const auto* e = std::get_if<Refuse>(&action)) {
+    } else if (const auto* e = std::get_if<Reject>(&action)) {
         end(now, e->request, true);
     } else if (std::get_if<StopAttempt>(&action)) {
         if (!s_.cancel) breach(now, "attempt stopped where that is forbidden");
@@ -220,9 +221,9 @@
     return a;
 }
 
-Outcome outcome(const RequestId& id, int attempt, EndpointId server, Result result, bool closed) {
-    Outcome o;
-    o.request = id, o.attempt = attempt, o.endpoint = server, o.result = result, o.closed = closed;
+AttemptEnded outcome(const RequestId& id, int attempt, EndpointId server, AttemptResult result, bool closed) {
+    AttemptEnded o;
+    o.request = id, o.attempt = attempt, o.endpoint = server, o.result = result, o.request_closed = closed;
     return o;
 }
 
--- a/tests/router/router_harness.h
+++ b/tests/router/router_harness.h
@@ -81,6 +81,7 @@
 Endpoint reader(EndpointId id, int zone = 0);
 Endpoint writer(EndpointId id, int zone = 0);
 Arrival arrival(const RequestId& id, Millis now, double prompt = 1000);
-Outcome outcome(const RequestId& id, int attempt, EndpointId server, Result result, bool closed = false);
+AttemptEnded outcome(const RequestId& id, int attempt, EndpointId server, AttemptResult result,
+                     bool closed = false);
 
 }  // namespace gorsenotch::test
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -13,7 +13,7 @@
     void start(const std::vector<Endpoint>& servers) { bench.feed(0, list(servers)); }
     // The server that the one attempt among the latest actions goes to, or 0.
     EndpointId sent() const {
-        const auto attempts = bench.all<Attempt>();
+        const auto attempts = bench.all<StartAttempt>();
         return attempts.size() == 1 ? attempts[0].endpoint : 0;
     }
     EndpointId arrive(const RequestId& id, Millis now, double prompt = 1000, std::uint64_t session = 0) {
@@ -23,7 +23,7 @@
         return sent();
     }
     EndpointId read_done(const RequestId& id, Millis now, EndpointId at) {
-        bench.feed(now, outcome(id, 0, at, Result::read_done));
+        bench.feed(now, outcome(id, 0, at, AttemptResult::prefill_done));
         return sent();
     }
     void TearDown() override { EXPECT_EQ(bench.checker.breaches, std::vector<std::string>{}); }
@@ -43,7 +43,7 @@
     start({reader(1), reader(2), writer(11)});
     // Reader 1 tells 50,000 of 100,000 tokens held, reader 2 tells 10,000; two prompts are the margin.
     for (const EndpointId id : {1u, 2u}) {
-        Outcome o = outcome("gone", 0, id, Result::read_done);
+        AttemptEnded o = outcome("gone", 0, id, AttemptResult::prefill_done);
         o.report.memory_share = id == 1 ? 0.5 : 0.1;
         bench.actions.clear();
         bench.router.handle(5, o, bench.actions);  // of a request long forgotten: only its report counts
@@ -54,7 +54,7 @@
 TEST_F(Logic, AnUnheardReaderCountsAsAverage) {
     start({reader(1), reader(2), reader(3), writer(11)});
     for (const EndpointId id : {1u, 2u}) {
-        Outcome o = outcome("gone", 0, id, Result::read_done);
+        AttemptEnded o = outcome("gone", 0, id, AttemptResult::prefill_done);
         o.report.memory_share = id == 1 ? 0.9 : 0.1;
         bench.actions.clear();
         bench.router.handle(5, o, bench.actions);
@@ -142,14 +142,14 @@
     start({reader(1), writer(11, 0), writer(12, 1)});
     arrive("a", 10);
     ASSERT_EQ(read_done("a", 20, 1), 11u);
-    Outcome done = outcome("a", 1, 11, Result::served, true);
+    AttemptEnded done = outcome("a", 1, 11, AttemptResult::served, true);
     bench.feed(25, FirstToken{"a", 1, 11, 5});
     done.report.memory_share = 0.97;
     bench.feed(30, done);
     arrive("b", 40);
     EXPECT_EQ(read_done("b", 50, 1), 12u);  // though 11 is in the reader's cell
     bench.feed(55, FirstToken{"b", 1, 12, 5});
-    done = outcome("b", 1, 12, Result::served, true);
+    done = outcome("b", 1, 12, AttemptResult::served, true);
     done.report.memory_share = 0.97;
     bench.feed(60, done);
     arrive("c", 70);
@@ -167,7 +167,7 @@
     Endpoint mixed = writer(21, 1);
     mixed.kind = 2;
     start({reader(1), writer(11), mixed});
-    Outcome full = outcome("gone", 0, 11, Result::served);
+    AttemptEnded full = outcome("gone", 0, 11, AttemptResult::served);
     full.report.memory_share = 0.97;
     bench.actions.clear();
     bench.router.handle(5, full, bench.actions);
@@ -183,7 +183,7 @@
         bench.feed(25, FirstToken{id, 1, 11, 5});
     }
     for (const EndpointId id : {11u, 12u}) {
-        Outcome full = outcome("gone", 0, id, Result::served);
+        AttemptEnded full = outcome("gone", 0, id, AttemptResult::served);
         full.report.memory_share = 0.97;
         bench.actions.clear();
         bench.router.handle(30, full, bench.actions);
@@ -198,7 +198,7 @@
     Bench b(s);
     b.feed(0, list({reader(1), writer(11)}));
     b.feed(10, arrival("a", 10));
-    b.feed(20, outcome("a", 0, 1, Result::read_done));
+    b.feed(20, outcome("a", 0, 1, AttemptResult::prefill_done));
     EXPECT_TRUE(b.all<HoldPlace>().empty());
 }
 
--- a/tests/state/state_test.cpp
+++ b/tests/state/state_test.cpp
@@ -106,8 +106,9 @@
         a.request = "r" + std::to_string(i), a.deadline = 3000 + i, a.prompt_tokens = 100;
         a.session = 0xFFFFFFFFFFFFFFF0ULL + static_cast<unsigned>(i);
         feed(2 + i / 3.0, a);
-        Outcome o;
-        o.request = a.request, o.endpoint = 1, o.result = i % 3 ? Result::read_done : Result::reset;
+        AttemptEnded o;
+        o.request = a.request, o.endpoint = 1,
+        o.result = i % 3 ? AttemptResult::prefill_done : AttemptResult::reset;
         o.report.memory_share = 0.1 * i;
         feed(10 + i / 7.0, o);
     }
