--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -66,7 +66,7 @@
     bool cancel = false;
     bool second_copies = false;
     bool probes = false;
-    bool hold_ahead = false;
+    bool slot_reservation = false;
     bool retry_after = false;
     bool local_read = false;  // a writer reads a prompt itself when there is no state to fetch
     bool resume = false;      // a broken stream can go on elsewhere
@@ -76,7 +76,7 @@
     // guarantees
     Millis answer_slack = 0;
     Millis drain_grace = 0;
-    Millis release_within = 0;
+    Millis lease_release_timeout = 0;
     double fall_multiple = 1;
     Millis fall_window = 0;
     double start_capacity = 1;
@@ -144,10 +144,10 @@
     Millis took = 0;
 };
 
-struct PlaceNote {  // answer to HoldPlace
+struct ReservationReply {  // answer to ReserveSlot
     RequestId request;
     EndpointId endpoint = 0;
-    bool held = false;
+    bool reserved = false;
 };
 
 struct ClientGone {
@@ -187,14 +187,14 @@
 
 // The host has let go of what is held for the request: the time in which it must be taken would have been
 // over before an attempt is proved to have reached its server. One that is out may go on.
-struct StateReleased {
+struct LeaseReleased {
     RequestId request;
 };
 
 struct Shutdown {};  // the host is about to end: every request without an answer gets its final one at once
 
-using Event = std::variant<Arrival, AttemptEnded, FirstToken, PlaceNote, ClientGone, EndpointUpdate,
-                           ProbeResult, Due, StateReleased, Shutdown>;
+using Event = std::variant<Arrival, AttemptEnded, FirstToken, ReservationReply, ClientGone, EndpointUpdate,
+                           ProbeResult, Due, LeaseReleased, Shutdown>;
 
 // ---- actions --------------------------------------------------------------------------------------------
 
@@ -208,11 +208,11 @@
     RequestId request;
     int attempt = 0;
 };
-struct HoldPlace {
+struct ReserveSlot {
     RequestId request;
     EndpointId endpoint = 0;
 };
-struct DropState {  // let go of every state and place held that no attempt waits for
+struct ReleaseLease {  // let go of every state and place held that no attempt waits for
     RequestId request;
 };
 // Why a request got its final answer unserved. Told for logs alone; it changes nothing that is done.
@@ -254,8 +254,8 @@
     std::string text;
 };
 
-using Action = std::variant<StartAttempt, StopAttempt, HoldPlace, DropState, Reject, Fail, MoveStream, Probe,
-                            SetTimer, WatchEndpoints, PollEndpoints, Log>;
+using Action = std::variant<StartAttempt, StopAttempt, ReserveSlot, ReleaseLease, Reject, Fail, MoveStream,
+                            Probe, SetTimer, WatchEndpoints, PollEndpoints, Log>;
 
 class Router {
 public:
--- a/src/control/invariant_checker.cpp
+++ b/src/control/invariant_checker.cpp
@@ -132,7 +132,8 @@
 void Audit::check_held(Millis now, Millis stood) {
     if (now < next_check_) return;
     next_check_ = now + kHeldChecked;
-    const Millis allowed = settings_.release_within > 0 ? settings_.release_within : kReleaseUnset;
+    const Millis allowed =
+        settings_.lease_release_timeout > 0 ? settings_.lease_release_timeout : kReleaseUnset;
     for (auto it = held_.begin(); it != held_.end();) {
         const Held& held = it->second;
         const Millis age = now - held.since - (stood - held.stood);
--- a/src/control/kv_lease.cpp
+++ b/src/control/kv_lease.cpp
@@ -28,129 +28,129 @@
 
 }  // namespace
 
-HeldState::HeldState(Millis release_within) : allowed_(release_within > 0 ? release_within : kAllowedUnset) {}
+KvLease::KvLease(Millis release_within) : duration_(release_within > 0 ? release_within : kAllowedUnset) {}
 
-void HeldState::made(Millis now, HeldOrigin origin, EndpointId holder) {
-    uncertain_ = origin == HeldOrigin::read_lost || (held_ && uncertain_);
+void KvLease::on_acquired(Millis now, LeaseOrigin origin, EndpointId holder) {
+    uncertain_ = origin == LeaseOrigin::prefill_lost || (held_ && uncertain_);
     timeline_.origin = origin;
     timeline_.holder = holder;
-    tentative_ = origin == HeldOrigin::read_unanswered;
+    tentative_ = origin == LeaseOrigin::prefill_unanswered;
     if (held_) return;  // something older stands as well: the lease runs from that
     held_ = true;
-    since_ = now;
+    running_since_ = now;
     timeline_ = {origin, holder, now, -1, -1, -1, -1, timeline_.awaited};
 }
 
-void HeldState::attempt_begun(Millis now, EndpointId server, bool write) {
-    arrived_ = answer_begun_ = false;
-    write_out_ = write;
-    write_handed_ = read_handed_ = asked_ = false;
-    kept_for_write_ = false;
-    if (write) write_begun_ = now;
+void KvLease::on_attempt_begun(Millis now, EndpointId server, bool write) {
+    attempt_arrived_ = answer_begun_ = false;
+    decode_in_flight_ = write;
+    decode_written_ = prefill_written_ = health_check_sent_ = false;
+    kept_for_decode_ = false;
+    if (write) decode_begun_at_ = now;
     timeline_.awaited = server;
-    timeline_.sent = timeline_.arrived = -1;
+    timeline_.written = timeline_.arrived = -1;
 }
 
-void HeldState::attempt_handed(Millis now, Millis usual_until) {
-    usual_until_ = usual_until;
-    write_handed_ = write_out_;
-    read_handed_ = !write_out_;
-    if (read_handed_ && !held_) made(now, HeldOrigin::read_unanswered, timeline_.awaited);
-    timeline_.sent = now;
+void KvLease::on_request_written(Millis now, Millis usual_until) {
+    prefill_usual_until_ = usual_until;
+    decode_written_ = decode_in_flight_;
+    prefill_written_ = !decode_in_flight_;
+    if (prefill_written_ && !held_) on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.awaited);
+    timeline_.written = now;
 }
 
-void HeldState::attempt_answered(Millis now) {
+void KvLease::on_attempt_answered(Millis now) {
     timeline_.arrived = now;
-    if (write_out_) {
-        arrived_ = true;
+    if (decode_in_flight_) {
+        attempt_arrived_ = true;
         return;
     }
     // The read has ended: what it leaves stands from now on, though the rest of its answer may be lost.
     answer_begun_ = true;
-    since_ = now;
+    running_since_ = now;
 }
 
-void HeldState::attempt_over(Millis now, bool never_ran) {
+void KvLease::on_attempt_ended(Millis now, bool never_ran) {
     if (never_ran && tentative_) held_ = tentative_ = false;
     // It may have been waiting for what is held until now; if it had not arrived, the lease has run all
     // along.
-    const bool answered = std::exchange(arrived_, false) || std::exchange(answer_begun_, false);
+    const bool answered = std::exchange(attempt_arrived_, false) || std::exchange(answer_begun_, false);
     if (answered && held_) {
-        since_ = now;
-        timeline_.made = now;
+        running_since_ = now;
+        timeline_.acquired = now;
     }
-    if (std::exchange(kept_for_write_, false)) {
+    if (std::exchange(kept_for_decode_, false)) {
         held_ = true;
-        since_ = now;
+        running_since_ = now;
     }
-    if (held_ && write_handed_ && !never_ran) uncertain_ = true;
-    write_out_ = write_handed_ = read_handed_ = false;
+    if (held_ && decode_written_ && !never_ran) uncertain_ = true;
+    decode_in_flight_ = decode_written_ = prefill_written_ = false;
 }
 
-void HeldState::taken() {
-    held_ = uncertain_ = tentative_ = releasing_ = kept_for_write_ = false;
-    arrived_ = true;
+void KvLease::on_taken() {
+    held_ = uncertain_ = tentative_ = release_in_progress_ = kept_for_decode_ = false;
+    attempt_arrived_ = true;
 }
 
-void HeldState::release_begun(Millis now) {
-    releasing_ = true;
-    gone_at_ = now;
+void KvLease::on_release_begun(Millis now) {
+    release_in_progress_ = true;
+    released_at_ = now;
     timeline_.released = now;
 }
 
-void HeldState::release_answered(Millis now) {
-    releasing_ = false;
+void KvLease::on_release_answered(Millis now) {
+    release_in_progress_ = false;
     if (!held_) return;
     held_ = uncertain_ = tentative_ = false;
-    kept_for_write_ = write_out_ && write_handed_;
-    asked_ = false;
-    if (read_out()) made(now, HeldOrigin::read_unanswered, timeline_.awaited);
+    kept_for_decode_ = decode_in_flight_ && decode_written_;
+    health_check_sent_ = false;
+    if (prefill_in_flight()) on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.awaited);
 }
 
-void HeldState::release_over() { releasing_ = false; }
+void KvLease::on_release_failed() { release_in_progress_ = false; }
 
-std::optional<Millis> HeldState::release_at() const {
-    if (!held_ || arrived_ || releasing_) return std::nullopt;
-    if (read_handed_) {
-        const Millis due = since_ + kReadPart * allowed_ + kReadMore;
-        return read_out() ? std::max(due, usual_until_ + ask_time()) : due;
+std::optional<Millis> KvLease::release_at() const {
+    if (!held_ || attempt_arrived_ || release_in_progress_) return std::nullopt;
+    if (prefill_written_) {
+        const Millis due = running_since_ + kReadPart * duration_ + kReadMore;
+        return prefill_in_flight() ? std::max(due, prefill_usual_until_ + health_check_time()) : due;
     }
-    const Millis due = since_ + kProofPart * allowed_;
-    if (!write_out_) return due;
-    const Millis arrives = write_begun_ + kArrivalPart * allowed_;
-    const Millis latest = since_ + kLatestPart * allowed_;
-    return write_begun_ > latest ? arrives : std::clamp(arrives, due, latest);
+    const Millis due = running_since_ + kProofPart * duration_;
+    if (!decode_in_flight_) return due;
+    const Millis arrives = decode_begun_at_ + kArrivalPart * duration_;
+    const Millis latest = running_since_ + kLatestPart * duration_;
+    return decode_begun_at_ > latest ? arrives : std::clamp(arrives, due, latest);
 }
 
-Millis HeldState::ask_time() const { return std::max(kAskLeast, kAskPart * allowed_); }
+Millis KvLease::health_check_time() const { return std::max(kAskLeast, kAskPart * duration_); }
 
-std::optional<Millis> HeldState::ask_at() const {
+std::optional<Millis> KvLease::health_check_at() const {
     const auto due = release_at();
-    if (!due || !read_out() || asked_) return std::nullopt;
-    return *due - ask_time();
+    if (!due || !prefill_in_flight() || health_check_sent_) return std::nullopt;
+    return *due - health_check_time();
 }
 
-void HeldState::server_answered(Millis at) {
-    if (!read_out() || at <= since_) return;
-    since_ = at;
-    asked_ = false;
+void KvLease::on_endpoint_answered(Millis at) {
+    if (!prefill_in_flight() || at <= running_since_) return;
+    running_since_ = at;
+    health_check_sent_ = false;
 }
 
-void ReadTimes::add(Millis took, double prompt_tokens) {
+void PrefillTimes::add_prefill(Millis took, double prompt_tokens) {
     const double for_work = took / work(prompt_tokens);
     if (!usual_) usual_.emplace(kUsualQuantile, kQuantileStep, kAtFirst * for_work);
     usual_->add(for_work);
     ++seen_;
 }
 
-Millis ReadTimes::usual(double prompt_tokens) const {
+Millis PrefillTimes::usual_duration(double prompt_tokens) const {
     return seen_ >= kSeenEnough ? kUsual * usual_->value() * work(prompt_tokens) : 0;
 }
 
-bool ReadTimes::unusual(Millis age, double prompt_tokens) const {
+bool PrefillTimes::is_unusual(Millis age, double prompt_tokens) const {
     return seen_ >= kSeenEnough && age > kUnusual * usual_->value() * work(prompt_tokens);
 }
 
-void HeldState::at_risk(Millis now) { timeline_.at_risk = now; }
+void KvLease::on_expiring(Millis now) { timeline_.expiring = now; }
 
 }  // namespace gorsenotch::control
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -23,104 +23,104 @@
 namespace gorsenotch::control {
 
 // How something came to be held.
-enum class HeldOrigin {
-    read_done,        // a reader answered that it stands there
-    read_lost,        // a read was sent and ended without an answer: it may stand, or come to be later
-    read_unanswered,  // a read is out: it may have ended, and its answer may be lost on the way
-    place_asked       // a place was asked for
+enum class LeaseOrigin {
+    prefill_done,        // a reader answered that it stands there
+    prefill_lost,        // a read was sent and ended without an answer: it may stand, or come to be later
+    prefill_unanswered,  // a read is out: it may have ended, and its answer may be lost on the way
+    slot_requested       // a place was asked for
 };
-constexpr std::array<const char*, 4> kHeldOrigins = {"read_done", "read_lost", "read_unanswered",
-                                                     "place_asked"};
+constexpr std::array<const char*, 4> kLeaseOriginNames = {"read_done", "read_lost", "read_unanswered",
+                                                          "place_asked"};
 
-class HeldState {
+class KvLease {
 public:
     // When what happened last, for logs; below 0: not.
     struct Timeline {
-        HeldOrigin origin = HeldOrigin::read_done;
+        LeaseOrigin origin = LeaseOrigin::prefill_done;
         EndpointId holder = 0;
-        Millis made = -1;        // it stands, or may stand, since then
-        Millis sent = -1;        // the latest attempt's last byte was handed to the kernel
+        Millis acquired = -1;    // it stands, or may stand, since then
+        Millis written = -1;     // the latest attempt's last byte was handed to the kernel
         Millis arrived = -1;     // and that attempt was proved to have arrived
-        Millis at_risk = -1;     // the time in which proof may come was over
+        Millis expiring = -1;    // the time in which proof may come was over
         Millis released = -1;    // a release was begun
         EndpointId awaited = 0;  // the server of the latest attempt
     };
 
     // `release_within`: the time that the settings allow; 0 or less: a second.
-    explicit HeldState(Millis release_within);
+    explicit KvLease(Millis release_within);
 
     // ---- evidence ----
-    void made(Millis now, HeldOrigin origin, EndpointId holder);
+    void on_acquired(Millis now, LeaseOrigin origin, EndpointId holder);
     // An attempt begins. `write`: it takes what is held when it arrives.
-    void attempt_begun(Millis now, EndpointId server, bool write);
+    void on_attempt_begun(Millis now, EndpointId server, bool write);
     // Its last byte is in the kernel's hands: no proof of anything.
-    // `usual_until`: a read that is under way may well take until then, see ReadTimes.
-    void attempt_handed(Millis now, Millis usual_until = 0);
+    // `usual_until`: a read that is under way may well take until then, see PrefillTimes.
+    void on_request_written(Millis now, Millis usual_until = 0);
     // Its server has answered something that was sent after it, at `at`: a read is taken to have arrived, and
     // to be still under way then. For a write this proves too little.
-    void server_answered(Millis at);
+    void on_endpoint_answered(Millis at);
     // That server was asked for such an answer.
-    void asked() { asked_ = true; }
+    void on_health_check_sent() { health_check_sent_ = true; }
     // A byte of its answer has come: it has arrived at a server that runs.
-    void attempt_answered(Millis now);
+    void on_attempt_answered(Millis now);
     // It is over and has taken nothing. `never_ran`: that is proved.
-    void attempt_over(Millis now, bool never_ran);
+    void on_attempt_ended(Millis now, bool never_ran);
     // Its stream has begun: nothing is held any more.
-    void taken();
-    void release_begun(Millis now);
+    void on_taken();
+    void on_release_begun(Millis now);
     // A server that runs has answered a release. What a write that is out may wait for is kept for that one.
-    void release_answered(Millis now);
+    void on_release_answered(Millis now);
     // Nobody answered it, or it was called back: what is held stands as before.
-    void release_over();
+    void on_release_failed();
 
     // ---- decisions ----
     bool held() const { return held_; }
     // Nothing is known to stand; a read is out that may have ended.
-    bool only_unanswered_read() const { return held_ && tentative_; }
+    bool only_unanswered_prefill() const { return held_ && tentative_; }
     // One release is not enough: a read that was cut off may end well after it, and the end of a write that
     // was closed from here may reach its server after it, so that it left alone what that write still waited
     // for.
     bool uncertain() const { return uncertain_; }
     // A write that began at `begun` has nothing left to take.
-    bool gone_since(Millis begun) const { return gone_at_ >= begun; }
+    bool released_since(Millis begun) const { return released_at_ >= begun; }
     // When a release has to begin if no proof comes; nothing while none is needed.
     std::optional<Millis> release_at() const;
     // When the server of a read that is out is to be asked for an answer; nothing while it need not be.
-    std::optional<Millis> ask_at() const;
+    std::optional<Millis> health_check_at() const;
     // A read is out that nobody has answered: a release would take what it leaves.
-    bool read_out() const { return read_handed_ && !answer_begun_; }
-    Millis read_handed_at() const { return timeline_.sent; }
-    void at_risk(Millis now);
+    bool prefill_in_flight() const { return prefill_written_ && !answer_begun_; }
+    Millis prefill_written_at() const { return timeline_.written; }
+    void on_expiring(Millis now);
 
     const Timeline& timeline() const { return timeline_; }
-    Millis allowed() const { return allowed_; }
+    Millis duration() const { return duration_; }
 
 private:
-    Millis ask_time() const;  // left for the answer of a server that is asked
+    Millis health_check_time() const;  // left for the answer of a server that is asked
 
-    const Millis allowed_;
-    bool held_ = false, uncertain_ = false, releasing_ = false;
-    bool arrived_ = false;  // the attempt out has: the lease does not run
-    bool write_out_ = false, write_handed_ = false, read_handed_ = false;
+    const Millis duration_;
+    bool held_ = false, uncertain_ = false, release_in_progress_ = false;
+    bool attempt_arrived_ = false;  // the attempt out has: the lease does not run
+    bool decode_in_flight_ = false, decode_written_ = false, prefill_written_ = false;
     bool answer_begun_ = false;  // of the read that is out
-    bool asked_ = false;
-    bool tentative_ = false;       // held_ only says that a read that is out may have ended
-    bool kept_for_write_ = false;  // a release was answered while a write may have been waiting for it
-    Millis since_ = 0;             // the lease runs from then
-    Millis write_begun_ = 0, gone_at_ = -1, usual_until_ = 0;
+    bool health_check_sent_ = false;
+    bool tentative_ = false;        // held_ only says that a read that is out may have ended
+    bool kept_for_decode_ = false;  // a release was answered while a write may have been waiting for it
+    Millis running_since_ = 0;      // the lease runs from then
+    Millis decode_begun_at_ = 0, released_at_ = -1, prefill_usual_until_ = 0;
     Timeline timeline_;
 };
 
 // How long reads take, so that one whose answer must be lost is told from one that is slow: an answer of its
 // server to something else does not prove that its own connection still works.
-class ReadTimes {
+class PrefillTimes {
 public:
     // A read of a prompt of so many tokens was answered after `took`.
-    void add(Millis took, double prompt_tokens);
+    void add_prefill(Millis took, double prompt_tokens);
     // How long one may well take: longer than nearly all did of late, 0 where too little is known.
-    Millis usual(double prompt_tokens) const;
+    Millis usual_duration(double prompt_tokens) const;
     // It has been out for far longer than that.
-    bool unusual(Millis age, double prompt_tokens) const;
+    bool is_unusual(Millis age, double prompt_tokens) const;
 
 private:
     std::optional<stats::QuantileEstimate> usual_;  // ms for a unit of work, see work() in the source
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -150,7 +150,8 @@
     invariants::Terms terms;
     const auto& m = plan_.program.module;
     terms.classes = plan_.program.classes, terms.of = m.classes;
-    terms.answer_slack = m.answer_slack, terms.drain_grace = m.drain_grace, terms.let_go = m.release_within;
+    terms.answer_slack = m.answer_slack, terms.drain_grace = m.drain_grace,
+    terms.let_go = m.lease_release_timeout;
     terms.fall_multiple = m.fall_multiple, terms.fall_window = m.fall_window;
     try {
         result.verdict = invariants::judge(invariants::read(files), terms);
@@ -524,7 +525,7 @@
 void Day::clients_done() {
     if (stopping_) return;
     // What is still held must be let go of; only then the gateways are told to stop.
-    later(plan_.program.module.release_within + 500, [this] { stop_gates(); });
+    later(plan_.program.module.lease_release_timeout + 500, [this] { stop_gates(); });
 }
 
 void Day::stop_gates() {
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -105,7 +105,7 @@
     a.client_retry = request.client_retry;
     a.deadline = asked + cls.deadline;
     if (request.patience > 0) a.deadline = std::min(a.deadline, asked + request.patience);
-    Request& r = requests_.try_emplace(request.id, p_.module.release_within).first->second;
+    Request& r = requests_.try_emplace(request.id, p_.module.lease_release_timeout).first->second;
     r.r = std::move(request);
     r.arrived = r.spoke = now, r.deadline = a.deadline;
     if (!r.r.chat.stream) {
@@ -113,7 +113,7 @@
         // needs its answer while it waits.
         const Millis whole =
             r.r.patience > 0 ? std::min(r.r.patience, p_.limits.whole_answer_ms) : p_.limits.whole_answer_ms;
-        alarm(Kind::whole, asked + whole - p_.module.step, &r);
+        alarm(Kind::complete_answer, asked + whole - p_.module.step, &r);
     }
     feed(std::move(a));
     return true;
@@ -152,7 +152,7 @@
         if (!r || !r->closed) continue;
         if (std::any_of(r->attempts.begin(), r->attempts.end(), [](const AttemptState& t) { return t.out; }))
             continue;
-        drop(*r, true);
+        release_leases(*r, true);
         report(*r);
         driver_.drop(*r);
         requests_.erase(done_[i]);
@@ -162,8 +162,8 @@
 
 void Core::carry(const Action& action) {
     std::visit(Overloaded{[&](const StartAttempt& a) { start(a); }, [&](const StopAttempt& a) { stop(a); },
-                          [&](const DropState& a) {
-                              if (Request* r = find(a.request)) drop(*r, false);
+                          [&](const ReleaseLease& a) {
+                              if (Request* r = find(a.request)) release_leases(*r, false);
                           },
                           [&](const Reject& a) {
                               if (Request* r = find(a.request))
@@ -176,7 +176,7 @@
                               ports_.log("info", "router", {{"text", a.text}});
                           },
                           // Timers are the driver's. The rest the settings of this program do not permit.
-                          [&](const SetTimer&) {}, [&](const HoldPlace&) {}, [&](const MoveStream&) {},
+                          [&](const SetTimer&) {}, [&](const ReserveSlot&) {}, [&](const MoveStream&) {},
                           [&](const Probe&) {}, [&](const WatchEndpoints&) {}, [&](const PollEndpoints&) {}},
                action);
 }
@@ -219,15 +219,15 @@
         driver_.handed(sent->time);
         sent->handed = true;
         // Enough here, unlike on the platform: see held_due().
-        own->held.attempt_answered(ports_.now());
+        own->lease.on_attempt_answered(ports_.now());
     };
     t.exchange->on_first = [this, id, n] { first(id, n); };
     t.exchange->on_text = [this, id, n](std::string_view piece) { text(id, n, piece); };
     t.exchange->on_over = [this, id, n](AttemptOutcome e) { over(id, n, std::move(e)); };
-    if (t.read) r->states.push_back(n);
-    r->held.attempt_begun(now, a.endpoint, !t.read);
-    watch_held(*r);
-    alarm(Kind::limit, t.time.due(), r, n);
+    if (t.read) r->prefill_attempts.push_back(n);
+    r->lease.on_attempt_begun(now, a.endpoint, !t.read);
+    schedule_lease_check(*r);
+    alarm(Kind::attempt_timeout, t.time.due(), r, n);
     const auto exchange = t.exchange;
     const std::string address = t.address;
     r->attempts.push_back(std::move(t));
@@ -248,46 +248,46 @@
 
 // Guards against pinned states: whatever a read may have left is let go of by the read's own id, even where
 // its answer was lost. Skips what an attempt that is out still needs.
-void Core::drop(Request& r, bool all) {
+void Core::release_leases(Request& r, bool all) {
     const bool writing = std::any_of(r.attempts.begin(), r.attempts.end(),
                                      [](const AttemptState& t) { return t.out && !t.read && !t.first; });
     std::vector<int> kept;
-    for (const int n : r.states) {
+    for (const int n : r.prefill_attempts) {
         const AttemptState& t = r.attempts[static_cast<std::size_t>(n)];
         if (!all && (t.out || (writing && n == r.state_attempt))) {
             kept.push_back(n);
             continue;
         }
-        ports_.send_aside(t.address, dialect_->let_go(t.id), p_.module.release_within);
+        ports_.send_aside(t.address, dialect_->let_go(t.id), p_.module.lease_release_timeout);
         if (n == r.state_attempt) r.state_attempt = -1, r.parameters.clear();
     }
-    r.states = std::move(kept);
+    r.prefill_attempts = std::move(kept);
 }
 
 // Sees to it that held_due() is called when a state's time is up.
-void Core::watch_held(Request& r) {
-    if (const auto at = r.held.release_at()) alarm(Kind::held, *at, &r);
+void Core::schedule_lease_check(Request& r) {
+    if (const auto at = r.lease.release_at()) alarm(Kind::lease, *at, &r);
 }
 
 // Guards against a state pinned while one connection after another does not come up. A write whose bytes were
 // handed over counts as arrived here: letting go ends the fetch of one that has, and engines of this kind
 // free by a lease of their own what nobody fetches. May do harm by a second read where the next connection
 // would have come up.
-void Core::held_due(Request& r) {
-    const auto at = r.held.release_at();
+void Core::on_lease_timer(Request& r) {
+    const auto at = r.lease.release_at();
     if (!at) return;
-    if (*at > ports_.now()) return watch_held(r);
-    r.held.release_begun(ports_.now());
-    r.held.release_answered(ports_.now());  // tried elsewhere until one takes it, see Ports::send_aside
+    if (*at > ports_.now()) return schedule_lease_check(r);
+    r.lease.on_release_begun(ports_.now());
+    r.lease.on_release_answered(ports_.now());  // tried elsewhere until one takes it, see Ports::send_aside
     const std::string id = r.r.id;
-    feed(StateReleased{id});
+    feed(LeaseReleased{id});
     Request* own = find(id);
     if (!own) return;
     if (!own->attempts.empty()) {
         AttemptState& latest = own->attempts.back();
         if (latest.out && !latest.read && !latest.handed) end_exchange(latest, &UpstreamExchange::cancelled);
     }
-    if ((own = find(id))) drop(*own, false);
+    if ((own = find(id))) release_leases(*own, false);
 }
 
 // ---- answers --------------------------------------------------------------------------------------------
@@ -329,10 +329,10 @@
     t->first = true;
     t->heard = ports_.now();
     // The write has fetched the state: from now on there is nothing of it to let go of.
-    std::erase(r->states, r->state_attempt);
+    std::erase(r->prefill_attempts, r->state_attempt);
     r->state_attempt = -1, r->parameters.clear();
-    r->held.taken();
-    alarm(Kind::idle, t->heard + p_.limits.stream_idle_ms, r, attempt);
+    r->lease.on_taken();
+    alarm(Kind::stream_idle, t->heard + p_.limits.stream_idle_ms, r, attempt);
     const auto exchange = t->exchange;
     feed(FirstToken{id, attempt, t->endpoint, t->heard - t->sent});
     r = find(id);
@@ -343,7 +343,7 @@
     }
     if (!r->r.chat.stream || !r->r.client) return;
     r->spoke = ports_.now();
-    alarm(Kind::ping, r->spoke + p_.limits.ping_ms, r);
+    alarm(Kind::keepalive, r->spoke + p_.limits.ping_ms, r);
     r->r.client->begin_stream();
     if ((r = find(id)) && r->r.client) r->r.client->body(r->r.answer->begin());
 }
@@ -372,21 +372,21 @@
     if (!t || !t->out) return;
     t->out = false;
     const Millis now = ports_.now();
-    r->held.attempt_over(now, never_ran(e.result));
+    r->lease.on_attempt_ended(now, never_ran(e.result));
     if (t->read && !never_ran(e.result)) {
         const bool done = e.result == AttemptResult::prefill_done;
-        r->held.made(now, done ? control::HeldOrigin::read_done : control::HeldOrigin::read_lost,
-                     t->endpoint);
-        watch_held(*r);
+        r->lease.on_acquired(
+            now, done ? control::LeaseOrigin::prefill_done : control::LeaseOrigin::prefill_lost, t->endpoint);
+        schedule_lease_check(*r);
     }
     if (e.result == AttemptResult::prefill_done) {
         r->state_attempt = attempt;
         r->parameters = e.parameters;
     } else if (t->read && never_ran(e.result)) {
-        std::erase(r->states, attempt);
+        std::erase(r->prefill_attempts, attempt);
     }
     if (!t->read && e.result == AttemptResult::rejected && e.detail == 1) {
-        std::erase(r->states, r->state_attempt);
+        std::erase(r->prefill_attempts, r->state_attempt);
         r->state_attempt = -1, r->parameters.clear();
     }
     if (e.result != AttemptResult::served && e.result != AttemptResult::prefill_done) {
@@ -454,31 +454,31 @@
 
 void Core::alarm(Kind kind, Millis at, Request* owner, int attempt) {
     // Time-outs of engines are judged only after a look at the sockets; the rest is on time.
-    driver_.alarm(kind, at, owner, attempt, 0, kind == Kind::limit || kind == Kind::idle);
+    driver_.alarm(kind, at, owner, attempt, 0, kind == Kind::attempt_timeout || kind == Kind::stream_idle);
 }
 
 void Core::due(const Driver::Alarm& a) {
     Request* r = a.owner;
     const Millis now = ports_.now();
     const std::string id = r->r.id;
-    if (a.kind == Kind::limit) {
+    if (a.kind == Kind::attempt_timeout) {
         AttemptState* t = find_attempt(r, a.attempt);
         if (!t || !t->out || t->first) return;
-        if (!driver_.up(t->time)) return alarm(Kind::limit, t->time.due(), r, a.attempt);
+        if (!driver_.up(t->time)) return alarm(Kind::attempt_timeout, t->time.due(), r, a.attempt);
         end_exchange(*t,
                      t->time.endpoint_at_fault() ? &UpstreamExchange::expired : &UpstreamExchange::cancelled);
-    } else if (a.kind == Kind::idle) {
+    } else if (a.kind == Kind::stream_idle) {
         // Guards against a begun stream whose engine went silent: nobody else would end it.
         AttemptState* t = find_attempt(r, a.attempt);
         if (!t || !t->out) return;
         if (r->congested) t->heard = now;
         if (t->heard + p_.limits.stream_idle_ms > now) {
-            return alarm(Kind::idle, t->heard + p_.limits.stream_idle_ms, r, a.attempt);
+            return alarm(Kind::stream_idle, t->heard + p_.limits.stream_idle_ms, r, a.attempt);
         }
         end_exchange(*t, &UpstreamExchange::stalled);
-    } else if (a.kind == Kind::held) {
-        held_due(*r);
-    } else if (a.kind == Kind::whole) {
+    } else if (a.kind == Kind::lease) {
+        on_lease_timer(*r);
+    } else if (a.kind == Kind::complete_answer) {
         if (r->closed) return;
         refuse(*r, 504, {504, "timeout_error", "the answer took longer than the client waits"}, -1, false);
         feed(ClientGone{id});
@@ -486,13 +486,13 @@
         for (auto& t : r->attempts) {
             if (t.out && t.first) return end_exchange(t, &UpstreamExchange::cancelled);
         }
-    } else if (a.kind == Kind::ping) {
+    } else if (a.kind == Kind::keepalive) {
         if (r->closed || !r->r.client) return;
         if (r->spoke + p_.limits.ping_ms <= now) {
             r->spoke = now;
             if (!r->congested) r->r.client->body(r->r.answer->ping());
         }
-        alarm(Kind::ping, r->spoke + p_.limits.ping_ms, r);
+        alarm(Kind::keepalive, r->spoke + p_.limits.ping_ms, r);
     }
 }
 
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -101,19 +101,19 @@
         Millis sent = 0, heard = 0;
         control::AttemptClock time;
     };
-    enum class Kind { router, limit, idle, whole, ping, held };
+    enum class Kind { router, attempt_timeout, stream_idle, complete_answer, keepalive, lease };
     struct Request;
     using Driver = proxy::Driver<Request, Kind>;
     struct Request {
-        explicit Request(Millis release_within) : held(release_within) {}
+        explicit Request(Millis release_within) : lease(release_within) {}
         NewRequest r;
         Millis arrived = 0, deadline = 0, spoke = 0, closed_at = 0;
         bool closed = false;  // its client has its final answer, or is gone
         bool congested = false;
         std::deque<AttemptState> attempts;
-        std::vector<int> states;  // tries (reads) that may have left a state
-        std::string parameters;   // of the state at hand
-        control::HeldState held;  // the lease on those states
+        std::vector<int> prefill_attempts;  // tries (reads) that may have left a state
+        std::string parameters;             // of the state at hand
+        control::KvLease lease;             // the lease on those states
         int state_attempt = -1;
         int status = 0;
         api::Usage usage;
@@ -128,9 +128,9 @@
     void carry(const Action& a);
     void start(const StartAttempt& a);
     void stop(const StopAttempt& a);
-    void drop(Request& r, bool all);
-    void watch_held(Request& r);
-    void held_due(Request& r);
+    void release_leases(Request& r, bool all);
+    void schedule_lease_check(Request& r);
+    void on_lease_timer(Request& r);
     void refuse(Request& r, int status, const api::ApiError& e, Millis pause, bool retry);
     void fail_stream(Request& r, const api::ApiError& e);
     void first(const std::string& id, int attempt);
--- a/src/platform/access_log.cpp
+++ b/src/platform/access_log.cpp
@@ -25,16 +25,18 @@
     return false;
 }
 
-std::string describe_held(const control::HeldState::Timeline& timeline, Millis arrived, Millis now,
-                          const std::string& holder, const std::string& awaited) {
+std::string describe_timeline(const control::KvLease::Timeline& timeline, Millis arrived, Millis now,
+                              const std::string& holder, const std::string& awaited) {
     std::string s("held ");
-    s.append(whole(now - timeline.made)).append(" ");
-    s.append(control::kHeldOrigins[static_cast<std::size_t>(timeline.origin)]).append(" at ").append(holder);
-    s.append(", made ").append(whole(timeline.made - arrived));
-    if (timeline.at_risk >= 0) s.append(", at_risk ").append(whole(timeline.at_risk - arrived));
+    s.append(whole(now - timeline.acquired)).append(" ");
+    s.append(control::kLeaseOriginNames[static_cast<std::size_t>(timeline.origin)])
+        .append(" at ")
+        .append(holder);
+    s.append(", made ").append(whole(timeline.acquired - arrived));
+    if (timeline.expiring >= 0) s.append(", at_risk ").append(whole(timeline.expiring - arrived));
     if (timeline.released >= 0) s.append(", release ").append(whole(timeline.released - arrived));
-    if (timeline.sent < timeline.made) return s;
-    s.append("; ").append(awaited).append(" sent ").append(whole(timeline.sent - arrived));
+    if (timeline.written < timeline.acquired) return s;
+    s.append("; ").append(awaited).append(" sent ").append(whole(timeline.written - arrived));
     if (timeline.arrived < 0) return s.append(" unproved");
     return s.append(" arrived ").append(whole(timeline.arrived - arrived));
 }
@@ -80,7 +82,7 @@
                 .append(kResults[static_cast<std::size_t>(l.result)]);
         }
     }
-    if (!p.held.empty()) s.append("; ").append(p.held);
+    if (!p.lease.empty()) s.append("; ").append(p.lease);
     return s;
 }
 
--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -67,7 +67,7 @@
     Millis first = -1, ended = 0;          // the first token, if it came, and the end
     std::optional<EndCause> cause;         // of a final answer without a stream
     std::vector<AttemptRecord> attempts;
-    std::string held;  // what was held for it as it ended: see describe_held; empty: nothing
+    std::string lease;  // what was held for it as it ended: see describe_timeline; empty: nothing
 };
 
 class AccessLog {
@@ -94,8 +94,8 @@
 
 // A held state's life: "held 612 prefill_done at r1, made 23, at_risk 623; w0 sent 23 unproved". Times are ms
 // since `arrived`, but for the first, its age at `now`.
-std::string describe_held(const control::HeldState::Timeline& timeline, Millis arrived, Millis now,
-                          const std::string& holder, const std::string& awaited);
+std::string describe_timeline(const control::KvLease::Timeline& timeline, Millis arrived, Millis now,
+                              const std::string& holder, const std::string& awaited);
 
 // The number of tokens that an answer's closing events name, or 0.
 double completion_tokens(std::string_view events);
--- a/src/platform/health_checker.cpp
+++ b/src/platform/health_checker.cpp
@@ -48,7 +48,7 @@
     question->on_heard = [this, id, sent = server.asked] { answered(id, sent); };
     question->on_over = [this, id](const AttemptOutcome&) { servers_[id].question.reset(); };
     set_alarm_(server.asked + patience_, id);
-    ports_.start(host->dial_address, held_call("DELETE", over_before_, host->dial_address), question);
+    ports_.start(host->dial_address, lease_call("DELETE", over_before_, host->dial_address), question);
 }
 
 void Liveness::expire(EndpointId id) {
--- a/src/platform/lease_releaser.cpp
+++ b/src/platform/lease_releaser.cpp
@@ -31,17 +31,17 @@
 
 }  // namespace
 
-std::string held_call(const char* method, const std::string& txn, const std::string& dial) {
+std::string lease_call(const char* method, const std::string& txn, const std::string& dial) {
     return http::request_head(method, "/bootstrap/rooms/" + txn, {{"host", dial}, {"content-length", "0"}});
 }
 
-Releases::Releases(Millis release_within, EndpointList& hosts, Ports& ports,
-                   std::function<void(Millis, std::uint64_t, bool)> set_alarm)
+LeaseReleaser::LeaseReleaser(Millis release_within, EndpointList& hosts, Ports& ports,
+                             std::function<void(Millis, std::uint64_t, bool)> set_alarm)
     : release_within_(release_within), endpoints_(hosts), ports_(ports), set_alarm_(std::move(set_alarm)) {}
 
-Millis Releases::allowed() const { return release_within_ > 0 ? release_within_ : kAllowedUnset; }
+Millis LeaseReleaser::allowed() const { return release_within_ > 0 ? release_within_ : kAllowedUnset; }
 
-std::uint64_t Releases::begin(Order order) {
+std::uint64_t LeaseReleaser::begin(Order order) {
     const std::uint64_t id = ++last_id_;
     Release& release = releases_[id];
     release.once_more = order.uncertain;
@@ -53,7 +53,7 @@
     return id;
 }
 
-void Releases::repeat(std::uint64_t id) {
+void LeaseReleaser::repeat(std::uint64_t id) {
     const auto it = releases_.find(id);
     if (it == releases_.end()) return;
     Release& release = it->second;
@@ -66,12 +66,12 @@
     retry(id);
 }
 
-bool Releases::in_progress(std::uint64_t id) const {
+bool LeaseReleaser::in_progress(std::uint64_t id) const {
     const auto it = releases_.find(id);
     return it != releases_.end() && !it->second.withdrawn;
 }
 
-void Releases::retry(std::uint64_t id) {
+void LeaseReleaser::retry(std::uint64_t id) {
     const auto it = releases_.find(id);
     if (it == releases_.end()) return;
     Release& release = it->second;
@@ -101,7 +101,7 @@
 }
 
 // Whether it is to be given up.
-bool Releases::out_of_time(Release& release) {
+bool LeaseReleaser::out_of_time(Release& release) {
     if (ports_.now() < release.until) return false;
     // Guards against a second release that is skipped as this process stood still when it was due.
     if (release.once_more_due) {
@@ -119,7 +119,7 @@
 
 // From here on one server is asked at a time, ever more seldom. Guards against calls from many releases, and
 // many gateways, that add up where nobody answers.
-void Releases::be_late(Release& release) {
+void LeaseReleaser::be_late(Release& release) {
     if (release.late) return;
     release.late = true;
     release.pause = kLatePause;
@@ -128,7 +128,7 @@
 // Ends calls that have had their time: what they wrote arrives all the same, if it can. Their servers are
 // asked last by other releases too. Guards against connections that many releases keep at silent servers, and
 // one release after another that begins with the same silent server.
-void Releases::end_silent_calls(Release& release) {
+void LeaseReleaser::end_silent_calls(Release& release) {
     const Millis before = ports_.now() - kCallPart * allowed();
     for (Call& call : release.calls) {
         if (call.begun <= before) end_call(call, true);
@@ -136,7 +136,7 @@
     std::erase_if(release.calls, [](const Call& call) { return call.attempt->over(); });
 }
 
-void Releases::end_call(Call& call, bool silent) {
+void LeaseReleaser::end_call(Call& call, bool silent) {
     if (call.attempt->over()) return;
     DiscoveredEndpoint* host = silent ? endpoints_.find(call.server) : nullptr;
     if (host) host->last_failure = ports_.now();
@@ -147,7 +147,7 @@
 }
 
 // Guards against connections used up by calls to silent servers: the oldest call makes room.
-void Releases::make_room() {
+void LeaseReleaser::make_room() {
     if (calls_out_ < kCallsOutMost) return;
     Call* oldest = nullptr;
     for (auto& [id, release] : releases_) {
@@ -159,7 +159,7 @@
 }
 
 // The one most likely to answer of those not asked yet; of all, where its time is over.
-const DiscoveredEndpoint* Releases::next_server(const Release& release) const {
+const DiscoveredEndpoint* LeaseReleaser::next_server(const Release& release) const {
     const DiscoveredEndpoint* best = nullptr;
     double most = -1e300;
     for (const auto& [server, host] : endpoints_.all()) {
@@ -171,7 +171,7 @@
 }
 
 // How much a server has in common with one that does not answer.
-double Releases::likeness(EndpointId silent, const DiscoveredEndpoint& host) const {
+double LeaseReleaser::likeness(EndpointId silent, const DiscoveredEndpoint& host) const {
     const DiscoveredEndpoint* other = endpoints_.find(silent);
     if (!other) return 0;
     double value = 0;
@@ -181,7 +181,8 @@
     return value;
 }
 
-double Releases::preference(const Release& release, EndpointId server, const DiscoveredEndpoint& host) const {
+double LeaseReleaser::preference(const Release& release, EndpointId server,
+                                 const DiscoveredEndpoint& host) const {
     double value = std::max(host.last_success - ports_.now(), -kLongestAgo);
     if (host.last_failure > host.last_success) value -= kSilentNow;
     if (ports_.connected(host.dial_address)) value += kConnected;
@@ -192,7 +193,7 @@
     return value;
 }
 
-void Releases::call(std::uint64_t id, Release& release, const DiscoveredEndpoint& to) {
+void LeaseReleaser::call(std::uint64_t id, Release& release, const DiscoveredEndpoint& to) {
     make_room();
     const auto call = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
     release.calls.push_back({call, to.endpoint.id, ports_.now()});
@@ -208,14 +209,14 @@
     if (on_call) on_call(release.order);
     // Where one went unanswered kept connections may have fallen silent.
     const auto connection = release.unanswered > 1 ? Connection::fresh : Connection::any;
-    ports_.start(to.dial_address, held_call("DELETE", release.order.txn, to.dial_address), call, connection);
+    ports_.start(to.dial_address, lease_call("DELETE", release.order.txn, to.dial_address), call, connection);
 }
 
-void Releases::tell(const Release& release, ReleaseEnd end, EndpointId by, Millis sent) {
+void LeaseReleaser::tell(const Release& release, ReleaseEnd end, EndpointId by, Millis sent) {
     if (on_ended) on_ended({release.order, end, by, sent, release.calls_made, ports_.now() - release.begun});
 }
 
-void Releases::answered(std::uint64_t id, EndpointId by, Millis sent) {
+void LeaseReleaser::answered(std::uint64_t id, EndpointId by, Millis sent) {
     const auto it = releases_.find(id);
     if (it == releases_.end()) return;
     Release& release = it->second;
@@ -232,7 +233,7 @@
     set_alarm_(release.next_try, id, false);
 }
 
-void Releases::withdraw(std::uint64_t id) {
+void LeaseReleaser::withdraw(std::uint64_t id) {
     const auto it = releases_.find(id);
     if (it == releases_.end()) return;
     Release& release = it->second;
@@ -244,7 +245,7 @@
 }
 
 // Guards against calls to a silent server that would keep their connections for good.
-void Releases::end(std::uint64_t id) {
+void LeaseReleaser::end(std::uint64_t id) {
     const auto it = releases_.find(id);
     if (it == releases_.end()) return;
     auto calls = std::move(it->second.calls);
--- a/src/platform/lease_releaser.h
+++ b/src/platform/lease_releaser.h
@@ -1,5 +1,5 @@
-// Releases what may be held for requests at model servers: read states and places. No I/O; the clock comes
-// from Ports, alarms are the owner's.
+// LeaseReleaser what may be held for requests at model servers: read states and places. No I/O; the clock
+// comes from Ports, alarms are the owner's.
 //
 // Any server takes a release for all of them. One is asked at first, further ones where it does not answer
 // within its part of the time that the settings allow: of another role, zone or cell, then several at once.
@@ -24,20 +24,20 @@
 namespace gorsenotch::platform {
 
 // A call without a body about what is held for a request: POST holds a place, DELETE releases all.
-std::string held_call(const char* method, const std::string& txn, const std::string& dial);
+std::string lease_call(const char* method, const std::string& txn, const std::string& dial);
 
 // Why a release began.
 enum class ReleaseReason {
-    request_over,    // nothing of the request will take what is held
-    at_risk,         // no proof that its write has arrived came in time
-    read_unanswered  // a read is out for long: it may have ended, its answer lost
+    request_over,       // nothing of the request will take what is held
+    lease_expiring,     // no proof that its write has arrived came in time
+    prefill_unanswered  // a read is out for long: it may have ended, its answer lost
 };
 constexpr std::array<const char*, 3> kReleaseReasons = {"request_over", "at_risk", "read_unanswered"};
 
 enum class ReleaseEnd { answered, unanswered, withdrawn };
 constexpr std::array<const char*, 3> kReleaseEnds = {"answered", "unanswered", "withdrawn"};
 
-class Releases {
+class LeaseReleaser {
 public:
     struct Order {
         std::string txn;
@@ -64,8 +64,8 @@
     };
     // `release_within`: what the settings allow. `set_alarm`: retry(id) is to be called at `at`; `timeout` as
     // for Driver::alarm.
-    Releases(Millis release_within, EndpointList& hosts, Ports& ports,
-             std::function<void(Millis at, std::uint64_t id, bool timeout)> set_alarm);
+    LeaseReleaser(Millis release_within, EndpointList& hosts, Ports& ports,
+                  std::function<void(Millis at, std::uint64_t id, bool timeout)> set_alarm);
 
     std::function<void(const Ended&)> on_ended;
     std::function<void(const Order&)> on_call;  // a server is asked
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -274,7 +274,7 @@
                 {"server_checks",
                  {{"asked", relay_.liveness().asked()}, {"unanswered", relay_.liveness().unanswered()}}},
                 {"held_unanswered", relay_.audit().held_unanswered()},
-                {"held_longest_ms", std::round(c.held_longest)},
+                {"held_longest_ms", std::round(c.longest_lease)},
                 {"fresh", {u.fresh, u.fresh_broke}},
                 {"kept", {u.kept, u.kept_broke}},
                 {"accepted", t.accepted},
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -22,21 +22,21 @@
       endpoints_(hosts),
       ports_(ports),
       driver_(named.settings, seed, &Request::alarms, &Request::timeouts),
-      releases_(named.settings.release_within, hosts, ports,
+      releases_(named.settings.lease_release_timeout, hosts, ports,
                 [this](Millis at, std::uint64_t id, bool timeout) {
                     driver_.alarm(Kind::release, at, nullptr, 0, id, timeout);
                 }),
-      liveness_(control::HeldState(named.settings.release_within).allowed(), hosts, ports,
+      liveness_(control::KvLease(named.settings.lease_release_timeout).duration(), hosts, ports,
                 [this](Millis at, EndpointId server) {
-                    driver_.alarm(Kind::question, at, nullptr, 0, server, true);
+                    driver_.alarm(Kind::health_check, at, nullptr, 0, server, true);
                 }),
       access_(named.settings),
       audit_(named.settings) {
     audit_.on_breach = [this](control::Rule rule, std::uint64_t handle, const std::string& what) {
         on_breach(rule, handle, what);
     };
-    releases_.on_call = [this](const Releases::Order& order) { audit_.release_called(order.request); };
-    releases_.on_ended = [this](const Releases::Ended& ended) { on_release_ended(ended); };
+    releases_.on_call = [this](const LeaseReleaser::Order& order) { audit_.release_called(order.request); };
+    releases_.on_ended = [this](const LeaseReleaser::Ended& ended) { on_release_ended(ended); };
     driver_.now = [this] { return ports_.now(); };
     driver_.carry = [this](const Action& a) { carry(a); };
     driver_.rest = [this] { on_router_idle(); };
@@ -82,7 +82,7 @@
     facts.server = endpoint_status(server);
     facts.now = ports_.now();
     facts.send_by = send_by;
-    facts.state_released = takes && r && r->held.gone_since(since);
+    facts.state_released = takes && r && r->lease.released_since(since);
     facts.deadline = r ? r->deadline : 0;
     const auto denial = control::may_send(facts);
     if (!denial) return true;
@@ -120,7 +120,7 @@
     a.request = std::to_string(handle);
     a.deadline = now - age + in.arrival.deadline;
     txns_.insert(in.txn);
-    Request& r = requests_.try_emplace(handle, named_.settings.release_within).first->second;
+    Request& r = requests_.try_emplace(handle, named_.settings.lease_release_timeout).first->second;
     r.in = std::move(in);
     r.handle = handle, r.client = client, r.arrived = now - age, r.deadline = a.deadline;
     ++counts_.arrived;
@@ -163,8 +163,8 @@
                               AttemptState* t = find_attempt(find(a.request), a.attempt);
                               if (t && t->out && !t->first) stop(*t, AttemptResult::cancelled, "called off");
                           },
-                          [&](const HoldPlace& a) { hold(a); },
-                          [&](const DropState& a) {
+                          [&](const ReserveSlot& a) { reserve_slot(a); },
+                          [&](const ReleaseLease& a) {
                               // Carried out once the Router is at rest, if no attempt follows.
                               if (const Request* r = find(a.request)) revisit_when_idle(r->handle);
                           },
@@ -215,7 +215,7 @@
     t.read = named_.settings.kinds[static_cast<std::size_t>(host->endpoint.kind)].role == Role::read;
     t.exchange = std::make_shared<UpstreamExchange>(t.read ? UpstreamExchange::Kind::read
                                                            : UpstreamExchange::Kind::write);
-    const bool takes = !t.read && r->held.held();
+    const bool takes = !t.read && r->lease.held();
     t.exchange->on_go = [this, handle, server = a.endpoint, by = a.send_by, now, takes] {
         return may_begin(handle, server, by, now, takes);
     };
@@ -229,26 +229,26 @@
         if (!it) return;
         driver_.handed(it->time);
         it->handed = true;
-        const Millis usual = it->read ? read_times_.usual(own->in.arrival.prompt_tokens) : 0;
-        own->held.attempt_handed(ports_.now(), ports_.now() + usual);
-        watch_held(*own);
+        const Millis usual = it->read ? prefill_times_.usual_duration(own->in.arrival.prompt_tokens) : 0;
+        own->lease.on_request_written(ports_.now(), ports_.now() + usual);
+        schedule_lease_check(*own);
     };
     t.exchange->on_heard = [this, handle, server = a.endpoint, now] {
         liveness_.answered(server, now);
         audit_.server_answered(ports_.now());
         Request* own = find(handle);
         if (!own) return;
-        own->held.attempt_answered(ports_.now());
+        own->lease.on_attempt_answered(ports_.now());
         if (!own->attempts.back().read) audit_.write_answered(handle);
     };
     t.exchange->on_first = [this, handle, n](std::string_view events) { first(handle, n, events); };
     t.exchange->on_more = [this, handle, n](std::string_view events) { more(handle, n, events); };
     t.exchange->on_over = [this, handle, n](const AttemptOutcome& e) { over(handle, n, e); };
-    r->held.attempt_begun(now, a.endpoint, !t.read);
+    r->lease.on_attempt_begun(now, a.endpoint, !t.read);
     // A release that is still under way would take what the write is to take. A read has nothing to lose by
     // it, and what stands from before is let go of meanwhile.
     if (!t.read) releases_.withdraw(r->release);
-    watch_held(*r);
+    schedule_lease_check(*r);
     std::string request;
     request.reserve(r->in.head.size() + r->in.body.size() + 128);
     request.append(r->in.head);
@@ -268,7 +268,7 @@
         .append(std::to_string(r->in.body.size()))
         .append("\r\n\r\n")
         .append(r->in.body);
-    driver_.alarm(Kind::limit, t.time.due(), r, n, 0, true);
+    driver_.alarm(Kind::attempt_timeout, t.time.due(), r, n, 0, true);
     const auto attempt = t.exchange;
     const std::string address = host->dial_address;
     ++counts_.attempts, ++out_;
@@ -283,87 +283,87 @@
     attempt->give_up(result, why);
 }
 
-void Relay::hold(const HoldPlace& a) {
+void Relay::reserve_slot(const ReserveSlot& a) {
     Request* r = find(a.request);
     if (!r || r->closed || endpoint_status(a.endpoint) != EndpointStatus::healthy) return;
     const std::uint64_t handle = r->handle;
     const EndpointId server = a.endpoint;
-    r->held.made(ports_.now(), control::HeldOrigin::place_asked, server);
-    watch_held(*r);
-    r->hold = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
-    r->hold->on_go = [this, server] { return endpoint_status(server) == EndpointStatus::healthy; };
-    r->hold->on_over = [this, handle, server](const AttemptOutcome& e) {
+    r->lease.on_acquired(ports_.now(), control::LeaseOrigin::slot_requested, server);
+    schedule_lease_check(*r);
+    r->reservation = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
+    r->reservation->on_go = [this, server] { return endpoint_status(server) == EndpointStatus::healthy; };
+    r->reservation->on_over = [this, handle, server](const AttemptOutcome& e) {
         Request* it = find(handle);
         // 204 and no answer say nothing: a place may be held all the same, and is let go of in the end.
         if (!it || (e.status != 200 && e.status != 409)) return;
-        driver_.feed(PlaceNote{std::to_string(handle), server, e.status == 200});
+        driver_.feed(ReservationReply{std::to_string(handle), server, e.status == 200});
     };
-    driver_.alarm(Kind::hold, ports_.now() + 1000, r, 0, 0, true);
-    const auto call = r->hold;
+    driver_.alarm(Kind::reservation, ports_.now() + 1000, r, 0, 0, true);
+    const auto call = r->reservation;
     const std::string& dial = endpoints_.find(server)->dial_address;
-    ports_.start(dial, held_call("POST", r->in.txn, dial), call);
+    ports_.start(dial, lease_call("POST", r->in.txn, dial), call);
 }
 
-// Releases all that may be held for the request. An attempt that is out keeps what it has reached, so this
-// does not wait for its end: see control/kv_lease.
-void Relay::release_held(Request& r, ReleaseReason reason) {
-    if (!r.held.held()) return;
+// LeaseReleaser all that may be held for the request. An attempt that is out keeps what it has reached, so
+// this does not wait for its end: see control/kv_lease.
+void Relay::release_lease(Request& r, ReleaseReason reason) {
+    if (!r.lease.held()) return;
     // What is under way may have been answered before the latest came to be held.
     if (releases_.in_progress(r.release)) return releases_.repeat(r.release);
-    r.held.release_begun(ports_.now());
-    Releases::Order order;
+    r.lease.on_release_begun(ports_.now());
+    LeaseReleaser::Order order;
     order.txn = r.in.txn;
     order.request = r.handle;
-    order.holder = r.held.timeline().holder;
-    order.uncertain = r.held.uncertain();
-    if (busy(r)) order.silent = r.held.timeline().awaited;
+    order.holder = r.lease.timeline().holder;
+    order.uncertain = r.lease.uncertain();
+    if (busy(r)) order.silent = r.lease.timeline().awaited;
     order.reason = reason;
     ++counts_.release_reasons[static_cast<std::size_t>(reason)];
-    order.held = describe(r);
+    order.held = describe_lease(r);
     r.release = releases_.begin(std::move(order));
 }
 
 // Sees to it that held_due() is called when a release has to begin.
-void Relay::watch_held(Request& r) {
-    const auto ask = r.held.ask_at();
-    const auto at = ask ? ask : r.held.release_at();
-    if (!at || (r.held_due >= 0 && r.held_due <= *at)) return;
-    r.held_due = *at;
-    driver_.alarm(Kind::held, *at, &r, 0, 0, true);
-}
-
-void Relay::held_due(Request& r) {
-    r.held_due = -1;
-    if (r.held.read_out()) {
-        const EndpointId reader = r.held.timeline().awaited;
-        const Millis sent = r.held.read_handed_at();
-        const bool unusual = read_times_.unusual(ports_.now() - sent, r.in.arrival.prompt_tokens);
+void Relay::schedule_lease_check(Request& r) {
+    const auto ask = r.lease.health_check_at();
+    const auto at = ask ? ask : r.lease.release_at();
+    if (!at || (r.lease_check_at >= 0 && r.lease_check_at <= *at)) return;
+    r.lease_check_at = *at;
+    driver_.alarm(Kind::lease, *at, &r, 0, 0, true);
+}
+
+void Relay::on_lease_timer(Request& r) {
+    r.lease_check_at = -1;
+    if (r.lease.prefill_in_flight()) {
+        const EndpointId reader = r.lease.timeline().awaited;
+        const Millis sent = r.lease.prefill_written_at();
+        const bool unusual = prefill_times_.is_unusual(ports_.now() - sent, r.in.arrival.prompt_tokens);
         // Where it could not be asked, as nothing of ours is over yet, one that has ever answered is trusted.
         const Millis since = liveness_.can_ask() ? sent : 0;
         const auto heard = liveness_.answered_since(reader, since);
-        if (heard && !unusual) r.held.server_answered(since > 0 ? *heard : ports_.now());
-        const auto ask = r.held.ask_at();
+        if (heard && !unusual) r.lease.on_endpoint_answered(since > 0 ? *heard : ports_.now());
+        const auto ask = r.lease.health_check_at();
         if (ask && *ask <= ports_.now()) {
-            r.held.asked();
+            r.lease.on_health_check_sent();
             liveness_.ask(reader);
         }
     }
-    const auto at = r.held.release_at();
+    const auto at = r.lease.release_at();
     if (!at) return;
-    if (*at > ports_.now()) return watch_held(r);
-    release_at_risk(r);
+    if (*at > ports_.now()) return schedule_lease_check(r);
+    release_expiring_lease(r);
 }
 
-void Relay::release_at_risk(Request& r) {
-    if (r.held.only_unanswered_read()) return release_held(r, ReleaseReason::read_unanswered);
-    r.held.at_risk(ports_.now());
+void Relay::release_expiring_lease(Request& r) {
+    if (r.lease.only_unanswered_prefill()) return release_lease(r, ReleaseReason::prefill_unanswered);
+    r.lease.on_expiring(ports_.now());
     if (busy(r)) {
-        if (DiscoveredEndpoint* silent = endpoints_.find(r.held.timeline().awaited))
+        if (DiscoveredEndpoint* silent = endpoints_.find(r.lease.timeline().awaited))
             silent->last_failure = ports_.now();
     }
-    release_held(r, ReleaseReason::at_risk);
+    release_lease(r, ReleaseReason::lease_expiring);
     const std::uint64_t handle = r.handle;
-    driver_.feed(StateReleased{std::to_string(handle)});
+    driver_.feed(LeaseReleased{std::to_string(handle)});
     Request* own = find(handle);
     if (!own || own->attempts.empty()) return;
     // What waits for a connection would find nothing to take: the time is better used for another read.
@@ -372,17 +372,18 @@
         stop(latest, AttemptResult::cancelled, "its state was let go of");
 }
 
-std::string Relay::name(EndpointId server) {
+std::string Relay::endpoint_name(EndpointId server) {
     const DiscoveredEndpoint* host = endpoints_.find(server);
     return host ? host->name : "gone";
 }
 
-std::string Relay::describe(const Request& r) {
-    const auto& timeline = r.held.timeline();
-    return describe_held(timeline, r.arrived, ports_.now(), name(timeline.holder), name(timeline.awaited));
+std::string Relay::describe_lease(const Request& r) {
+    const auto& timeline = r.lease.timeline();
+    return describe_timeline(timeline, r.arrived, ports_.now(), endpoint_name(timeline.holder),
+                             endpoint_name(timeline.awaited));
 }
 
-void Relay::on_release_ended(const Releases::Ended& ended) {
+void Relay::on_release_ended(const LeaseReleaser::Ended& ended) {
     ++counts_.release_ends[static_cast<std::size_t>(ended.end)];
     if (ended.end == ReleaseEnd::answered) {
         audit_.server_answered(ports_.now());
@@ -390,20 +391,21 @@
     }
     if (Request* r = find(ended.order.request)) {
         if (ended.end == ReleaseEnd::answered) {
-            const Millis age = ports_.now() - r->held.timeline().made;
-            if (!r->held.only_unanswered_read()) counts_.held_longest = std::max(counts_.held_longest, age);
-            r->held.release_answered(ports_.now());
+            const Millis age = ports_.now() - r->lease.timeline().acquired;
+            if (!r->lease.only_unanswered_prefill())
+                counts_.longest_lease = std::max(counts_.longest_lease, age);
+            r->lease.on_release_answered(ports_.now());
         } else {
-            r->held.release_over();
+            r->lease.on_release_failed();
         }
-        watch_held(*r);
+        schedule_lease_check(*r);
     }
     const bool bad = ended.end == ReleaseEnd::unanswered;
-    const bool notable = bad || ended.order.reason == ReleaseReason::at_risk || ended.calls > 1;
-    if (!notable || !release_lines_.take(ports_.now())) return;
+    const bool notable = bad || ended.order.reason == ReleaseReason::lease_expiring || ended.calls > 1;
+    if (!notable || !release_log_budget_.take(ports_.now())) return;
     std::string text = ended.order.txn;
     text.append(" ").append(kReleaseEnds[static_cast<std::size_t>(ended.end)]);
-    if (ended.end == ReleaseEnd::answered) text.append(" by ").append(name(ended.by));
+    if (ended.end == ReleaseEnd::answered) text.append(" by ").append(endpoint_name(ended.by));
     text.append(" after ").append(std::to_string(std::lround(ended.took)));
     text.append(" calls ").append(std::to_string(ended.calls));
     text.append(" reason ").append(kReleaseReasons[static_cast<std::size_t>(ended.order.reason)]);
@@ -427,7 +429,7 @@
     p.txn = r.in.txn, p.cls = r.in.arrival.cls, p.prompt_tokens = r.in.arrival.prompt_tokens;
     p.tokens = r.tokens;
     p.cause = cause;
-    if (r.held.held()) p.held = describe(r);
+    if (r.lease.held()) p.lease = describe_lease(r);
     p.first = r.begun < 0 ? -1 : r.begun - r.arrived;
     p.ended = ports_.now() - r.arrived;
     for (const auto& t : r.attempts) {
@@ -487,9 +489,9 @@
     t->heard = r->begun = ports_.now();
     if (DiscoveredEndpoint* h = endpoints_.find(t->endpoint)) h->last_success = t->heard;
     audit_.state_taken(handle);
-    r->held.taken();  // the write has taken the state; the rest is released with it
+    r->lease.on_taken();  // the write has taken the state; the rest is released with it
     r->in.body = std::string();
-    driver_.alarm(Kind::idle, t->heard + kSilence, r, attempt, 0, true);
+    driver_.alarm(Kind::stream_idle, t->heard + kSilence, r, attempt, 0, true);
     if (r->client) {
         audit_.answered(handle, false, t->heard);
         r->client->begin(events);
@@ -532,13 +534,14 @@
     if (DiscoveredEndpoint* h = endpoints_.find(t->endpoint)) {
         (e.status > 0 && e.result != AttemptResult::reset ? h->last_success : h->last_failure) = now;
     }
-    r->held.attempt_over(now, never_ran(e.result));
-    if (e.result == AttemptResult::prefill_done) read_times_.add(now - t->sent, r->in.arrival.prompt_tokens);
+    r->lease.on_attempt_ended(now, never_ran(e.result));
+    if (e.result == AttemptResult::prefill_done)
+        prefill_times_.add_prefill(now - t->sent, r->in.arrival.prompt_tokens);
     if (t->read && e.result == AttemptResult::prefill_done)
-        r->held.made(now, control::HeldOrigin::read_done, t->endpoint);
+        r->lease.on_acquired(now, control::LeaseOrigin::prefill_done, t->endpoint);
     else if (t->read && !never_ran(e.result))
-        r->held.made(now, control::HeldOrigin::read_lost, t->endpoint);
-    watch_held(*r);
+        r->lease.on_acquired(now, control::LeaseOrigin::prefill_lost, t->endpoint);
+    schedule_lease_check(*r);
     AttemptEnded o;
     o.request = std::to_string(handle), o.attempt = attempt, o.endpoint = t->endpoint, o.result = e.result;
     o.took = now - t->sent, o.detail = e.detail;
@@ -596,30 +599,31 @@
 
 void Relay::due(const Driver::Alarm& a) {
     if (a.kind == Kind::release) return releases_.retry(a.label);
-    if (a.kind == Kind::question) return liveness_.expire(static_cast<EndpointId>(a.label));
+    if (a.kind == Kind::health_check) return liveness_.expire(static_cast<EndpointId>(a.label));
     Request* r = a.owner;
     const Millis now = ports_.now();
-    if (a.kind == Kind::hold) {
-        if (r->hold && !r->hold->over()) {
-            const auto call = r->hold;
+    if (a.kind == Kind::reservation) {
+        if (r->reservation && !r->reservation->over()) {
+            const auto call = r->reservation;
             ports_.close(*call);
             call->give_up(AttemptResult::timed_out, "no answer");
         }
         return;
     }
-    if (a.kind == Kind::held) return held_due(*r);
+    if (a.kind == Kind::lease) return on_lease_timer(*r);
     AttemptState* t = find_attempt(r, a.attempt);
     if (!t || !t->out) return;
-    if (a.kind == Kind::limit) {
+    if (a.kind == Kind::attempt_timeout) {
         if (t->first) return;
-        if (!driver_.up(t->time)) return driver_.alarm(Kind::limit, t->time.due(), r, a.attempt, 0, true);
+        if (!driver_.up(t->time))
+            return driver_.alarm(Kind::attempt_timeout, t->time.due(), r, a.attempt, 0, true);
         stop(*t, t->time.endpoint_at_fault() ? AttemptResult::timed_out : AttemptResult::cancelled,
              "no answer in time");
-    } else if (a.kind == Kind::idle) {
+    } else if (a.kind == Kind::stream_idle) {
         // Guards against a begun stream whose server went silent: nobody else would end it.
         if (r->congested) t->heard = now;
         if (t->heard + kSilence > now)
-            return driver_.alarm(Kind::idle, t->heard + kSilence, r, a.attempt, 0, true);
+            return driver_.alarm(Kind::stream_idle, t->heard + kSilence, r, a.attempt, 0, true);
         stop(*t, AttemptResult::reset, "the stream fell silent");
     }
 }
@@ -628,10 +632,10 @@
     for (std::size_t i = 0; i < to_revisit_.size(); ++i) {
         Request* r = find(to_revisit_[i]);
         if (!r || busy(*r)) continue;
-        release_held(*r, ReleaseReason::request_over);
+        release_lease(*r, ReleaseReason::request_over);
         if (!r->closed) continue;
-        if (r->hold && !r->hold->over()) {
-            const auto call = r->hold;
+        if (r->reservation && !r->reservation->over()) {
+            const auto call = r->reservation;
             call->on_over = nullptr;
             ports_.close(*call);
         }
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -48,7 +48,7 @@
     // States and places held: by what became of their releases, and why these began.
     std::array<std::uint64_t, kReleaseEnds.size()> release_ends{};
     std::array<std::uint64_t, kReleaseReasons.size()> release_reasons{};
-    Millis held_longest = 0;  // until a release was answered
+    Millis longest_lease = 0;  // until a release was answered
 };
 
 class Relay {
@@ -89,7 +89,7 @@
     std::size_t releases() const { return releases_.size(); }
     std::size_t attempts_out() const { return out_; }
     const Counts& counts() const { return counts_; }
-    const Releases::Counts& release_counts() const { return releases_.counts(); }
+    const LeaseReleaser::Counts& release_counts() const { return releases_.counts(); }
     const Liveness& liveness() const { return liveness_; }
     const AccessLog& access() const { return access_; }
     const control::Audit& audit() const { return audit_; }
@@ -104,10 +104,10 @@
         control::AttemptClock time;
     };
     struct Request;
-    enum class Kind { router, limit, idle, hold, release, held, question };
+    enum class Kind { router, attempt_timeout, stream_idle, reservation, release, lease, health_check };
     using Driver = proxy::Driver<Request, Kind>;
     struct Request {
-        explicit Request(Millis release_within) : held(release_within) {}
+        explicit Request(Millis release_within) : lease(release_within) {}
         Inbound in;
         std::uint64_t handle = 0;
         Client* client = nullptr;
@@ -115,10 +115,10 @@
         double tokens = 0;                             // of its answer, where that says
         bool closed = false;                           // its client has its final answer, or is gone
         bool congested = false;
-        control::HeldState held;  // what model servers may hold for it
-        Millis held_due = -1;     // when held_due() is called next; below 0: not
+        control::KvLease lease;      // what model servers may hold for it
+        Millis lease_check_at = -1;  // when held_due() is called next; below 0: not
         std::deque<AttemptState> attempts;
-        std::shared_ptr<UpstreamExchange> hold;
+        std::shared_ptr<UpstreamExchange> reservation;
         std::uint64_t release = 0;  // the latest release under way
         Driver::Mine alarms, timeouts;
     };
@@ -134,14 +134,14 @@
     bool may_begin(std::uint64_t handle, EndpointId server, Millis send_by, Millis since, bool takes);
     void start(const gorsenotch::StartAttempt& a);
     void stop(AttemptState& t, AttemptResult result, const char* why);
-    void hold(const HoldPlace& a);
-    void release_held(Request& r, ReleaseReason reason);
-    void watch_held(Request& r);
-    void held_due(Request& r);
-    void release_at_risk(Request& r);
-    std::string describe(const Request& r);
-    std::string name(EndpointId server);
-    void on_release_ended(const Releases::Ended& ended);
+    void reserve_slot(const ReserveSlot& a);
+    void release_lease(Request& r, ReleaseReason reason);
+    void schedule_lease_check(Request& r);
+    void on_lease_timer(Request& r);
+    void release_expiring_lease(Request& r);
+    std::string describe_lease(const Request& r);
+    std::string endpoint_name(EndpointId server);
+    void on_release_ended(const LeaseReleaser::Ended& ended);
     void final(Request& r, int status, Millis pause, const char* why, EndCause cause);
     void cut(Request& r);
     void end_stream(Request& r, const char* why);
@@ -164,15 +164,15 @@
     Driver driver_;
     std::unordered_map<std::uint64_t, Request> requests_;
     std::unordered_set<std::string> txns_;
-    Releases releases_;
+    LeaseReleaser releases_;
     Liveness liveness_;
     std::vector<std::uint64_t> to_revisit_;  // requests to look at once the Router is at rest
     std::uint64_t last_ = 0;
     std::size_t out_ = 0;
     Counts counts_;
-    control::ReadTimes read_times_;
+    control::PrefillTimes prefill_times_;
     AccessLog access_;
-    LineBudget release_lines_{AccessLog::kLinesPerSecond};
+    LineBudget release_log_budget_{AccessLog::kLinesPerSecond};
     control::Audit audit_;
 };
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -118,17 +118,17 @@
             r.ran_sent = r.handed;
         }
         const bool no_state = o.result == AttemptResult::rejected && o.detail == 1;
-        if (no_state) hold(r, false);
+        if (no_state) set_lease_held(r, false);
         if (o.result == AttemptResult::prefill_done) {
             r.reader = o.endpoint;
-            hold(r, true);
+            set_lease_held(r, true);
         }
         if (o.request_closed) r.ended = true;
         if (r.ended) return finish(r);
         if (o.result != AttemptResult::prefill_done && !no_state) r.failed.push_back(o.endpoint);
         // Guards against pinned states: a read whose end was lost, or a state whose reader is only cut off,
         // may still stand there though this gateway heard of none.
-        if (!r.state) act(DropState{r.a.request});
+        if (!r.state) act(ReleaseLease{r.a.request});
         advance(r);
     }
 
@@ -142,12 +142,12 @@
             sample(*s, r, waiting);
             move(*s, r, streaming);
         }
-        hold(r, false);
+        set_lease_held(r, false);
         retries_ = std::min(retries_ + kRetryShare, retry_cap());
         r.ended = true;
     }
 
-    void on(const PlaceNote&) {}  // places are never held ahead
+    void on(const ReservationReply&) {}  // places are never held ahead
 
     void on(const ClientGone& g) {
         const auto it = requests_.find(g.request);
@@ -207,9 +207,9 @@
         end(r, EndCause::deadline);
     }
 
-    void on(const StateReleased& released) {
+    void on(const LeaseReleased& released) {
         const auto it = requests_.find(released.request);
-        if (it != requests_.end()) hold(it->second, false);
+        if (it != requests_.end()) set_lease_held(it->second, false);
     }
 
     // Who may be refused and who has to be failed is decided here, as the attempts are known here.
@@ -382,7 +382,7 @@
         r.stage_since = now_;
     }
 
-    void hold(Request& r, bool held) {
+    void set_lease_held(Request& r, bool held) {
         if (r.state == held) return;
         r.state = held;
         if (EndpointState* s = find_endpoint(r.reader))
@@ -415,8 +415,8 @@
     }
 
     void finish(Request& r) {
-        if (r.attempts > 0 && r.stage != streaming) act(DropState{r.a.request});
-        hold(r, false);
+        if (r.attempts > 0 && r.stage != streaming) act(ReleaseLease{r.a.request});
+        set_lease_held(r, false);
         by_serial_.erase(r.serial);
         requests_.erase(RequestId(r.a.request));
     }
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -116,7 +116,7 @@
     s.cancel = info.yes("Ceilings.Cancel");
     s.second_copies = info.yes("Ceilings.SecondCopies");
     s.probes = info.yes("Ceilings.Probes");
-    s.hold_ahead = info.yes("FamilyInfo.Ahead");
+    s.slot_reservation = info.yes("FamilyInfo.Ahead");
     s.retry_after = info.yes("Ceilings.RetryAfter");
     s.local_read = info.yes("FamilyInfo.LocalRead");
     s.resume = info.yes("FamilyInfo.Resume");
@@ -125,7 +125,7 @@
     s.over_quota_weight = info.num("OverShareWorth", 1);
     s.answer_slack = info.num("Guarantees.AnswerSlackMs", 0);
     s.drain_grace = info.num("Guarantees.DrainGraceMs", 0);
-    s.release_within = info.num("FamilyInfo.LetGoByMs", 0);
+    s.lease_release_timeout = info.num("FamilyInfo.LetGoByMs", 0);
     s.fall_multiple = info.num("Guarantees.FallMultiple", 1);
     s.fall_window = info.num("Guarantees.TipAfterMs", 0);
     s.start_capacity = info.num("Guarantees.StartCapacity", 1);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -171,7 +171,7 @@
         Settings& s = p_.module;
         s.max_attempts = 6, s.cancel = true, s.retry_after = true;
         s.max_retry_after = 5000, s.dial_timeout = 250, s.over_quota_weight = 0.05;
-        s.answer_slack = 50, s.drain_grace = 250, s.release_within = 1000;
+        s.answer_slack = 50, s.drain_grace = 250, s.lease_release_timeout = 1000;
         s.fall_multiple = 2.5, s.fall_window = 2000, s.start_capacity = 0.3, s.warm_within = 10000;
         s.step = 2;  // the loop's timers are whole milliseconds; events come at once
         s.zones = static_cast<int>(p_.zones.size());
@@ -193,7 +193,7 @@
         }
         if (g) {
             s.answer_slack = g.number("answer-slack-ms"), s.drain_grace = g.number("drain-grace-ms");
-            s.release_within = g.number("let-go-ms"), s.fall_multiple = g.number("fall-multiple");
+            s.lease_release_timeout = g.number("let-go-ms"), s.fall_multiple = g.number("fall-multiple");
             s.fall_window = g.number("fall-window-ms"), s.start_capacity = g.number("start-capacity");
             s.warm_within = g.number("warm-ms");
             if (s.start_capacity <= 0) fault(g, "start-capacity should be above 0");
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -207,7 +207,8 @@
         feed(part(f, 1), FirstToken{part(f, 2), whole<int>(part(f, 5)), whole<EndpointId>(part(f, 4)),
                                     number(part(f, 3))});
     } else if (word == "held_note") {
-        feed(part(f, 1), PlaceNote{part(f, 2), whole<EndpointId>(part(f, 4)), whole<int>(part(f, 5)) == 1});
+        feed(part(f, 1),
+             ReservationReply{part(f, 2), whole<EndpointId>(part(f, 4)), whole<int>(part(f, 5)) == 1});
     } else if (word == "client_gone") {
         feed(part(f, 1), ClientGone{part(f, 2)});
     } else if (word == "ping_result") {
@@ -263,8 +264,8 @@
     std::visit(
         Overloaded{[&](const StartAttempt& a) { say("attempt", a.request, a.endpoint, a.timeout); },
                    [&](const StopAttempt& a) { say("stop_attempt", a.request, a.attempt); },
-                   [&](const HoldPlace& a) { say("hold_place", a.request, a.endpoint); },
-                   [&](const DropState& a) { say("drop_state", a.request); },
+                   [&](const ReserveSlot& a) { say("hold_place", a.request, a.endpoint); },
+                   [&](const ReleaseLease& a) { say("drop_state", a.request); },
                    [&](const Reject& a) { say("reject", a.request, a.retry_after); },
                    [&](const Fail& a) { say("end_failed", a.request); },
                    [&](const MoveStream& a) { say("reassign", a.request); },
--- a/src/state/decision_journal.cpp
+++ b/src/state/decision_journal.cpp
@@ -41,8 +41,8 @@
                 return {
                     {"e", "first"}, {"r", f.request}, {"n", f.attempt}, {"s", f.endpoint}, {"took", f.took}};
             },
-            [](const PlaceNote& n) -> Json {
-                return {{"e", "place"}, {"r", n.request}, {"s", n.endpoint}, {"held", n.held}};
+            [](const ReservationReply& n) -> Json {
+                return {{"e", "place"}, {"r", n.request}, {"s", n.endpoint}, {"held", n.reserved}};
             },
             [](const ClientGone& g) -> Json {
                 return {{"e", "gone"}, {"r", g.request}};
@@ -64,7 +64,7 @@
             [](const Due& d) -> Json {
                 return {{"e", "due"}, {"l", d.label}};
             },
-            [](const StateReleased& s) -> Json {
+            [](const LeaseReleased& s) -> Json {
                 return {{"e", "released"}, {"r", s.request}};
             },
             [](const Shutdown&) -> Json {
@@ -116,7 +116,7 @@
     }
     if (e == "first")
         return FirstToken{j.at("r"), whole<int>(j.at("n")), whole<EndpointId>(j.at("s")), j.at("took")};
-    if (e == "place") return PlaceNote{j.at("r"), whole<EndpointId>(j.at("s")), j.at("held")};
+    if (e == "place") return ReservationReply{j.at("r"), whole<EndpointId>(j.at("s")), j.at("held")};
     if (e == "gone") return ClientGone{j.at("r")};
     if (e == "list") {
         EndpointUpdate l;
@@ -134,7 +134,7 @@
     if (e == "probe")
         return ProbeResult{whole<EndpointId>(j.at("s")), j.at("good"), j.at("took"), report_of(j.at("load"))};
     if (e == "due") return Due{whole<std::uint64_t>(j.at("l"))};
-    if (e == "released") return StateReleased{j.at("r")};
+    if (e == "released") return LeaseReleased{j.at("r")};
     if (e == "shutdown") return Shutdown{};
     throw std::runtime_error("unknown event '" + e + "'");
 }
@@ -150,10 +150,10 @@
                                  [](const StopAttempt& a) -> Json {
                                      return {{"a", "stop"}, {"r", a.request}, {"n", a.attempt}};
                                  },
-                                 [](const HoldPlace& a) -> Json {
+                                 [](const ReserveSlot& a) -> Json {
                                      return {{"a", "hold"}, {"r", a.request}, {"s", a.endpoint}};
                                  },
-                                 [](const DropState& a) -> Json {
+                                 [](const ReleaseLease& a) -> Json {
                                      return {{"a", "drop"}, {"r", a.request}};
                                  },
                                  [](const Reject& a) -> Json {
--- a/tests/control/run_time_invariants_test.cpp
+++ b/tests/control/run_time_invariants_test.cpp
@@ -141,7 +141,7 @@
 }
 
 TEST_F(AuditTest, WhatAReadLeavesIsTakenOrLetGoOfInTime) {
-    settings.release_within = 1000;
+    settings.lease_release_timeout = 1000;
     const auto check_at = [&](Millis now, Millis stood = 0) {
         audit.server_answered(now);
         audit.check_held(now, stood);
@@ -175,7 +175,7 @@
 }
 
 TEST_F(AuditTest, WhatNoServerCouldBeToldIsNoBreach) {
-    settings.release_within = 1000;
+    settings.lease_release_timeout = 1000;
     audit.server_answered(90);
     audit.read_answered(0, 100, 0);
     audit.check_held(5000, 0);
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -117,7 +117,7 @@
     p.module.kinds = {{Role::read, 100000}, {Role::write, 100000}};
     p.module.max_attempts = 6, p.module.cancel = true, p.module.retry_after = true;
     p.module.max_retry_after = 1000, p.module.dial_timeout = 200, p.module.answer_slack = 50;
-    p.module.release_within = 1000, p.module.drain_grace = 250, p.module.step = 2;
+    p.module.lease_release_timeout = 1000, p.module.drain_grace = 250, p.module.step = 2;
     p.limits.open_requests = 1000;
     return p;
 }
--- a/tests/platform/access_log_test.cpp
+++ b/tests/platform/access_log_test.cpp
@@ -67,16 +67,16 @@
 }
 
 TEST(AccessLog, ALineTellsWhatWasHeldAndWhatWasProved) {
-    control::HeldState::Timeline timeline;
-    timeline.made = 1023, timeline.at_risk = 1623, timeline.sent = 1024;
-    EXPECT_EQ(describe_held(timeline, 1000, 1700, "r1", "w1"),
+    control::KvLease::Timeline timeline;
+    timeline.acquired = 1023, timeline.expiring = 1623, timeline.written = 1024;
+    EXPECT_EQ(describe_timeline(timeline, 1000, 1700, "r1", "w1"),
               "held 677 read_done at r1, made 23, at_risk 623; w1 sent 24 unproved");
     timeline.arrived = 1650, timeline.released = 1640;
-    timeline.origin = control::HeldOrigin::place_asked;
-    EXPECT_EQ(describe_held(timeline, 1000, 1700, "w2", "w1"),
+    timeline.origin = control::LeaseOrigin::slot_requested;
+    EXPECT_EQ(describe_timeline(timeline, 1000, 1700, "w2", "w1"),
               "held 677 place_asked at w2, made 23, at_risk 623, release 640; w1 sent 24 arrived 650");
-    timeline.sent = -1;
-    EXPECT_EQ(describe_held(timeline, 1000, 1700, "w2", "w1"),
+    timeline.written = -1;
+    EXPECT_EQ(describe_timeline(timeline, 1000, 1700, "w2", "w1"),
               "held 677 place_asked at w2, made 23, at_risk 623, release 640");
 }
 
--- a/tests/platform/lease_test.cpp
+++ b/tests/platform/lease_test.cpp
@@ -86,7 +86,7 @@
         const auto handle = ask("t4", client);
         EndpointId writer = 0;
         for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
-        relay.carry(HoldPlace{std::to_string(handle), writer});
+        relay.carry(ReserveSlot{std::to_string(handle), writer});
         made_now();
         EXPECT_GE(released_by(kReadInTime), 1u);
         finish();
--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -163,7 +163,7 @@
         const std::size_t read = world.sent.size() - 1;
         EndpointId writer = 0;
         for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
-        relay.carry(HoldPlace{std::to_string(handle), writer});
+        relay.carry(ReserveSlot{std::to_string(handle), writer});
         ASSERT_EQ(world.sent.size(), read + 2);
         EXPECT_EQ(last().request.rfind("POST /bootstrap/rooms/" + txn + " HTTP/1.1\r\n", 0), 0u);
         EXPECT_EQ(last().address, "10.0.0.3:1");
@@ -340,7 +340,7 @@
     for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
     drain_writer();
     const std::size_t before = world.sent.size();
-    relay.carry(HoldPlace{std::to_string(handle), writer});
+    relay.carry(ReserveSlot{std::to_string(handle), writer});
     EXPECT_EQ(world.sent.size(), before);
     relay.client_gone(handle);
     settle();
--- a/tests/router/guards_test.cpp
+++ b/tests/router/guards_test.cpp
@@ -362,7 +362,7 @@
     while (!bench->all<StartAttempt>().empty())
         bench->feed(now++, outcome("a", attempt++, 11, AttemptResult::rejected));
     EXPECT_EQ(bench->all<Reject>().size(), 1u);
-    EXPECT_EQ(bench->all<DropState>().size(), 1u);
+    EXPECT_EQ(bench->all<ReleaseLease>().size(), 1u);
     EXPECT_LE(attempt, 6);
 }
 
@@ -385,7 +385,7 @@
     bench->run_to(5010);
     EXPECT_EQ(bench->all<Reject>().size(), 1u);
     bench->feed(5012, outcome("a", 0, r, AttemptResult::prefill_done));
-    EXPECT_EQ(bench->all<DropState>().size(), 1u);
+    EXPECT_EQ(bench->all<ReleaseLease>().size(), 1u);
     EXPECT_TRUE(bench->all<StartAttempt>().empty());
 }
 
@@ -395,7 +395,7 @@
     bench->feed(15, ClientGone{"a"});
     EXPECT_EQ(bench->all<StopAttempt>().size(), 1u);
     bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done, true));
-    EXPECT_EQ(bench->all<DropState>().size(), 1u);
+    EXPECT_EQ(bench->all<ReleaseLease>().size(), 1u);
 }
 
 TEST_F(Guards, AStreamCalledOffAsItBeganIsStillOwedAnAnswer) {
@@ -557,7 +557,7 @@
     AttemptEnded cut = outcome("a", 1, 11, AttemptResult::rejected);
     cut.detail = 1;  // the writer could not fetch it; it may still stand at the reader
     bench->feed(30, cut);
-    EXPECT_EQ(bench->all<DropState>().size(), 1u);
+    EXPECT_EQ(bench->all<ReleaseLease>().size(), 1u);
     EXPECT_EQ(bench->all<StartAttempt>().size(), 1u);  // and it is read again
 }
 
@@ -568,13 +568,13 @@
     bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
     ASSERT_EQ(bench->all<StartAttempt>().size(), 1u);
     const EndpointId at = bench->all<StartAttempt>()[0].endpoint;
-    bench->feed(320, StateReleased{"a"});
+    bench->feed(320, LeaseReleased{"a"});
     EXPECT_TRUE(bench->all<StartAttempt>().empty()) << "the write that is out goes on";
     bench->feed(330, outcome("a", 1, at, AttemptResult::unreachable));
     ASSERT_EQ(bench->all<StartAttempt>().size(), 1u);
     EXPECT_EQ(bench->all<StartAttempt>()[0].endpoint, r);
     EXPECT_EQ(bench->checker.breaches, std::vector<std::string>{});
-    bench->feed(340, StateReleased{"unknown"});
+    bench->feed(340, LeaseReleased{"unknown"});
     EXPECT_TRUE(bench->actions.empty());
 }
 
@@ -582,7 +582,7 @@
     start(plain_settings(), {reader(1), writer(11)});
     const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
-    bench->feed(320, StateReleased{"a"});
+    bench->feed(320, LeaseReleased{"a"});
     bench->feed(400, FirstToken{"a", 1, 11, 380});
     bench->feed(500, outcome("a", 1, 11, AttemptResult::served, true));
     EXPECT_TRUE(bench->all<StartAttempt>().empty());
@@ -593,7 +593,7 @@
     start(plain_settings(), {reader(1), reader(2), writer(11)});
     const EndpointId r = read_at("a", 10);
     bench->feed(400, outcome("a", 0, r, AttemptResult::reset));
-    EXPECT_EQ(bench->all<DropState>().size(), 1u);
+    EXPECT_EQ(bench->all<ReleaseLease>().size(), 1u);
 }
 
 TEST_F(Guards, ALateStateIsGivenUpWhenOthersWait) {
@@ -608,7 +608,7 @@
     bench->feed(1100, outcome("late", 0, 1, AttemptResult::prefill_done));
     EXPECT_EQ(bench->all<Reject>().size(), 1u);
     EXPECT_EQ(bench->all<Reject>().at(0).cause, EndCause::decode_too_late);
-    EXPECT_EQ(bench->all<DropState>().size(), 1u);
+    EXPECT_EQ(bench->all<ReleaseLease>().size(), 1u);
 }
 
 TEST_F(Guards, ALateStateIsServedWhenNobodyWaits) {
@@ -688,7 +688,7 @@
     bench->router.handle(1, outcome("nobody", 0, 1, AttemptResult::served, true), bench->actions);
     bench->router.handle(1, outcome("nobody", 0, 999, AttemptResult::reset), bench->actions);
     bench->router.handle(1, FirstToken{"nobody", 0, 1, 1}, bench->actions);
-    bench->router.handle(1, PlaceNote{"nobody", 1, true}, bench->actions);
+    bench->router.handle(1, ReservationReply{"nobody", 1, true}, bench->actions);
     bench->router.handle(1, ProbeResult{999, true, 1, {}}, bench->actions);
     bench->router.handle(1, ClientGone{"nobody"}, bench->actions);
     bench->router.handle(1, Due{12345}, bench->actions);
--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -101,11 +101,11 @@
 
 TEST_F(Planted, PlacePinnedAfterRefusal) {
     Settings ahead = s;
-    ahead.hold_ahead = true;
+    ahead.slot_reservation = true;
     Checker d(ahead);
     d.event(0, list({writer(11)}));
     d.event(1, arrival("a", 1));
-    d.action(1, HoldPlace{"a", 11});
+    d.action(1, ReserveSlot{"a", 11});
     d.action(1, Reject{"a", 0});
     d.time(502);
     EXPECT_EQ(d.breaches.size(), 1u);
@@ -119,7 +119,7 @@
     s.second_copies = dice(2);
     s.probes = dice(2);
     s.local_read = dice(2);
-    s.hold_ahead = dice(2);
+    s.slot_reservation = dice(2);
     s.cancel = dice(4) > 0;
     s.resume = dice(2);
     s.retry_after = dice(2);
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -39,9 +39,9 @@
         // One whose connection did not come up was never out, as far as the server can tell.
         if (o->result != AttemptResult::unreachable && o->result != AttemptResult::not_sent)
             r.pinned_since = now;
-        if ((r.state || r.place) && now > r.pinned_since + s_.release_within)
+        if ((r.state || r.place) && now > r.pinned_since + s_.lease_release_timeout)
             breach(now, "pinned: state or place held for " + o->request);
-    } else if (const auto* released = std::get_if<StateReleased>(&event)) {
+    } else if (const auto* released = std::get_if<LeaseReleased>(&event)) {
         const auto it = requests_.find(released->request);
         if (it != requests_.end()) it->second.state = it->second.place = false;
     } else if (const auto* l = std::get_if<EndpointUpdate>(&event)) {
@@ -99,13 +99,13 @@
         const double budget = s_.fall_multiple * s_.start_capacity * capacity_per_s * s_.fall_window / 1000;
         if (static_cast<double>(servers_.at(a->endpoint).sends.size()) > budget)
             breach(now, "cold: pushed over");
-    } else if (const auto* h = std::get_if<HoldPlace>(&action)) {
+    } else if (const auto* h = std::get_if<ReserveSlot>(&action)) {
         Request& r = requests_.at(h->request);
-        if (!s_.hold_ahead) breach(now, "place held where that is forbidden");
+        if (!s_.slot_reservation) breach(now, "place held where that is forbidden");
         r.place = true;
         r.pinned_since = now;
         send(now, h->endpoint);
-    } else if (const auto* d = std::get_if<DropState>(&action)) {
+    } else if (const auto* d = std::get_if<ReleaseLease>(&action)) {
         if (const auto it = requests_.find(d->request); it != requests_.end()) {
             it->second.state = it->second.place = false;
         }
@@ -144,7 +144,7 @@
             breach(now, "lost: no answer in time for " + id);
             r.ended = true;
         }
-        if ((r.state || r.place) && out(r) == 0 && now > r.pinned_since + s_.release_within) {
+        if ((r.state || r.place) && out(r) == 0 && now > r.pinned_since + s_.lease_release_timeout) {
             breach(now, "pinned: state or place held for " + id);
             r.state = r.place = false;
         }
@@ -189,7 +189,7 @@
     s.resume = true;
     s.answer_slack = 16;
     s.drain_grace = 250;
-    s.release_within = 500;
+    s.lease_release_timeout = 500;
     s.fall_multiple = 2.5;
     s.fall_window = 2000;
     s.start_capacity = 0.3;
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -194,12 +194,12 @@
 
 TEST_F(Logic, NoPlaceIsHeldAhead) {
     Settings s = plain_settings();
-    s.hold_ahead = true;
+    s.slot_reservation = true;
     Bench b(s);
     b.feed(0, list({reader(1), writer(11)}));
     b.feed(10, arrival("a", 10));
     b.feed(20, outcome("a", 0, 1, AttemptResult::prefill_done));
-    EXPECT_TRUE(b.all<HoldPlace>().empty());
+    EXPECT_TRUE(b.all<ReserveSlot>().empty());
 }
 
 }  // namespace
--- a/tests/state/stored_data_test.cpp
+++ b/tests/state/stored_data_test.cpp
@@ -90,7 +90,7 @@
     terms.of = program.module.classes;
     terms.answer_slack = program.module.answer_slack;
     terms.drain_grace = program.module.drain_grace;
-    terms.let_go = program.module.release_within;
+    terms.let_go = program.module.lease_release_timeout;
     terms.fall_multiple = program.module.fall_multiple;
     terms.fall_window = program.module.fall_window;
     const auto verdict = invariants::judge(records, terms);
