--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -65,7 +65,7 @@
     int max_attempts = 1;
     bool cancel = false;
     bool second_copies = false;
-    bool probes = false;
+    bool health_checks = false;
     bool slot_reservation = false;
     bool retry_after = false;
     bool local_read = false;  // a writer reads a prompt itself when there is no state to fetch
@@ -174,9 +174,9 @@
     std::vector<Endpoint> endpoints;
 };
 
-struct ProbeResult {
+struct HealthCheckResult {
     EndpointId endpoint = 0;
-    bool good = false;
+    bool healthy = false;
     Millis took = 0;
     LoadReport report;
 };
@@ -194,7 +194,7 @@
 struct Shutdown {};  // the host is about to end: every request without an answer gets its final one at once
 
 using Event = std::variant<Arrival, AttemptEnded, FirstToken, ReservationReply, ClientGone, EndpointUpdate,
-                           ProbeResult, Due, LeaseReleased, Shutdown>;
+                           HealthCheckResult, Due, LeaseReleased, Shutdown>;
 
 // ---- actions --------------------------------------------------------------------------------------------
 
@@ -241,7 +241,7 @@
 struct MoveStream {  // hand a begun stream back to its client, which comes again
     RequestId request;
 };
-struct Probe {
+struct HealthCheck {
     EndpointId endpoint = 0;
 };
 struct SetTimer {
@@ -255,7 +255,7 @@
 };
 
 using Action = std::variant<StartAttempt, StopAttempt, ReserveSlot, ReleaseLease, Reject, Fail, MoveStream,
-                            Probe, SetTimer, WatchEndpoints, PollEndpoints, Log>;
+                            HealthCheck, SetTimer, WatchEndpoints, PollEndpoints, Log>;
 
 class Router {
 public:
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -161,24 +161,24 @@
 }
 
 void Core::carry(const Action& action) {
-    std::visit(Overloaded{[&](const StartAttempt& a) { start(a); }, [&](const StopAttempt& a) { stop(a); },
-                          [&](const ReleaseLease& a) {
-                              if (Request* r = find(a.request)) release_leases(*r, false);
-                          },
-                          [&](const Reject& a) {
-                              if (Request* r = find(a.request))
-                                  refuse(*r, 529, kOverloaded, a.retry_after, true);
-                          },
-                          [&](const Fail& a) {
-                              if (Request* r = find(a.request)) refuse(*r, 500, kFailed, -1, false);
-                          },
-                          [&](const Log& a) {
-                              ports_.log("info", "router", {{"text", a.text}});
-                          },
-                          // Timers are the driver's. The rest the settings of this program do not permit.
-                          [&](const SetTimer&) {}, [&](const ReserveSlot&) {}, [&](const MoveStream&) {},
-                          [&](const Probe&) {}, [&](const WatchEndpoints&) {}, [&](const PollEndpoints&) {}},
-               action);
+    std::visit(
+        Overloaded{[&](const StartAttempt& a) { start(a); }, [&](const StopAttempt& a) { stop(a); },
+                   [&](const ReleaseLease& a) {
+                       if (Request* r = find(a.request)) release_leases(*r, false);
+                   },
+                   [&](const Reject& a) {
+                       if (Request* r = find(a.request)) refuse(*r, 529, kOverloaded, a.retry_after, true);
+                   },
+                   [&](const Fail& a) {
+                       if (Request* r = find(a.request)) refuse(*r, 500, kFailed, -1, false);
+                   },
+                   [&](const Log& a) {
+                       ports_.log("info", "router", {{"text", a.text}});
+                   },
+                   // Timers are the driver's. The rest the settings of this program do not permit.
+                   [&](const SetTimer&) {}, [&](const ReserveSlot&) {}, [&](const MoveStream&) {},
+                   [&](const HealthCheck&) {}, [&](const WatchEndpoints&) {}, [&](const PollEndpoints&) {}},
+        action);
 }
 
 void Core::start(const StartAttempt& a) {
--- a/src/platform/health_checker.cpp
+++ b/src/platform/health_checker.cpp
@@ -13,67 +13,67 @@
 
 }  // namespace
 
-Liveness::Liveness(Millis patience, EndpointList& hosts, Ports& ports,
-                   std::function<void(Millis, EndpointId)> set_alarm)
-    : patience_(patience), endpoints_(hosts), ports_(ports), set_alarm_(std::move(set_alarm)) {}
+HealthChecker::HealthChecker(Millis patience, EndpointList& hosts, Ports& ports,
+                             std::function<void(Millis, EndpointId)> set_alarm)
+    : timeout_(patience), endpoints_(hosts), ports_(ports), set_timer_(std::move(set_alarm)) {}
 
-void Liveness::answered(EndpointId id, Millis sent) {
-    Server& server = servers_[id];
+void HealthChecker::on_answered(EndpointId id, Millis sent) {
+    EndpointHealth& server = endpoint_health_[id];
     if (sent < server.sent) return;
     server.sent = sent;
     server.at = ports_.now();
 }
 
-std::optional<Millis> Liveness::answered_since(EndpointId id, Millis since) const {
-    const auto it = servers_.find(id);
-    if (it == servers_.end() || it->second.sent < since) return std::nullopt;
+std::optional<Millis> HealthChecker::answered_since(EndpointId id, Millis since) const {
+    const auto it = endpoint_health_.find(id);
+    if (it == endpoint_health_.end() || it->second.sent < since) return std::nullopt;
     return it->second.at;
 }
 
-void Liveness::request_over(const std::string& txn) {
+void HealthChecker::request_over(const std::string& txn) {
     const Millis now = ports_.now();
     if (now - over_since_ < kLongOver) return;
     over_before_ = std::exchange(over_now_, txn);
     over_since_ = now;
 }
 
-void Liveness::ask(EndpointId id) {
+void HealthChecker::check(EndpointId id) {
     const DiscoveredEndpoint* host = endpoints_.find(id);
-    Server& server = servers_[id];
-    if (!host || !can_ask() || server.question) return;
-    ++asked_;
-    server.question = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
-    server.asked = ports_.now();
-    const auto question = server.question;
-    question->on_heard = [this, id, sent = server.asked] { answered(id, sent); };
-    question->on_over = [this, id](const AttemptOutcome&) { servers_[id].question.reset(); };
-    set_alarm_(server.asked + patience_, id);
+    EndpointHealth& server = endpoint_health_[id];
+    if (!host || !can_check() || server.check) return;
+    ++checks_sent_;
+    server.check = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
+    server.check_sent_at = ports_.now();
+    const auto question = server.check;
+    question->on_heard = [this, id, sent = server.check_sent_at] { on_answered(id, sent); };
+    question->on_over = [this, id](const AttemptOutcome&) { endpoint_health_[id].check.reset(); };
+    set_timer_(server.check_sent_at + timeout_, id);
     ports_.start(host->dial_address, lease_call("DELETE", over_before_, host->dial_address), question);
 }
 
-void Liveness::expire(EndpointId id) {
-    const auto it = servers_.find(id);
-    if (it == servers_.end() || !it->second.question) return;
-    if (ports_.now() + 0.5 < it->second.asked + patience_) return;  // an alarm of an earlier question
-    ++unanswered_;
+void HealthChecker::on_timeout(EndpointId id) {
+    const auto it = endpoint_health_.find(id);
+    if (it == endpoint_health_.end() || !it->second.check) return;
+    if (ports_.now() + 0.5 < it->second.check_sent_at + timeout_) return;  // an alarm of an earlier question
+    ++checks_unanswered_;
     close(it->second);
 }
 
-void Liveness::close(Server& server) {
-    const auto question = std::exchange(server.question, nullptr);
+void HealthChecker::close(EndpointHealth& server) {
+    const auto question = std::exchange(server.check, nullptr);
     if (!question || question->over()) return;
     question->on_over = nullptr;
     ports_.close(*question);
 }
 
-void Liveness::forget_unlisted() {
-    for (auto it = servers_.begin(); it != servers_.end();) {
+void HealthChecker::forget_unlisted() {
+    for (auto it = endpoint_health_.begin(); it != endpoint_health_.end();) {
         if (endpoints_.find(it->first)) {
             ++it;
             continue;
         }
         close(it->second);
-        it = servers_.erase(it);
+        it = endpoint_health_.erase(it);
     }
 }
 
--- a/src/platform/health_checker.h
+++ b/src/platform/health_checker.h
@@ -18,45 +18,45 @@
 
 namespace gorsenotch::platform {
 
-class Liveness {
+class HealthChecker {
 public:
     // `patience`: how long a question may be out. `set_alarm`: expire(server) is to be called at `at`.
-    Liveness(Millis patience, EndpointList& hosts, Ports& ports,
-             std::function<void(Millis at, EndpointId)> set_alarm);
+    HealthChecker(Millis patience, EndpointList& hosts, Ports& ports,
+                  std::function<void(Millis at, EndpointId)> set_alarm);
 
     // A byte of an answer came to what was begun at `sent`.
-    void answered(EndpointId server, Millis sent);
+    void on_answered(EndpointId server, Millis sent);
     // When the latest answer came to something begun at `since` or later; nothing if none has.
     std::optional<Millis> answered_since(EndpointId server, Millis since) const;
     // Whether a question can be asked at all: a request of our own has been over for a while.
-    bool can_ask() const { return !over_before_.empty(); }
-    void ask(EndpointId server);
-    void expire(EndpointId server);
+    bool can_check() const { return !over_before_.empty(); }
+    void check(EndpointId server);
+    void on_timeout(EndpointId server);
     // A request of our own is over, and nothing is held for it.
     void request_over(const std::string& txn);
     // Forgets servers that are not listed.
     void forget_unlisted();
 
-    std::uint64_t asked() const { return asked_; }
-    std::uint64_t unanswered() const { return unanswered_; }
+    std::uint64_t checks_sent() const { return checks_sent_; }
+    std::uint64_t checks_unanswered() const { return checks_unanswered_; }
 
 private:
-    struct Server {
+    struct EndpointHealth {
         Millis sent = -1e18, at = -1e18;  // of what was answered last, and when
-        std::shared_ptr<UpstreamExchange> question;
-        Millis asked = 0;
+        std::shared_ptr<UpstreamExchange> check;
+        Millis check_sent_at = 0;
     };
-    void close(Server& server);
+    void close(EndpointHealth& server);
 
-    const Millis patience_;
+    const Millis timeout_;
     EndpointList& endpoints_;
     Ports& ports_;
-    const std::function<void(Millis, EndpointId)> set_alarm_;
-    std::unordered_map<EndpointId, Server> servers_;
+    const std::function<void(Millis, EndpointId)> set_timer_;
+    std::unordered_map<EndpointId, EndpointHealth> endpoint_health_;
     // Ids of requests of our own that were over by then; the older one is used.
     std::string over_now_, over_before_;
     Millis over_since_ = -1e18;
-    std::uint64_t asked_ = 0, unanswered_ = 0;
+    std::uint64_t checks_sent_ = 0, checks_unanswered_ = 0;
 };
 
 }  // namespace gorsenotch::platform
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -26,10 +26,10 @@
                 [this](Millis at, std::uint64_t id, bool timeout) {
                     driver_.alarm(Kind::release, at, nullptr, 0, id, timeout);
                 }),
-      liveness_(control::KvLease(named.settings.lease_release_timeout).duration(), hosts, ports,
-                [this](Millis at, EndpointId server) {
-                    driver_.alarm(Kind::health_check, at, nullptr, 0, server, true);
-                }),
+      health_checker_(control::KvLease(named.settings.lease_release_timeout).duration(), hosts, ports,
+                      [this](Millis at, EndpointId server) {
+                          driver_.alarm(Kind::health_check, at, nullptr, 0, server, true);
+                      }),
       access_(named.settings),
       audit_(named.settings) {
     audit_.on_breach = [this](control::Rule rule, std::uint64_t handle, const std::string& what) {
@@ -107,7 +107,7 @@
     const Millis now = ports_.now();
     for (const auto& entry : e.endpoints) audit_.listed(entry.id, entry.status, now);
     if (e.kind == EndpointUpdate::Kind::full) audit_.list_is_whole(e.endpoints, now);
-    liveness_.forget_unlisted();
+    health_checker_.forget_unlisted();
     driver_.feed(std::move(e));
 }
 
@@ -187,7 +187,7 @@
                           },
                           [&](const Log& a) { ports_.log("debug", "router", a.text); },
                           // Timers are the driver's; probes are not spoken here; the watch is always open.
-                          [&](const SetTimer&) {}, [&](const Probe&) {}, [&](const WatchEndpoints&) {},
+                          [&](const SetTimer&) {}, [&](const HealthCheck&) {}, [&](const WatchEndpoints&) {},
                           [&](const PollEndpoints&) {}},
                action);
 }
@@ -234,7 +234,7 @@
         schedule_lease_check(*own);
     };
     t.exchange->on_heard = [this, handle, server = a.endpoint, now] {
-        liveness_.answered(server, now);
+        health_checker_.on_answered(server, now);
         audit_.server_answered(ports_.now());
         Request* own = find(handle);
         if (!own) return;
@@ -339,13 +339,13 @@
         const Millis sent = r.lease.prefill_written_at();
         const bool unusual = prefill_times_.is_unusual(ports_.now() - sent, r.in.arrival.prompt_tokens);
         // Where it could not be asked, as nothing of ours is over yet, one that has ever answered is trusted.
-        const Millis since = liveness_.can_ask() ? sent : 0;
-        const auto heard = liveness_.answered_since(reader, since);
+        const Millis since = health_checker_.can_check() ? sent : 0;
+        const auto heard = health_checker_.answered_since(reader, since);
         if (heard && !unusual) r.lease.on_endpoint_answered(since > 0 ? *heard : ports_.now());
         const auto ask = r.lease.health_check_at();
         if (ask && *ask <= ports_.now()) {
             r.lease.on_health_check_sent();
-            liveness_.ask(reader);
+            health_checker_.check(reader);
         }
     }
     const auto at = r.lease.release_at();
@@ -599,7 +599,7 @@
 
 void Relay::due(const Driver::Alarm& a) {
     if (a.kind == Kind::release) return releases_.retry(a.label);
-    if (a.kind == Kind::health_check) return liveness_.expire(static_cast<EndpointId>(a.label));
+    if (a.kind == Kind::health_check) return health_checker_.on_timeout(static_cast<EndpointId>(a.label));
     Request* r = a.owner;
     const Millis now = ports_.now();
     if (a.kind == Kind::reservation) {
@@ -639,7 +639,7 @@
             call->on_over = nullptr;
             ports_.close(*call);
         }
-        if (!releases_.in_progress(r->release)) liveness_.request_over(r->in.txn);
+        if (!releases_.in_progress(r->release)) health_checker_.request_over(r->in.txn);
         driver_.drop(*r);
         audit_.forget(to_revisit_[i]);
         txns_.erase(r->in.txn);
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -90,7 +90,7 @@
     std::size_t attempts_out() const { return out_; }
     const Counts& counts() const { return counts_; }
     const LeaseReleaser::Counts& release_counts() const { return releases_.counts(); }
-    const Liveness& liveness() const { return liveness_; }
+    const HealthChecker& health_checker() const { return health_checker_; }
     const AccessLog& access() const { return access_; }
     const control::Audit& audit() const { return audit_; }
 
@@ -165,7 +165,7 @@
     std::unordered_map<std::uint64_t, Request> requests_;
     std::unordered_set<std::string> txns_;
     LeaseReleaser releases_;
-    Liveness liveness_;
+    HealthChecker health_checker_;
     std::vector<std::uint64_t> to_revisit_;  // requests to look at once the Router is at rest
     std::uint64_t last_ = 0;
     std::size_t out_ = 0;
--- a/src/router/records.h
+++ b/src/router/records.h
@@ -34,14 +34,14 @@
     Millis heard = -kNever;
     double memory_share = -1;
     // health
-    double errors = 0;
-    std::array<double, 3> slow{};  // evidence of slowness by stage
-    bool suspect = false, was_down = false;
-    bool broken = false;  // a connection did not come up, and nothing has been answered since
-    Millis retry_at = 0, pause = 0, suspected = 0;
-    double allow = 0;            // requests out at once while suspect
-    std::vector<Millis> failed;  // by class: when the last attempt failed, if the last did
-    Millis full_until = -kNever, answered = -kNever;
+    double error_rate = 0;
+    std::array<double, 3> slowness_evidence{};  // evidence of slowness by stage
+    bool ejected = false, was_unreachable = false;
+    bool connect_failed = false;  // a connection did not come up, and nothing has been answered since
+    Millis ejected_until = 0, ejection_backoff = 0, ejected_at = 0;
+    double concurrency_limit = 0;            // requests out at once while suspect
+    std::vector<Millis> last_class_failure;  // by class: when the last attempt failed, if the last did
+    Millis rejecting_until = -kNever, last_success = -kNever;
     stats::DecayingRate sends{kRateSpan};
     std::deque<Millis> recent;  // sends within the fall window
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -107,7 +107,7 @@
         if (it == requests_.end() || !it->second.out || o.attempt != it->second.attempts - 1) return;
         Request& r = it->second;
         if (r.stage != streaming) observe_time(r, o.result == AttemptResult::prefill_done);
-        if (server) settle(*server, r, o);
+        if (server) record_outcome(*server, r, o);
         // A stream that was called off just as it began, and after all is still owed an answer.
         if (!o.request_closed && r.stage == streaming && r.ended && !r.final) r.ended = false;
         leave(r);
@@ -138,8 +138,8 @@
         Request& r = it->second;
         if (EndpointState* s = find_endpoint(r.endpoint)) {
             observe_time(r, true);
-            s->failed[cls(r)] = -kNever;
-            sample(*s, r, waiting);
+            s->last_class_failure[cls(r)] = -kNever;
+            record_completion(*s, r, waiting);
             move(*s, r, streaming);
         }
         set_lease_held(r, false);
@@ -174,10 +174,10 @@
             unindex_endpoint(s);
             // Guards against: a restarted process judged by its past life, and empty memory taken for room.
             if (fresh || entry.started_at > s.endpoint.started_at) {
-                s.suspect = s.was_down = false;
-                s.errors = 0;
-                s.slow = {};
-                s.failed.assign(s_.classes.size(), -kNever);
+                s.ejected = s.was_unreachable = false;
+                s.error_rate = 0;
+                s.slowness_evidence = {};
+                s.last_class_failure.assign(s_.classes.size(), -kNever);
                 s.others = 0;
                 s.heard = -kNever;
                 s.memory_share = -1;
@@ -194,12 +194,12 @@
         if (now_ >= survey_due_) survey(0);
     }
 
-    void on(const ProbeResult& p) {
+    void on(const HealthCheckResult& p) {
         if (EndpointState* s = find_endpoint(p.endpoint)) hear(*s, p.report);
     }
 
     void on(const Due& d) {
-        if (d.label == kTick) return check();
+        if (d.label == kTick) return on_health_tick();
         const auto it = by_serial_.find(d.label);
         if (it == by_serial_.end()) return;
         Request& r = requests_.at(it->second);
@@ -654,13 +654,13 @@
         }
         if (!strict) return true;
         // Guards against a request spent on one server that, sick or full, looks idle from here.
-        if (now_ < s.full_until) return false;
+        if (now_ < s.rejecting_until) return false;
         if (std::find(r.failed.begin(), r.failed.end(), s.endpoint.id) != r.failed.end()) return false;
         // What failed a class last may serve the others. Guards against one class unanswered and, where
         // visits are too rare for flags, all sickness; not a minority alone. Outlasts jams.
-        if (sparse() && now_ - s.failed[cls(r)] < kGrudge) return false;
-        if (!s.suspect) return true;
-        return now_ >= s.retry_at && s.total() < s.allow;
+        if (sparse() && now_ - s.last_class_failure[cls(r)] < kClassEjectionTime) return false;
+        if (!s.ejected) return true;
+        return now_ >= s.ejected_until && s.total() < s.concurrency_limit;
     }
 
     bool is_keyed_retry(const Request& r) const {
@@ -710,26 +710,26 @@
     }
 
     // Judges a server by the outcome of an attempt.
-    void settle(EndpointState& s, const Request& r, const AttemptEnded& o) {
-        const bool early = s.suspect && r.sent < s.suspected;  // tells nothing new of a suspect
+    void record_outcome(EndpointState& s, const Request& r, const AttemptEnded& o) {
+        const bool early = s.ejected && r.sent < s.ejected_at;  // tells nothing new of a suspect
         switch (o.result) {
             case AttemptResult::served:
             case AttemptResult::prefill_done:
-                s.answered = now_;
-                s.failed[cls(r)] = -kNever;
-                s.broken = false;
-                if (o.result == AttemptResult::prefill_done) sample(s, r, reading);
-                if (r.stage == streaming) sample(s, r, streaming);
-                s.errors *= 1 - kErrorStep;
-                if (!early && s.suspect) {
-                    if (s.was_down) {
+                s.last_success = now_;
+                s.last_class_failure[cls(r)] = -kNever;
+                s.connect_failed = false;
+                if (o.result == AttemptResult::prefill_done) record_completion(s, r, reading);
+                if (r.stage == streaming) record_completion(s, r, streaming);
+                s.error_rate *= 1 - kErrorRateStep;
+                if (!early && s.ejected) {
+                    if (s.was_unreachable) {
                         s.cold_since = now_;
-                        s.was_down = false;
+                        s.was_unreachable = false;
                     }
-                    s.allow *= 2;
-                    if (s.allow > kTrusted) {
-                        s.suspect = false;
-                        s.pause = 0;
+                    s.concurrency_limit *= 2;
+                    if (s.concurrency_limit > kMaxTrialConcurrency) {
+                        s.ejected = false;
+                        s.ejection_backoff = 0;
                     }
                 }
                 return;
@@ -737,13 +737,13 @@
                 // Guards against a whole server shunned, and then taken for cold, for one connection: when it
                 // is down the next does not come up either. Covers connections reset as they open. May do
                 // harm by one more attempt, or one more wait for a connection, at a server that is gone.
-                s.failed[cls(r)] = now_;
-                if (!std::exchange(s.broken, true) && !s.suspect) return;
-                s.was_down = true;
-                if (!early) suspect_server(s);
+                s.last_class_failure[cls(r)] = now_;
+                if (!std::exchange(s.connect_failed, true) && !s.ejected) return;
+                s.was_unreachable = true;
+                if (!early) eject(s);
                 return;
             case AttemptResult::rejected:
-                if (o.detail != 1) s.full_until = now_ + completion_time(waiting, r).value();
+                if (o.detail != 1) s.rejecting_until = now_ + completion_time(waiting, r).value();
                 return;
             case AttemptResult::timed_out:
                 keep_abandoned_read(s, r);
@@ -755,16 +755,18 @@
                 if (r.stage == streaming) return;
                 [[fallthrough]];
             case AttemptResult::error:
-                s.failed[cls(r)] = now_;
+                s.last_class_failure[cls(r)] = now_;
                 if (early) return;
-                s.errors +=
-                    kErrorStep * (o.result == AttemptResult::reset ? kResetWeight : 1) * (1 - s.errors);
+                s.error_rate += kErrorRateStep * (o.result == AttemptResult::reset ? kResetWeight : 1) *
+                                (1 - s.error_rate);
                 // With few visits no second failure comes in time to confirm the first.
-                if (s.suspect || ((s.errors > kErrorFlag || sparse()) && minority(s))) suspect_server(s);
+                if (s.ejected ||
+                    ((s.error_rate > kErrorRateThreshold || sparse()) && within_max_ejection_fraction(s)))
+                    eject(s);
                 return;
             case AttemptResult::cancelled:
                 keep_abandoned_read(s, r);
-                if (r.stopped && !r.excused) s.failed[cls(r)] = now_;
+                if (r.stopped && !r.excused) s.last_class_failure[cls(r)] = now_;
                 return;
             case AttemptResult::not_sent:
                 return;
@@ -780,16 +782,17 @@
     }
 
     // A suspect gets nothing for a while, then one request at a time, doubling with each success.
-    void suspect_server(EndpointState& s) {
+    void eject(EndpointState& s) {
         // A trial of a down server costs little, one of a slow server a late answer; many trials add up.
-        const Millis longest = (s.was_down && !sparse() ? 2 : 8) * min_latency_objective_;
-        s.pause = std::clamp(2 * s.pause, sparse() ? longest : min_latency_objective_, longest);
-        s.suspect = true;
-        s.suspected = now_;
-        s.retry_at = now_ + s.pause;
-        s.allow = 1;
-        s.errors = 0;
-        s.slow = {};
+        const Millis longest = (s.was_unreachable && !sparse() ? 2 : 8) * min_latency_objective_;
+        s.ejection_backoff =
+            std::clamp(2 * s.ejection_backoff, sparse() ? longest : min_latency_objective_, longest);
+        s.ejected = true;
+        s.ejected_at = now_;
+        s.ejected_until = now_ + s.ejection_backoff;
+        s.concurrency_limit = 1;
+        s.error_rate = 0;
+        s.slowness_evidence = {};
     }
 
     // Whether a server is met too seldom for own queues to show the load: the list and times seen stand in.
@@ -802,26 +805,26 @@
     bool blind() const { return sparse() && !reports_; }
 
     // Overload makes all slow: only a minority of a role may be flagged for slowness or failures.
-    bool minority(const EndpointState& s, Stage stage = reading) const {
+    bool within_max_ejection_fraction(const EndpointState& s, Stage stage = reading) const {
         int peers = 0, bad = 0;
         for (const auto& [id, p] : endpoints_) {
             if (p.role != s.role || p.endpoint.status != EndpointStatus::healthy) continue;
             ++peers;
-            bad += p.suspect || p.slow[stage] >= kSlowEvidence / 2;
+            bad += p.ejected || p.slowness_evidence[stage] >= kSlownessThreshold / 2;
         }
         return 2 * bad <= peers;
     }
 
     // A finished stage speaks against its server being slow.
-    void sample(EndpointState& s, const Request& r, Stage stage) {
-        s.slow[stage] = std::max(0.0, s.slow[stage] - std::log(kSlowFactor));
-        if (!s.suspect) completion_time(stage, r).add_completion();
+    void record_completion(EndpointState& s, const Request& r, Stage stage) {
+        s.slowness_evidence[stage] = std::max(0.0, s.slowness_evidence[stage] - std::log(kSlowFactor));
+        if (!s.ejected) completion_time(stage, r).add_completion();
     }
 
     // Sequential test of each server against its peers: work that is out speaks for slowness as it ages, each
     // completion against it. Covers silence, slow machines and stalled streams alike. May do harm when a few
     // long answers meet on one server: then it is left for a while without need.
-    void check() {
+    void on_health_tick() {
         set_tick();
         if (s_.discovery == Discovery::poll && now_ - last_watch_request_ > s_.poll_interval / 2)
             watch_endpoints();
@@ -836,10 +839,10 @@
             const Millis age = now_ - (r.stage == streaming ? r.stage_since : r.sent);
             // What is out long past the usual tells of a long answer, no longer of its server.
             if (age < 3 * expects || r.stage != streaming) {
-                double& e = s->slow[r.stage];
-                e = std::min(2 * kSlowEvidence, e + dt / expects * (1 - 1 / kSlowFactor));
+                double& e = s->slowness_evidence[r.stage];
+                e = std::min(2 * kSlownessThreshold, e + dt / expects * (1 - 1 / kSlowFactor));
             }
-            if (!s->suspect) completion_time(r.stage, r).add_time(dt / r.units);
+            if (!s->ejected) completion_time(r.stage, r).add_time(dt / r.units);
             if (r.stage == streaming || age > 0.5 * latency_objective(r)) harmed[r.endpoint][r.stage] = true;
         }
         survey_in_time();
@@ -856,15 +859,15 @@
         for (const auto& [id, stages] : harmed) {
             EndpointState& s = endpoints_.at(id);
             for (std::size_t stage = 0; stage < 3; ++stage) {
-                if (s.slow[stage] < kSlowEvidence || !stages[stage]) continue;
-                if (!minority(s, static_cast<Stage>(stage))) continue;
+                if (s.slowness_evidence[stage] < kSlownessThreshold || !stages[stage]) continue;
+                if (!within_max_ejection_fraction(s, static_cast<Stage>(stage))) continue;
                 slow.push_back(&s);
                 break;
             }
         }
         for (EndpointState* s : slow) {
-            suspect_server(*s);
-            rescue(*s);
+            eject(*s);
+            migrate_off(*s);
         }
     }
 
@@ -948,7 +951,7 @@
             c.zone = s.endpoint.zone;
             c.read += s.role == Role::read;
             c.write += s.writes();
-            if (s.suspect) continue;
+            if (s.ejected) continue;
             ++left[role];
             if (now_ - s.cold_since < s_.warm_within) continue;
             ++warm[role];
@@ -979,11 +982,11 @@
     }
 
     // Takes own requests off a server that has become slow or silent, within the retry budget.
-    void rescue(EndpointState& s) {
+    void migrate_off(EndpointState& s) {
         for (auto& [id, r] : requests_) {
             if (!r.out || r.stopped || r.endpoint != s.endpoint.id || retries_ < 1) continue;
             // A slow read is moved only while its aim can be met, as it is lost work; a silent one always.
-            if (r.stage == reading && s.answered >= r.sent && now_ - r.sent > 0.8 * latency_objective(r))
+            if (r.stage == reading && s.last_success >= r.sent && now_ - r.sent > 0.8 * latency_objective(r))
                 continue;
             if (r.stage == streaming && s_.resume) {
                 retries_ -= 1;
@@ -1036,7 +1039,8 @@
     bool writer_in_reach() const {
         const auto& writers = writers_.by_id();
         return std::any_of(writers.begin(), writers.end(), [this](const EndpointState* s) {
-            const bool down = s->suspect && s->was_down && (now_ < s->retry_at || s->total() >= s->allow);
+            const bool down = s->ejected && s->was_unreachable &&
+                              (now_ < s->ejected_until || s->total() >= s->concurrency_limit);
             return !down;
         });
     }
--- a/src/router/tuning.h
+++ b/src/router/tuning.h
@@ -12,14 +12,14 @@
 constexpr double kSlowFactor = 3;  // a server this many times slower than its peers is worth leaving
 // Log-likelihood at which it is flagged. The test never ends, so chance reaches it once in some exp(8) =
 // 3,000 stages; at 4, in 55 to some hundred, and a flag takes all the streams off a server.
-constexpr double kSlowEvidence = 8;
-constexpr double kErrorFlag = 0.35;       // recent share of failed outcomes that flags a server
-constexpr double kErrorStep = 0.2;        // weight of one outcome in that share: two failures running flag
-constexpr double kResetWeight = 0.5;      // of a broken connection in it: that may be the connection's own
-constexpr double kNearFull = 0.9;         // reported share of memory at which a writer has no room
-constexpr double kQuantum = 500;          // tokens; the paper's quantum, for streams that are still young
-constexpr double kTrusted = 16;           // requests out at once that end a suspect's slow start
-constexpr double kColdSafety = 0.7;       // part of the allowed cold budget that is used
+constexpr double kSlownessThreshold = 8;
+constexpr double kErrorRateThreshold = 0.35;  // recent share of failed outcomes that flags a server
+constexpr double kErrorRateStep = 0.2;       // weight of one outcome in that share: two failures running flag
+constexpr double kResetWeight = 0.5;         // of a broken connection in it: that may be the connection's own
+constexpr double kNearFull = 0.9;            // reported share of memory at which a writer has no room
+constexpr double kQuantum = 500;             // tokens; the paper's quantum, for streams that are still young
+constexpr double kMaxTrialConcurrency = 16;  // requests out at once that end a suspect's slow start
+constexpr double kColdSafety = 0.7;          // part of the allowed cold budget that is used
 constexpr double kMarginLeast = 2;        // usual prompts by which a reader may hold more than the least ...
 constexpr double kMarginMost = 8;         // ... growing to this with what the home saves
 constexpr double kLowQuantile = 0.3;      // the quantile
@@ -35,9 +35,10 @@
 constexpr double kFewSeen = 10;    // arrivals that stand for what is not known of a beginning yet
 constexpr double kUnknown = 0.1;   // part of the aim that reads take at most in a zone nothing is known of
 constexpr double kCalm = 0.3;      // part of the aim that is quick anyway
-constexpr double kGrudge = 20000;  // ms for which a server that failed a class is left by it, at most
-constexpr double kForget = 60000;  // ms after which a server that is gone is forgotten
-constexpr int kFewGateways = 4;    // up to so many, own queues show enough of the load
+constexpr double kClassEjectionTime =
+    20000;                                // ms for which a server that failed a class is left by it, at most
+constexpr double kForget = 60000;         // ms after which a server that is gone is forgotten
+constexpr int kFewGateways = 4;           // up to so many, own queues show enough of the load
 constexpr double kRetryShare = 0.3;       // further attempts for each first token: the retry budget
 constexpr double kRetryLeast = 4;         // further attempts that any gateway starts with
 constexpr double kCompletionSpan = 4000;  // ms over which the usual times fade
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -115,7 +115,7 @@
     s.max_attempts = whole(info, "Ceilings.AttemptsCap", 1);
     s.cancel = info.yes("Ceilings.Cancel");
     s.second_copies = info.yes("Ceilings.SecondCopies");
-    s.probes = info.yes("Ceilings.Probes");
+    s.health_checks = info.yes("Ceilings.Probes");
     s.slot_reservation = info.yes("FamilyInfo.Ahead");
     s.retry_after = info.yes("Ceilings.RetryAfter");
     s.local_read = info.yes("FamilyInfo.LocalRead");
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -213,8 +213,8 @@
         feed(part(f, 1), ClientGone{part(f, 2)});
     } else if (word == "ping_result") {
         feed(part(f, 1),
-             ProbeResult{whole<EndpointId>(part(f, 3)), result(part(f, 2)) == AttemptResult::served,
-                         number(part(f, 4)), report(part(f, 5))});
+             HealthCheckResult{whole<EndpointId>(part(f, 3)), result(part(f, 2)) == AttemptResult::served,
+                               number(part(f, 4)), report(part(f, 5))});
     } else if (word == "due") {
         feed(part(f, 1), Due{whole<std::uint64_t>(part(f, 2))});
     } else if (word == "fleet") {
@@ -269,7 +269,7 @@
                    [&](const Reject& a) { say("reject", a.request, a.retry_after); },
                    [&](const Fail& a) { say("end_failed", a.request); },
                    [&](const MoveStream& a) { say("reassign", a.request); },
-                   [&](const Probe& a) { say("touch", a.endpoint); },
+                   [&](const HealthCheck& a) { say("touch", a.endpoint); },
                    [&](const SetTimer& a) { say("set_timer", a.label, a.at); },
                    [&](const WatchEndpoints&) { say("watch", 1); },
                    [&](const PollEndpoints&) { say("refresh"); }, [&](const Log& a) { say("log", a.text); }},
--- a/src/state/decision_journal.cpp
+++ b/src/state/decision_journal.cpp
@@ -54,10 +54,10 @@
                         {s.id, s.zone, s.kind, s.cell, static_cast<int>(s.status), s.weight, s.started_at});
                 return {{"e", "list"}, {"form", static_cast<int>(l.kind)}, {"of", entries}};
             },
-            [](const ProbeResult& p) -> Json {
+            [](const HealthCheckResult& p) -> Json {
                 return {{"e", "probe"},
                         {"s", p.endpoint},
-                        {"good", p.good},
+                        {"good", p.healthy},
                         {"took", p.took},
                         {"load", report_json(p.report)}};
             },
@@ -132,7 +132,8 @@
         return l;
     }
     if (e == "probe")
-        return ProbeResult{whole<EndpointId>(j.at("s")), j.at("good"), j.at("took"), report_of(j.at("load"))};
+        return HealthCheckResult{whole<EndpointId>(j.at("s")), j.at("good"), j.at("took"),
+                                 report_of(j.at("load"))};
     if (e == "due") return Due{whole<std::uint64_t>(j.at("l"))};
     if (e == "released") return LeaseReleased{j.at("r")};
     if (e == "shutdown") return Shutdown{};
@@ -165,7 +166,7 @@
                                  [](const MoveStream& a) -> Json {
                                      return {{"a", "move"}, {"r", a.request}};
                                  },
-                                 [](const Probe& a) -> Json {
+                                 [](const HealthCheck& a) -> Json {
                                      return {{"a", "probe"}, {"s", a.endpoint}};
                                  },
                                  [](const SetTimer& a) -> Json {
--- a/tests/router/guards_test.cpp
+++ b/tests/router/guards_test.cpp
@@ -689,7 +689,7 @@
     bench->router.handle(1, outcome("nobody", 0, 999, AttemptResult::reset), bench->actions);
     bench->router.handle(1, FirstToken{"nobody", 0, 1, 1}, bench->actions);
     bench->router.handle(1, ReservationReply{"nobody", 1, true}, bench->actions);
-    bench->router.handle(1, ProbeResult{999, true, 1, {}}, bench->actions);
+    bench->router.handle(1, HealthCheckResult{999, true, 1, {}}, bench->actions);
     bench->router.handle(1, ClientGone{"nobody"}, bench->actions);
     bench->router.handle(1, Due{12345}, bench->actions);
     EXPECT_TRUE(bench->actions.empty());
--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -117,7 +117,7 @@
     const auto dice = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
     Settings s = plain_settings();
     s.second_copies = dice(2);
-    s.probes = dice(2);
+    s.health_checks = dice(2);
     s.local_read = dice(2);
     s.slot_reservation = dice(2);
     s.cancel = dice(4) > 0;
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -115,8 +115,8 @@
         end(now, e->request, true);
     } else if (std::get_if<StopAttempt>(&action)) {
         if (!s_.cancel) breach(now, "attempt stopped where that is forbidden");
-    } else if (std::get_if<Probe>(&action)) {
-        if (!s_.probes) breach(now, "probe where that is forbidden");
+    } else if (std::get_if<HealthCheck>(&action)) {
+        if (!s_.health_checks) breach(now, "probe where that is forbidden");
     }
 }
 
