--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -30,7 +30,8 @@
     s.kinds = {{Role::read, 200000}, {Role::write, 150000}};
     s.zones = 2, s.gateways = gateways, s.max_attempts = 6, s.cancel = true, s.resume = true;
     s.dial_timeout = 250, s.answer_slack = 50, s.drain_grace = 250, s.lease_release_timeout = 1000;
-    s.fall_multiple = 2.5, s.fall_window = 2000, s.start_capacity = 0.3, s.warm_within = 10000, s.step = 4;
+    s.overload_factor = 2.5, s.overload_window = 2000, s.initial_capacity = 0.3,
+    s.slow_start_duration = 10000, s.step = 4;
     return s;
 }
 
--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -77,10 +77,10 @@
     Millis answer_slack = 0;
     Millis drain_grace = 0;
     Millis lease_release_timeout = 0;
-    double fall_multiple = 1;
-    Millis fall_window = 0;
-    double start_capacity = 1;
-    Millis warm_within = 0;
+    double overload_factor = 1;
+    Millis overload_window = 0;
+    double initial_capacity = 1;
+    Millis slow_start_duration = 0;
     Millis step = 1;  // events come at most this often
 };
 
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -152,7 +152,7 @@
     terms.classes = plan_.program.classes, terms.of = m.classes;
     terms.answer_slack = m.answer_slack, terms.drain_grace = m.drain_grace,
     terms.let_go = m.lease_release_timeout;
-    terms.fall_multiple = m.fall_multiple, terms.fall_window = m.fall_window;
+    terms.fall_multiple = m.overload_factor, terms.fall_window = m.overload_window;
     try {
         result.verdict = invariants::judge(invariants::read(files), terms);
     } catch (const std::exception& e) {
--- a/src/router/records.h
+++ b/src/router/records.h
@@ -21,8 +21,8 @@
 struct EndpointState {
     Endpoint endpoint;
     Role role = Role::both;
-    Millis last_listed = 0;       // by the latest list that had it
-    Millis cold_since = -kNever;  // when it last started, as listed or as concluded from a return
+    Millis last_listed = 0;          // by the latest list that had it
+    Millis warming_since = -kNever;  // when it last started, as listed or as concluded from a return
     // own load
     std::array<int, 3> out{};  // attempts out by stage
     double to_read = 0;        // own reads out, in thousands of tokens not expected to be kept there
@@ -43,7 +43,7 @@
     std::vector<Millis> last_class_failure;  // by class: when the last attempt failed, if the last did
     Millis rejecting_until = -kNever, last_success = -kNever;
     stats::DecayingRate sends{kRateSpan};
-    std::deque<Millis> recent;  // sends within the fall window
+    std::deque<Millis> recent_sends;  // sends within the fall window
 
     bool reads() const { return role != Role::write; }
     bool writes() const { return role != Role::read; }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -184,7 +184,7 @@
                 // Guards against a start later than now, where a clock is off: its age would be below 0, and
                 // the server without any share for as long.
                 if (entry.started_at > 0)
-                    s.cold_since = std::max(s.cold_since, std::min(now_, entry.started_at));
+                    s.warming_since = std::max(s.warming_since, std::min(now_, entry.started_at));
             }
             s.endpoint = entry;
             s.last_listed = now_;
@@ -322,8 +322,8 @@
             r.units = s.to_read;
         }
         s.sends.add(now_);
-        s.recent.push_back(now_);
-        prune(s);
+        s.recent_sends.push_back(now_);
+        drop_old_sends(s);
         act(StartAttempt{r.a.request, s.endpoint.id, limit(r, stage),
                          std::min(r.a.deadline, retry_deadline(r))});
     }
@@ -641,7 +641,7 @@
 
     bool usable(EndpointState& s, const Request& r, bool strict) {
         if (s.endpoint.status != EndpointStatus::healthy) return false;
-        if (!cold_room(s, r)) return false;
+        if (!within_slow_start_budget(s, r)) return false;
         // Guards against a repeat that reaches a server which does not drop it: outside the group, or after
         // the window has closed while the connection came up. Holds for reads too, as they are sends.
         if (now_ + s_.dial_timeout >= retry_deadline(r)) return false;
@@ -678,22 +678,23 @@
     // Guards against a cold server being pushed over by all gateways together. Each sends it a share of what
     // its warm peers get from this same gateway, so that the sum holds. A share under one send is a chance,
     // drawn once for a request and server. Where this gateway shuns many peers, all may: less then.
-    bool cold_room(EndpointState& s, const Request& r) {
-        if (now_ - s.cold_since >= s_.warm_within) return true;
-        prune(s);
+    bool within_slow_start_budget(EndpointState& s, const Request& r) {
+        if (now_ - s.warming_since >= s_.slow_start_duration) return true;
+        drop_old_sends(s);
         const auto role = static_cast<std::size_t>(s.role);
-        const double age = (now_ - s.cold_since) / s_.warm_within;
-        const double gained = s_.start_capacity + (1 - s_.start_capacity) * age;
-        const double share = std::min(gained, kColdSafety * s_.fall_multiple * s_.start_capacity);
-        const double sent = static_cast<double>(s.recent.size());
-        const double carried = usual_rate_[role] * s_.fall_window;
+        const double age = (now_ - s.warming_since) / s_.slow_start_duration;
+        const double gained = s_.initial_capacity + (1 - s_.initial_capacity) * age;
+        const double share = std::min(gained, kSlowStartSafety * s_.overload_factor * s_.initial_capacity);
+        const double sent = static_cast<double>(s.recent_sends.size());
+        const double carried = baseline_rate_[role] * s_.overload_window;
         if (s_.gateways <= kFewGateways) return sent + 1 <= std::max(1.0, share * carried);
         const double draw = hash_fraction(seed_ + r.serial, s.endpoint.id);
-        return sent + draw < share * std::max(unshunned_[role], carried);
+        return sent + draw < share * std::max(available_fraction_[role], carried);
     }
 
-    void prune(EndpointState& s) const {
-        while (!s.recent.empty() && s.recent.front() <= now_ - s_.fall_window) s.recent.pop_front();
+    void drop_old_sends(EndpointState& s) const {
+        while (!s.recent_sends.empty() && s.recent_sends.front() <= now_ - s_.overload_window)
+            s.recent_sends.pop_front();
     }
 
     void hear(EndpointState& s, const LoadReport& report) {
@@ -723,7 +724,7 @@
                 s.error_rate *= 1 - kErrorRateStep;
                 if (!early && s.ejected) {
                     if (s.was_unreachable) {
-                        s.cold_since = now_;
+                        s.warming_since = now_;
                         s.was_unreachable = false;
                     }
                     s.concurrency_limit *= 2;
@@ -798,7 +799,7 @@
     // Whether a server is met too seldom for own queues to show the load: the list and times seen stand in.
     bool sparse() const {
         return s_.gateways > kFewGateways &&
-               usual_rate_[static_cast<std::size_t>(s_.kinds[0].role)] * kCompletionSpan < 1;
+               baseline_rate_[static_cast<std::size_t>(s_.kinds[0].role)] * kCompletionSpan < 1;
     }
 
     // Nor do reports show it: a jam is met by chance, and what is met must be trusted less and acted on more.
@@ -953,14 +954,15 @@
             c.write += s.writes();
             if (s.ejected) continue;
             ++left[role];
-            if (now_ - s.cold_since < s_.warm_within) continue;
+            if (now_ - s.warming_since < s_.slow_start_duration) continue;
             ++warm[role];
             sent[role] += s.sends.read(now_);
         }
         for (std::size_t role = 0; role < 3; ++role) {
-            usual_rate_[role] *= std::exp(-dt / kCompletionSpan / 10);
-            if (warm[role] > 0) usual_rate_[role] = std::max(usual_rate_[role], sent[role] / warm[role]);
-            if (listed[role] > 0) unshunned_[role] = left[role] / listed[role];
+            baseline_rate_[role] *= std::exp(-dt / kCompletionSpan / 10);
+            if (warm[role] > 0)
+                baseline_rate_[role] = std::max(baseline_rate_[role], sent[role] / warm[role]);
+            if (listed[role] > 0) available_fraction_[role] = left[role] / listed[role];
         }
         const double readers = listed[static_cast<std::size_t>(Role::read)];
         const double writers = std::accumulate(listed.begin(), listed.end(), 0.0) - readers;
@@ -1133,7 +1135,7 @@
     std::array<std::vector<CompletionTime>, 3> completion_times_;
     std::array<QuantileEstimate, 2> low_quantile_{QuantileEstimate(kLowQuantile, kQuantileStep, 1),
                                                   QuantileEstimate(kLowQuantile, kQuantileStep, 1)};
-    std::array<double, 3> usual_rate_{}, unshunned_{1, 1, 1};  // by role: see survey
+    std::array<double, 3> baseline_rate_{}, available_fraction_{1, 1, 1};  // by role: see survey
     std::vector<double> quota_left_;
     std::map<std::size_t, Millis> quota_at_;
 };
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -126,10 +126,10 @@
     s.answer_slack = info.num("Guarantees.AnswerSlackMs", 0);
     s.drain_grace = info.num("Guarantees.DrainGraceMs", 0);
     s.lease_release_timeout = info.num("FamilyInfo.LetGoByMs", 0);
-    s.fall_multiple = info.num("Guarantees.FallMultiple", 1);
-    s.fall_window = info.num("Guarantees.TipAfterMs", 0);
-    s.start_capacity = info.num("Guarantees.StartCapacity", 1);
-    s.warm_within = info.num("Guarantees.WarmWithinMs", 0);
+    s.overload_factor = info.num("Guarantees.FallMultiple", 1);
+    s.overload_window = info.num("Guarantees.TipAfterMs", 0);
+    s.initial_capacity = info.num("Guarantees.StartCapacity", 1);
+    s.slow_start_duration = info.num("Guarantees.WarmWithinMs", 0);
     s.step = info.num("StepMs", 1);
     named.idle_close = info.num("Ceilings.IdleCloseMs", 0);
     return named;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -172,7 +172,8 @@
         s.max_attempts = 6, s.cancel = true, s.retry_after = true;
         s.max_retry_after = 5000, s.dial_timeout = 250, s.over_quota_weight = 0.05;
         s.answer_slack = 50, s.drain_grace = 250, s.lease_release_timeout = 1000;
-        s.fall_multiple = 2.5, s.fall_window = 2000, s.start_capacity = 0.3, s.warm_within = 10000;
+        s.overload_factor = 2.5, s.overload_window = 2000, s.initial_capacity = 0.3,
+        s.slow_start_duration = 10000;
         s.step = 2;  // the loop's timers are whole milliseconds; events come at once
         s.zones = static_cast<int>(p_.zones.size());
         if (e) {
@@ -193,11 +194,11 @@
         }
         if (g) {
             s.answer_slack = g.number("answer-slack-ms"), s.drain_grace = g.number("drain-grace-ms");
-            s.lease_release_timeout = g.number("let-go-ms"), s.fall_multiple = g.number("fall-multiple");
-            s.fall_window = g.number("fall-window-ms"), s.start_capacity = g.number("start-capacity");
-            s.warm_within = g.number("warm-ms");
-            if (s.start_capacity <= 0) fault(g, "start-capacity should be above 0");
-            if (s.fall_multiple < 1) fault(g, "fall-multiple should be 1 or more");
+            s.lease_release_timeout = g.number("let-go-ms"), s.overload_factor = g.number("fall-multiple");
+            s.overload_window = g.number("fall-window-ms"), s.initial_capacity = g.number("start-capacity");
+            s.slow_start_duration = g.number("warm-ms");
+            if (s.initial_capacity <= 0) fault(g, "start-capacity should be above 0");
+            if (s.overload_factor < 1) fault(g, "fall-multiple should be 1 or more");
         }
     }
 
--- a/tests/router/large_fleet_test.cpp
+++ b/tests/router/large_fleet_test.cpp
@@ -101,7 +101,7 @@
     // 120 requests a second over eleven readers in the end: 10.9 each, at 60% of what a warm one can do.
     const double capacity = 120 / 11.0 / 0.6, per_ms = 0.12;
     const auto& s = fleet.settings;
-    const Millis started = 5000, warm = started + s.warm_within, end = warm + 5000;
+    const Millis started = 5000, warm = started + s.slow_start_duration, end = warm + 5000;
     int next = 0;
     bool cold = false;
     for (Millis now = 10; now < end; now += 1 / per_ms) {
@@ -121,10 +121,10 @@
     const auto& at = fleet.sent_at[50];
     std::size_t first = 0, in_warm_up = 0;
     for (std::size_t i = 0; i < at.size(); ++i) {
-        while (at[first] <= at[i] - s.fall_window) ++first;
+        while (at[first] <= at[i] - s.overload_window) ++first;
         // Even if it gains nothing: the present capacity is at least that of the start.
         EXPECT_LE(static_cast<double>(i - first + 1),
-                  s.fall_multiple * s.start_capacity * capacity * s.fall_window / 1000)
+                  s.overload_factor * s.initial_capacity * capacity * s.overload_window / 1000)
             << "at " << at[i];
         if (at[i] > warm) break;
         ++in_warm_up;
@@ -154,7 +154,7 @@
     Fleet fleet(size.gateways, pairs(10));
     const auto& s = fleet.settings;
     const double capacity = size.per_second / 11.0 / 0.6;
-    const Millis started = 8000, warm = started + s.warm_within;
+    const Millis started = 8000, warm = started + s.slow_start_duration;
     Endpoint cold = reader(50);
     cold.started_at = started;
     bool listed = false;
@@ -169,9 +169,10 @@
     const auto& at = fleet.sent_at[50];
     std::size_t first = 0;
     for (std::size_t i = 0; i < at.size(); ++i) {
-        while (at[first] <= at[i] - s.fall_window) ++first;
-        const double share = s.start_capacity + (1 - s.start_capacity) * (at[i] - started) / s.warm_within;
-        const double n = s.fall_multiple * share * capacity * s.fall_window / 1000;
+        while (at[first] <= at[i] - s.overload_window) ++first;
+        const double share =
+            s.initial_capacity + (1 - s.initial_capacity) * (at[i] - started) / s.slow_start_duration;
+        const double n = s.overload_factor * share * capacity * s.overload_window / 1000;
         EXPECT_LE(static_cast<double>(i - first + 1), n + 3 * std::sqrt(n) + 3) << "at " << at[i];
     }
     EXPECT_EQ(fleet.breaches(), std::vector<std::string>{});
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -65,9 +65,10 @@
     Server& s = servers_[server];
     if (s.told_gone >= 0 && now > s.told_gone + s_.drain_grace)
         breach(now, "drain: sent to a server that is gone");
-    if (s_.warm_within > 0 && s.entry.started_at > 0 && now - s.entry.started_at < s_.warm_within) {
+    if (s_.slow_start_duration > 0 && s.entry.started_at > 0 &&
+        now - s.entry.started_at < s_.slow_start_duration) {
         s.sends.push_back(now);
-        while (s.sends.front() <= now - s_.fall_window) s.sends.pop_front();
+        while (s.sends.front() <= now - s_.overload_window) s.sends.pop_front();
     }
 }
 
@@ -96,7 +97,8 @@
         Try t;
         t.server = a->endpoint, t.sent = now, t.reader = role(a->endpoint) == Role::read;
         r.tries.push_back(t);
-        const double budget = s_.fall_multiple * s_.start_capacity * capacity_per_s * s_.fall_window / 1000;
+        const double budget =
+            s_.overload_factor * s_.initial_capacity * capacity_per_s * s_.overload_window / 1000;
         if (static_cast<double>(servers_.at(a->endpoint).sends.size()) > budget)
             breach(now, "cold: pushed over");
     } else if (const auto* h = std::get_if<ReserveSlot>(&action)) {
@@ -190,10 +192,10 @@
     s.answer_slack = 16;
     s.drain_grace = 250;
     s.lease_release_timeout = 500;
-    s.fall_multiple = 2.5;
-    s.fall_window = 2000;
-    s.start_capacity = 0.3;
-    s.warm_within = 10000;
+    s.overload_factor = 2.5;
+    s.overload_window = 2000;
+    s.initial_capacity = 0.3;
+    s.slow_start_duration = 10000;
     s.step = 4;
     return s;
 }
--- a/tests/state/stored_data_test.cpp
+++ b/tests/state/stored_data_test.cpp
@@ -91,8 +91,8 @@
     terms.answer_slack = program.module.answer_slack;
     terms.drain_grace = program.module.drain_grace;
     terms.let_go = program.module.lease_release_timeout;
-    terms.fall_multiple = program.module.fall_multiple;
-    terms.fall_window = program.module.fall_window;
+    terms.fall_multiple = program.module.overload_factor;
+    terms.fall_window = program.module.overload_window;
     const auto verdict = invariants::judge(records, terms);
     EXPECT_TRUE(verdict.kept());
     const std::vector<long> cases = {399, 811, 394, 109, 398, 42, 2, 400};
