--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -88,9 +88,9 @@
 
 // What a server says of its load. A value below 0 is absent.
 struct LoadReport {
-    double memory_share = -1;     // share of its memory held, 0 to 1
-    double waiting_ktokens = -1;  // thousands of prompt tokens waiting to be read or fetched
-    Millis latency = -1;          // recent time to the end of a read or to the first token
+    double memory_utilization = -1;  // share of its memory held, 0 to 1
+    double queued_kilotokens = -1;   // thousands of prompt tokens waiting to be read or fetched
+    Millis latency = -1;             // recent time to the end of a read or to the first token
 };
 
 struct Arrival {  // a client's request; it gets exactly one final answer
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -272,8 +272,9 @@
         const auto set = [&](std::string_view name, double x) {
             if (!std::isfinite(x) || x < 0) return;
             if (name.substr(0, 14) == "named_metrics.") name.remove_prefix(14);
-            if (name == "mem_utilization" || name == "kv_cache_usage_perc") r.memory_share = std::min(x, 1.0);
-            if (name == "waiting_ktokens") r.waiting_ktokens = x;
+            if (name == "mem_utilization" || name == "kv_cache_usage_perc")
+                r.memory_utilization = std::min(x, 1.0);
+            if (name == "waiting_ktokens") r.queued_kilotokens = x;
             if (name == "latency_ms") r.latency = x;
         };
         if (v.substr(0, 5) == "JSON ") {
--- a/src/router/records.h
+++ b/src/router/records.h
@@ -24,15 +24,15 @@
     Millis last_listed = 0;          // by the latest list that had it
     Millis warming_since = -kNever;  // when it last started, as listed or as concluded from a return
     // own load
-    std::array<int, 3> out{};  // attempts out by stage
-    double to_read = 0;        // own reads out, in thousands of tokens not expected to be kept there
-    double held = 0;           // tokens of own reads and waiting states, abandoned_reads included
+    std::array<int, 3> in_flight{};  // attempts out by stage
+    double queued_kilotokens = 0;    // own reads out, in thousands of tokens not expected to be kept there
+    double reserved_tokens = 0;      // tokens of own reads and waiting states, abandoned_prefills included
     std::deque<std::pair<Millis, double>>
-        abandoned_reads;  // given up on, but perhaps still worked at: until, tokens
+        abandoned_prefills;  // given up on, but perhaps still worked at: until, tokens
     // reports
-    double others = 0;  // tokens held for others by the latest report
-    Millis heard = -kNever;
-    double memory_share = -1;
+    double tokens_held_by_others = 0;  // tokens held for others by the latest report
+    Millis last_report_at = -kNever;
+    double memory_utilization = -1;
     // health
     double error_rate = 0;
     std::array<double, 3> slowness_evidence{};  // evidence of slowness by stage
@@ -42,12 +42,12 @@
     double concurrency_limit = 0;            // requests out at once while suspect
     std::vector<Millis> last_class_failure;  // by class: when the last attempt failed, if the last did
     Millis rejecting_until = -kNever, last_success = -kNever;
-    stats::DecayingRate sends{kRateSpan};
+    stats::DecayingRate send_rate{kRateSpan};
     std::deque<Millis> recent_sends;  // sends within the fall window
 
-    bool reads() const { return role != Role::write; }
-    bool writes() const { return role != Role::read; }
-    int total() const { return out[reading] + out[waiting] + out[streaming]; }
+    bool can_prefill() const { return role != Role::write; }
+    bool can_decode() const { return role != Role::read; }
+    int in_flight_total() const { return in_flight[reading] + in_flight[waiting] + in_flight[streaming]; }
 };
 
 struct Cell {
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -95,14 +95,14 @@
         fresh_ += (fresh(r) - fresh_) / seen;
         if (a.deadline <= now_) return end(r, EndCause::deadline);
         if (!writer_in_reach()) return end(r, EndCause::no_decode_endpoint);
-        if (shed(r)) return end(r, EndCause::shed_load);
+        if (should_shed(r)) return end(r, EndCause::shed_load);
         act(SetTimer{r.serial, std::max(now_, a.deadline - s_.step)});
         advance(r);
     }
 
     void on(const AttemptEnded& o) {
         EndpointState* server = find_endpoint(o.endpoint);
-        if (server) hear(*server, o.report);
+        if (server) apply_load_report(*server, o.report);
         const auto it = requests_.find(o.request);
         if (it == requests_.end() || !it->second.out || o.attempt != it->second.attempts - 1) return;
         Request& r = it->second;
@@ -143,7 +143,7 @@
             move(*s, r, streaming);
         }
         set_lease_held(r, false);
-        retries_ = std::min(retries_ + kRetryShare, retry_cap());
+        retries_ = std::min(retries_ + kRetriesPerFirstToken, retry_cap());
         r.ended = true;
     }
 
@@ -178,9 +178,9 @@
                 s.error_rate = 0;
                 s.slowness_evidence = {};
                 s.last_class_failure.assign(s_.classes.size(), -kNever);
-                s.others = 0;
-                s.heard = -kNever;
-                s.memory_share = -1;
+                s.tokens_held_by_others = 0;
+                s.last_report_at = -kNever;
+                s.memory_utilization = -1;
                 // Guards against a start later than now, where a clock is off: its age would be below 0, and
                 // the server without any share for as long.
                 if (entry.started_at > 0)
@@ -195,11 +195,11 @@
     }
 
     void on(const HealthCheckResult& p) {
-        if (EndpointState* s = find_endpoint(p.endpoint)) hear(*s, p.report);
+        if (EndpointState* s = find_endpoint(p.endpoint)) apply_load_report(*s, p.report);
     }
 
     void on(const Due& d) {
-        if (d.label == kTick) return on_health_tick();
+        if (d.label == kHealthTimer) return on_health_tick();
         const auto it = by_serial_.find(d.label);
         if (it == by_serial_.end()) return;
         Request& r = requests_.at(it->second);
@@ -227,7 +227,7 @@
 
     void index_endpoint(EndpointState& s) {
         ring(s.role).insert(s.endpoint.id, &s);
-        if (!s.writes()) return;
+        if (!s.can_decode()) return;
         writers_.insert(s.endpoint.id, &s);
         writers_of_cell_[s.endpoint.cell].push_back(&s);
     }
@@ -245,9 +245,9 @@
     // whole().
     const std::vector<EndpointState*>& candidates(const HashRing<EndpointState>& from, std::uint64_t key,
                                                   std::vector<EndpointState*>& window) {
-        if (from.size() <= kScannedWhole || scan_all_) return from.by_id();
+        if (from.size() <= kMaxFullScan || scan_all_) return from.by_id();
         window.clear();
-        from.window(key, kWindow, window);
+        from.window(key, kCandidateWindow, window);
         return window;
     }
 
@@ -259,7 +259,7 @@
         return own ? r.a.session : r.a.prefix;
     }
     bool own_home(const Request& r) const {
-        return !r.a.prefix || (sparse() && r.a.session && 2 * r.a.prefix_tokens < r.a.prompt_tokens);
+        return !r.a.prefix || (low_sample_rate() && r.a.session && 2 * r.a.prefix_tokens < r.a.prompt_tokens);
     }
     std::uint64_t reader_window(const Request& r) const {
         const std::uint64_t key = home_key(r);
@@ -271,7 +271,7 @@
     template <class Choice>
     EndpointState* whole(Choice choice) {
         EndpointState* found = choice();
-        if (found || scan_all_ || endpoints_.size() <= kScannedWhole) return found;
+        if (found || scan_all_ || endpoints_.size() <= kMaxFullScan) return found;
         scan_all_ = true;
         found = choice();
         scan_all_ = false;
@@ -298,8 +298,8 @@
         if (!to) return end(r, EndCause::no_endpoint);
         // Guards against writers kept busy with late answers, which earn little: when others wait and the aim
         // is out of reach, the read is given up. May do harm where late answers are worth much.
-        if (r.state && !r.a.resumed && to->out[waiting] > 1 &&
-            now_ - r.arrived + completion_time(waiting, r).value() * (to->out[waiting] + 1) >
+        if (r.state && !r.a.resumed && to->in_flight[waiting] > 1 &&
+            now_ - r.arrived + completion_time(waiting, r).value() * (to->in_flight[waiting] + 1) >
                 latency_objective(r)) {
             return end(r, EndCause::decode_too_late);
         }
@@ -314,14 +314,14 @@
         r.endpoint = s.endpoint.id;
         r.sent = r.handed = now_;
         ++r.attempts;
-        ++s.out[stage];
-        r.units = s.out[waiting];  // this one counted
+        ++s.in_flight[stage];
+        r.units = s.in_flight[waiting];  // this one counted
         if (stage == reading) {
-            s.held += r.a.prompt_tokens;
-            s.to_read += fresh(r);
-            r.units = s.to_read;
+            s.reserved_tokens += r.a.prompt_tokens;
+            s.queued_kilotokens += fresh(r);
+            r.units = s.queued_kilotokens;
         }
-        s.sends.add(now_);
+        s.send_rate.add(now_);
         s.recent_sends.push_back(now_);
         drop_old_sends(s);
         act(StartAttempt{r.a.request, s.endpoint.id, limit(r, stage),
@@ -333,12 +333,14 @@
     Millis limit(const Request& r, Stage stage) {
         const Millis left = r.a.deadline - now_;
         if (r.attempts >= s_.max_attempts) return left;
-        if (!sparse()) return std::min(left, std::max(6 * expected(r, stage), 0.6 * latency_objective(r)));
+        if (!low_sample_rate())
+            return std::min(left, std::max(6 * expected(r, stage), 0.6 * latency_objective(r)));
         // A read is work that is done anew elsewhere, so in a jam early time-outs double the load. Does harm
         // where a reader is silent: its reads are late, the first from each gateway.
         return std::min(left,
                         std::max(kTimeoutQuantiles * low_quantile_[stage].value() * span(r, stage),
-                                 kPatience[stage == reading && blind() ? 0 : 1] * latency_objective(r)));
+                                 kMinTimeoutObjectiveFraction[stage == reading && no_load_signal() ? 0 : 1] *
+                                     latency_objective(r)));
     }
 
     // What a stage's time is measured by: the tokens to read, those ahead too, or the prompt to fetch.
@@ -352,7 +354,7 @@
         const EndpointState* server = find_endpoint(r.endpoint);
         if (reader && server && (r.stage == reading || reader->endpoint.cell != server->endpoint.cell)) {
             Cell& c = cells_[reader->endpoint.cell];
-            c.spent += done || !blind() ? std::min(1.0, (now_ - r.sent) / latency_objective(r)) : 1;
+            c.spent += done || !no_load_signal() ? std::min(1.0, (now_ - r.sent) / latency_objective(r)) : 1;
             c.reads += r.stage == reading;
         }
         const double took = (now_ - r.sent) / span(r, r.stage);
@@ -360,10 +362,10 @@
     }
 
     static void take_off(EndpointState& s, const Request& r) {
-        --s.out[r.stage];
+        --s.in_flight[r.stage];
         if (r.stage == reading) {
-            s.held -= r.a.prompt_tokens;
-            s.to_read -= fresh(r);
+            s.reserved_tokens -= r.a.prompt_tokens;
+            s.queued_kilotokens -= fresh(r);
         }
     }
 
@@ -378,7 +380,7 @@
         r.stage = to;
         const double pace = s_.classes[cls(r)].inter_token_objective;
         r.units = r.a.length_hint > 0 && pace > 0 ? std::clamp(r.a.length_hint / pace / 100, 0.3, 3.0) : 1;
-        ++s.out[to];
+        ++s.in_flight[to];
         r.stage_since = now_;
     }
 
@@ -386,7 +388,7 @@
         if (r.state == held) return;
         r.state = held;
         if (EndpointState* s = find_endpoint(r.reader))
-            s->held += held ? r.a.prompt_tokens : -r.a.prompt_tokens;
+            s->reserved_tokens += held ? r.a.prompt_tokens : -r.a.prompt_tokens;
     }
 
     // Gives the one final answer, at once.
@@ -397,7 +399,8 @@
         const bool harmless = c.idempotency == Idempotency::idempotent || !(r.may_have_run || r.out) ||
                               (c.idempotency == Idempotency::with_key && c.dedup_scope == DedupScope::all);
         if (harmless) {
-            act(Reject{r.a.request, s_.retry_after ? std::min(s_.max_retry_after, wait(r)) : 0, cause});
+            act(Reject{r.a.request, s_.retry_after ? std::min(s_.max_retry_after, expected_wait(r)) : 0,
+                       cause});
         } else {
             act(Fail{r.a.request, cause});
         }
@@ -470,10 +473,10 @@
                 if (usable(*s, r, strict)) fit.push_back(s);
             }
             if (!writer) writer = pick_writer(r);
-            const bool no_room = !writer || !has_room(*writer);
+            const bool no_room = !writer || !has_capacity(*writer);
             if (!fit.empty() && !no_room) continue;
             for (EndpointState* s : candidates(ring(Role::both), reader_window(r), mixed_candidates_)) {
-                if (usable(*s, r, strict) && (fit.empty() || has_room(*s))) fit.push_back(s);
+                if (usable(*s, r, strict) && (fit.empty() || has_capacity(*s))) fit.push_back(s);
             }
         }
         return fit;
@@ -484,15 +487,17 @@
     std::vector<double> reader_loads(const std::vector<EndpointState*>& fit) const {
         double known = 0, heard = 0;
         for (const EndpointState* s : fit) {
-            if (now_ - s->heard >= kRateSpan) continue;
-            known += s->others / memory(*s);
+            if (now_ - s->last_report_at >= kRateSpan) continue;
+            known += s->tokens_held_by_others / memory_capacity(*s);
             ++heard;
         }
         std::vector<double> load;
         for (const EndpointState* s : fit) {
-            const bool fresh = now_ - s->heard < kRateSpan;
-            const double others = fresh ? s->others / memory(*s) : heard > 0 ? known / heard : 0;
-            load.push_back(others + s->held / memory(*s));
+            const bool fresh = now_ - s->last_report_at < kRateSpan;
+            const double others = fresh       ? s->tokens_held_by_others / memory_capacity(*s)
+                                  : heard > 0 ? known / heard
+                                              : 0;
+            load.push_back(others + s->reserved_tokens / memory_capacity(*s));
         }
         return load;
     }
@@ -501,20 +506,21 @@
     std::vector<EndpointState*> readers_near_least(const Request& r, const std::vector<EndpointState*>& fit,
                                                    const std::vector<double>& load) {
         // Of most readers nothing is known: the few heard of must not draw all from their homes.
-        const double least =
-            sparse() ? std::accumulate(load.begin(), load.end(), 0.0) / static_cast<double>(fit.size())
-                     : *std::min_element(load.begin(), load.end());
+        const double least = low_sample_rate() ? std::accumulate(load.begin(), load.end(), 0.0) /
+                                                     static_cast<double>(fit.size())
+                                               : *std::min_element(load.begin(), load.end());
         // A prompt read away from its home is read in full. So the margin grows with what home saves:
         // otherwise the first jam scatters the beginnings, each read gets longer, and the jam stays.
-        const double saves = std::clamp(r.a.prompt_tokens / (1000 * fresh(r)), kMarginLeast, kMarginMost);
-        const double prompt = prompt_ / memory(*fit[0]);
+        const double saves =
+            std::clamp(r.a.prompt_tokens / (1000 * fresh(r)), kMinLoadMargin, kMaxLoadMargin);
+        const double prompt = prompt_ / memory_capacity(*fit[0]);
         // The own zone is left sooner: it may have few readers, and there its gateways' reads would jam.
         std::vector<EndpointState*> near;
         bool own_zone = false;
         for (std::size_t i = 0; i < fit.size(); ++i) {
             if (load[i] > least + saves * prompt) continue;
             near.push_back(fit[i]);
-            own_zone |= fit[i]->endpoint.zone == s_.own_zone && load[i] <= least + kMarginLeast * prompt;
+            own_zone |= fit[i]->endpoint.zone == s_.own_zone && load[i] <= least + kMinLoadMargin * prompt;
         }
         if (own_zone) keep_zone(r, fit, near);
         return near;
@@ -527,11 +533,11 @@
                    std::vector<EndpointState*>& near) {
         double own = 0, all = 0;
         for (const EndpointState* s : fit) {
-            const double part = std::pow(pull(*s), blind() ? 4 : 2);
+            const double part = std::pow(pull(*s), no_load_signal() ? 4 : 2);
             all += part;
             own += s->endpoint.zone == s_.own_zone ? part : 0;
         }
-        const bool stays = !sparse() || hash_fraction(r.a.session, 0) * all <= own * s_.zones;
+        const bool stays = !low_sample_rate() || hash_fraction(r.a.session, 0) * all <= own * s_.zones;
         const auto other = [&](EndpointState* s) { return (s->endpoint.zone == s_.own_zone) != stays; };
         if (!std::all_of(near.begin(), near.end(), other)) std::erase_if(near, other);
     }
@@ -556,7 +562,7 @@
     // rare no own queue shows it: none carries more than so many times a reader's mean of one beginning. A
     // session keeps its rank among them. May do harm by texts read anew at each of them.
     std::size_t homes_of_opening(std::uint64_t prefix, std::size_t readers) const {
-        if (!sparse()) return 1;
+        if (!low_sample_rate()) return 1;
         const auto seen = openings_.find(prefix);
         if (seen == openings_.end()) return 1;
         const double part = (seen->second - 1) / (kFewSeen + seen_);
@@ -570,15 +576,15 @@
     EndpointState* pick_writer_among(const Request& r) {
         std::vector<std::pair<int, EndpointState*>> fit;
         const EndpointState* reader = r.state ? find_endpoint(r.reader) : nullptr;
-        const bool windowed = writers_.size() > kScannedWhole && !scan_all_;
+        const bool windowed = writers_.size() > kMaxFullScan && !scan_all_;
         std::uint64_t cell = windowed && reader ? deal(*reader) : 0;
         const auto* from = &candidates(writers_, writer_window(r), writer_candidates_);
         if (windowed && reader) add_cell(cell, writer_candidates_);
         for (int strict = 1; strict >= 0 && fit.empty(); --strict) {
             for (EndpointState* s : *from) {
                 if (!usable(*s, r, strict)) continue;
-                if (strict && !has_room(*s)) continue;
-                int queued = s->out[waiting] + s->out[reading];
+                if (strict && !has_capacity(*s)) continue;
+                int queued = s->in_flight[waiting] + s->in_flight[reading];
                 if (!strict) queued += young(*s);
                 fit.push_back({queued, s});
             }
@@ -591,7 +597,7 @@
         for (const auto& [n, s] : fit) {
             if (n > least + 1) continue;
             const bool apart = reader && s->endpoint.cell != cell;
-            near.push_back({{apart ? 1.0 : 0.0, static_cast<double>(s->out[streaming]), uniform()}, s});
+            near.push_back({{apart ? 1.0 : 0.0, static_cast<double>(s->in_flight[streaming]), uniform()}, s});
         }
         return least_of(near);
     }
@@ -611,7 +617,7 @@
     // Guards against few writers drawing all that many readers there read. Harms where links are narrow.
     std::uint64_t deal(const EndpointState& reader) {
         const Cell& own = cells_[reader.endpoint.cell];
-        if (!sparse() || uniform() * own.read <= own.write) return reader.endpoint.cell;
+        if (!low_sample_rate() || uniform() * own.read <= own.write) return reader.endpoint.cell;
         const auto spare = [&](const Cell& c) {
             return std::max(0.0, c.write - c.read) * (c.zone == reader.endpoint.zone ? 2 : 1);
         };
@@ -625,14 +631,14 @@
     }
 
     // How many reads a reader draws: more where writers are near, as reads far from them fill links.
-    double pull(const EndpointState& s) { return sparse() ? cells_[s.endpoint.cell].pull : 1; }
+    double pull(const EndpointState& s) { return low_sample_rate() ? cells_[s.endpoint.cell].pull : 1; }
 
     // Own streams at the server that have made fewer than the quantum's tokens, at the wanted pace.
     int young(const EndpointState& s) const {
         int n = 0;
         for (const auto& [id, r] : requests_) {
             if (!r.out || r.stage != streaming || r.endpoint != s.endpoint.id) continue;
-            n += now_ - r.stage_since < kQuantum * s_.classes[cls(r)].inter_token_objective;
+            n += now_ - r.stage_since < kYoungStreamTokens * s_.classes[cls(r)].inter_token_objective;
         }
         return n;
     }
@@ -658,9 +664,9 @@
         if (std::find(r.failed.begin(), r.failed.end(), s.endpoint.id) != r.failed.end()) return false;
         // What failed a class last may serve the others. Guards against one class unanswered and, where
         // visits are too rare for flags, all sickness; not a minority alone. Outlasts jams.
-        if (sparse() && now_ - s.last_class_failure[cls(r)] < kClassEjectionTime) return false;
+        if (low_sample_rate() && now_ - s.last_class_failure[cls(r)] < kClassEjectionTime) return false;
         if (!s.ejected) return true;
-        return now_ >= s.ejected_until && s.total() < s.concurrency_limit;
+        return now_ >= s.ejected_until && s.in_flight_total() < s.concurrency_limit;
     }
 
     bool is_keyed_retry(const Request& r) const {
@@ -670,10 +676,10 @@
     // When the last byte of a further attempt may be sent at the latest.
     Millis retry_deadline(const Request& r) const {
         if (!is_keyed_retry(r)) return kNever;
-        return r.ran_sent + s_.classes[cls(r)].dedup_window - kTransit * s_.dial_timeout;
+        return r.ran_sent + s_.classes[cls(r)].dedup_window - kTransitFraction * s_.dial_timeout;
     }
 
-    bool has_room(const EndpointState& s) const { return s.memory_share < kNearFull; }
+    bool has_capacity(const EndpointState& s) const { return s.memory_utilization < kMemoryNearFull; }
 
     // Guards against a cold server being pushed over by all gateways together. Each sends it a share of what
     // its warm peers get from this same gateway, so that the sum holds. A share under one send is a chance,
@@ -697,15 +703,16 @@
             s.recent_sends.pop_front();
     }
 
-    void hear(EndpointState& s, const LoadReport& report) {
-        if (report.memory_share < 0) return;
-        s.memory_share = report.memory_share;
-        reports_ = true;
-        s.heard = now_;
-        s.others = std::max(0.0, report.memory_share * memory(s) - s.held);
+    void apply_load_report(EndpointState& s, const LoadReport& report) {
+        if (report.memory_utilization < 0) return;
+        s.memory_utilization = report.memory_utilization;
+        has_load_reports_ = true;
+        s.last_report_at = now_;
+        s.tokens_held_by_others =
+            std::max(0.0, report.memory_utilization * memory_capacity(s) - s.reserved_tokens);
     }
 
-    double memory(const EndpointState& s) const {
+    double memory_capacity(const EndpointState& s) const {
         const double m = s_.kinds[static_cast<std::size_t>(s.endpoint.kind)].memory_tokens;
         return std::max(1.0, m) * (s.endpoint.weight > 0 ? s.endpoint.weight : 1);
     }
@@ -761,8 +768,8 @@
                 s.error_rate += kErrorRateStep * (o.result == AttemptResult::reset ? kResetWeight : 1) *
                                 (1 - s.error_rate);
                 // With few visits no second failure comes in time to confirm the first.
-                if (s.ejected ||
-                    ((s.error_rate > kErrorRateThreshold || sparse()) && within_max_ejection_fraction(s)))
+                if (s.ejected || ((s.error_rate > kErrorRateThreshold || low_sample_rate()) &&
+                                  within_max_ejection_fraction(s)))
                     eject(s);
                 return;
             case AttemptResult::cancelled:
@@ -777,17 +784,17 @@
     // A read that was given up on may still run: its memory counts for as long again as it has run.
     void keep_abandoned_read(EndpointState& s, const Request& r) {
         if (r.stage != reading) return;
-        s.abandoned_reads.push_back({now_ + (now_ - r.sent), r.a.prompt_tokens});
+        s.abandoned_prefills.push_back({now_ + (now_ - r.sent), r.a.prompt_tokens});
         abandoned_at_.insert(s.endpoint.id);
-        s.held += r.a.prompt_tokens;
+        s.reserved_tokens += r.a.prompt_tokens;
     }
 
     // A suspect gets nothing for a while, then one request at a time, doubling with each success.
     void eject(EndpointState& s) {
         // A trial of a down server costs little, one of a slow server a late answer; many trials add up.
-        const Millis longest = (s.was_unreachable && !sparse() ? 2 : 8) * min_latency_objective_;
+        const Millis longest = (s.was_unreachable && !low_sample_rate() ? 2 : 8) * min_latency_objective_;
         s.ejection_backoff =
-            std::clamp(2 * s.ejection_backoff, sparse() ? longest : min_latency_objective_, longest);
+            std::clamp(2 * s.ejection_backoff, low_sample_rate() ? longest : min_latency_objective_, longest);
         s.ejected = true;
         s.ejected_at = now_;
         s.ejected_until = now_ + s.ejection_backoff;
@@ -797,13 +804,13 @@
     }
 
     // Whether a server is met too seldom for own queues to show the load: the list and times seen stand in.
-    bool sparse() const {
+    bool low_sample_rate() const {
         return s_.gateways > kFewGateways &&
                baseline_rate_[static_cast<std::size_t>(s_.kinds[0].role)] * kCompletionSpan < 1;
     }
 
     // Nor do reports show it: a jam is met by chance, and what is met must be trusted less and acted on more.
-    bool blind() const { return sparse() && !reports_; }
+    bool no_load_signal() const { return low_sample_rate() && !has_load_reports_; }
 
     // Overload makes all slow: only a minority of a role may be flagged for slowness or failures.
     bool within_max_ejection_fraction(const EndpointState& s, Stage stage = reading) const {
@@ -876,11 +883,11 @@
         std::erase_if(abandoned_at_, [this](EndpointId id) {
             EndpointState* s = find_endpoint(id);
             if (!s) return true;
-            while (!s->abandoned_reads.empty() && s->abandoned_reads.front().first <= now_) {
-                s->held -= s->abandoned_reads.front().second;
-                s->abandoned_reads.pop_front();
+            while (!s->abandoned_prefills.empty() && s->abandoned_prefills.front().first <= now_) {
+                s->reserved_tokens -= s->abandoned_prefills.front().second;
+                s->abandoned_prefills.pop_front();
             }
-            return s->abandoned_reads.empty();
+            return s->abandoned_prefills.empty();
         });
     }
 
@@ -904,7 +911,7 @@
 
     void set_tick() {
         tick_due_ = now_ + tick();
-        act(SetTimer{kTick, tick_due_});
+        act(SetTimer{kHealthTimer, tick_due_});
     }
 
     // A survey each tick, or with many servers as seldom as its cost grows. Guards against a cost of an idle
@@ -913,7 +920,7 @@
         if (now_ < survey_due_) return;
         survey(now_ - surveyed_);
         surveyed_ = now_;
-        survey_due_ = now_ + tick() * (static_cast<double>(endpoints_.size() / kSurveyedEachTick) - 0.5);
+        survey_due_ = now_ + tick() * (static_cast<double>(endpoints_.size() / kEndpointsPerStatsTick) - 0.5);
         forget_removed_endpoints();
     }
 
@@ -922,8 +929,8 @@
     void forget_removed_endpoints() {
         std::erase_if(endpoints_, [this](const auto& entry) {
             const EndpointState& s = entry.second;
-            return s.endpoint.status == EndpointStatus::removed && now_ - s.last_listed > kForget &&
-                   s.total() == 0;
+            return s.endpoint.status == EndpointStatus::removed &&
+                   now_ - s.last_listed > kForgetRemovedAfter && s.in_flight_total() == 0;
         });
     }
 
@@ -951,12 +958,12 @@
             Cell& c = cells_[s.endpoint.cell];
             c.zone = s.endpoint.zone;
             c.read += s.role == Role::read;
-            c.write += s.writes();
+            c.write += s.can_decode();
             if (s.ejected) continue;
             ++left[role];
             if (now_ - s.warming_since < s_.slow_start_duration) continue;
             ++warm[role];
-            sent[role] += s.sends.read(now_);
+            sent[role] += s.send_rate.read(now_);
         }
         for (std::size_t role = 0; role < 3; ++role) {
             baseline_rate_[role] *= std::exp(-dt / kCompletionSpan / 10);
@@ -969,7 +976,7 @@
         const double usual = reads > 0 ? spent / reads : 0;
         // A cell is taken for as its zone, and a zone that nothing is known of for calm: else a gateway whose
         // own zone jams never looks into the other, as it knows of nothing better.
-        const double calm = kCellPrior * std::min(usual, kUnknown);
+        const double calm = kCellPrior * std::min(usual, kUnknownZoneObjectiveFraction);
         for (auto& [id, c] : cells_) {
             c.write /= std::max(1.0, writers);
             if (c.read <= 0) continue;
@@ -977,7 +984,7 @@
             const double there = (z.spent + calm) / (z.reads + kCellPrior);
             const double here = (c.spent + kCellPrior * there) / (c.reads + kCellPrior);
             c.pull = std::clamp(0.5 + 0.5 * c.write * readers / c.read, 1 / kPullMost, kPullMost) *
-                     std::clamp((kCalm + usual) / (kCalm + here), 0.3, 1.5);
+                     std::clamp((kCalmObjectiveFraction + usual) / (kCalmObjectiveFraction + here), 0.3, 1.5);
             read += c.read *= c.pull;
         }
         for (auto& [id, c] : cells_) c.read /= std::max(1e-9, read);
@@ -1002,14 +1009,14 @@
 
     // The wait for a first token that is to be expected now: behind the shortest own read queue, then behind
     // all own requests still before a stream, those being read among them, as they will join those.
-    Millis wait(const Request& r) {
+    Millis expected_wait(const Request& r) {
         double ahead = 0;
         for (const auto& [id, own] : requests_)
             ahead += own.out && own.stage != streaming && find_endpoint(own.endpoint);
         double to_read = kNever;
         for (const Role role : {Role::read, Role::both}) {
             for (EndpointState* s : candidates(ring(role), reader_window(r), reader_candidates_)) {
-                if (usable(*s, r, true)) to_read = std::min(to_read, s->to_read);
+                if (usable(*s, r, true)) to_read = std::min(to_read, s->queued_kilotokens);
             }
         }
         const auto& looked_at = candidates(writers_, writer_window(r), writer_candidates_);
@@ -1042,13 +1049,13 @@
         const auto& writers = writers_.by_id();
         return std::any_of(writers.begin(), writers.end(), [this](const EndpointState* s) {
             const bool down = s->ejected && s->was_unreachable &&
-                              (now_ < s->ejected_until || s->total() >= s->concurrency_limit);
+                              (now_ < s->ejected_until || s->in_flight_total() >= s->concurrency_limit);
             return !down;
         });
     }
 
     // Sheds what earns least first: as the wait nears the aim, over-share tenants, then cheap classes.
-    bool shed(const Request& r) {
+    bool should_shed(const Request& r) {
         double value = s_.classes[cls(r)].priority_weight / max_priority_weight_;
         const auto t = static_cast<std::size_t>(r.a.tenant);
         if (r.a.tenant >= 0 && t < quota_left_.size() && s_.tenants[t].quota_per_s > 0) {
@@ -1064,18 +1071,18 @@
         if (r.a.resumed) return false;
         // What it takes by itself is no queue: guards against long prompts refused whatever the load.
         const Millis pace = std::min(low_quantile_[reading].value(), completion_time(reading, r).value());
-        const Millis room =
-            std::max(latency_objective(r) - pace * fresh(r), kRoomLeast * latency_objective(r));
-        const Millis queue = wait(r) - pace * std::min(fresh(r), fresh_);
+        const Millis room = std::max(latency_objective(r) - pace * fresh(r),
+                                     kMinWaitObjectiveFraction * latency_objective(r));
+        const Millis queue = expected_wait(r) - pace * std::min(fresh(r), fresh_);
         // Guards against a gateway that met a jammed server and refuses while others idle: what it foresees
         // from few visits may be double the truth. May do harm by late answers where all are overloaded.
-        return queue > (blind() ? kDoubt : 1) * room * (0.3 + 0.5 * value);
+        return queue > (no_load_signal() ? kNoSignalWaitFactor : 1) * room * (0.3 + 0.5 * value);
     }
 
     double burst(const TenantSettings& t) const { return std::max(2.0, 2 * t.quota_per_s / s_.gateways); }
     double retry_cap() const { return std::max(retry_least(), 6000 * arrivals_.read(now_)); }
     // What a gateway starts with: of many, the sum counts.
-    double retry_least() const { return std::clamp(40.0 / s_.gateways, kRetryLeast, 20.0); }
+    double retry_least() const { return std::clamp(40.0 / s_.gateways, kMinRetryBudget, 20.0); }
 
     // ---- small helpers --------------------------------------------------------------------------------
 
@@ -1128,7 +1135,7 @@
     std::uint64_t serial_ = 0;
     double retries_ = 0;
     DecayingRate arrivals_{kRateSpan};
-    bool reports_ = false;                      // servers tell of their load
+    bool has_load_reports_ = false;             // servers tell of their load
     std::map<std::uint64_t, double> openings_;  // arrivals by shared beginning, fading
     double seen_ = 0;                           // arrivals in all, fading
     double prompt_ = 0, fresh_ = 0;             // usual length, and usual thousands of tokens to read of it
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -67,8 +67,8 @@
         const auto colon = pair.find(':');
         if (colon == std::string::npos) throw WireError("bad load report '" + pair + "'");
         const std::string name = pair.substr(0, colon), value = pair.substr(colon + 1);
-        if (name == "x0") r.memory_share = number(value, -1);
-        if (name == "x1") r.waiting_ktokens = number(value, -1);
+        if (name == "x0") r.memory_utilization = number(value, -1);
+        if (name == "x1") r.queued_kilotokens = number(value, -1);
         if (name == "mean_ms") r.latency = number(value, -1);
     }
     return r;
--- a/src/state/decision_journal.cpp
+++ b/src/state/decision_journal.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-Json report_json(const LoadReport& r) { return {r.memory_share, r.waiting_ktokens, r.latency}; }
+Json report_json(const LoadReport& r) { return {r.memory_utilization, r.queued_kilotokens, r.latency}; }
 LoadReport report_of(const Json& j) { return {j.at(0), j.at(1), j.at(2)}; }
 
 Json event_json(const Event& event) {
--- a/tests/gateway/upstream_exchange_test.cpp
+++ b/tests/gateway/upstream_exchange_test.cpp
@@ -221,16 +221,16 @@
     const auto d = engine::vllm();
     const auto of = [&](const std::string& text) { return d->report({{"endpoint-load-metrics", text}}); };
     auto r = of("TEXT named_metrics.kv_cache_usage_perc=0.25, named_metrics.waiting_ktokens=3.5,cpu=0.1");
-    EXPECT_DOUBLE_EQ(r.memory_share, 0.25);
-    EXPECT_DOUBLE_EQ(r.waiting_ktokens, 3.5);
+    EXPECT_DOUBLE_EQ(r.memory_utilization, 0.25);
+    EXPECT_DOUBLE_EQ(r.queued_kilotokens, 3.5);
     r = of("JSON {\"mem_utilization\":0.5,\"named_metrics\":{\"latency_ms\":12}}");
-    EXPECT_DOUBLE_EQ(r.memory_share, 0.5);
+    EXPECT_DOUBLE_EQ(r.memory_utilization, 0.5);
     EXPECT_DOUBLE_EQ(r.latency, 12);
     for (const char* bad :
          {"", "TEXT", "TEXT =", "TEXT mem_utilization=nan", "TEXT mem_utilization=-1", "JSON {", "JSON 3",
           "TEXT mem_utilization=1e999", "BIN x", "JSON {\"mem_utilization\":\"x\"}"})
-        EXPECT_LT(of(bad).memory_share, 0) << bad;
-    EXPECT_DOUBLE_EQ(of("TEXT mem_utilization=7").memory_share, 1);
+        EXPECT_LT(of(bad).memory_utilization, 0) << bad;
+    EXPECT_DOUBLE_EQ(of("TEXT mem_utilization=7").memory_utilization, 1);
 }
 
 }  // namespace
--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -208,7 +208,7 @@
             if (never_up && now > o.sent + s.dial_timeout) e.result = AttemptResult::reset;
             if (o.begun) e.result = dice(3) ? AttemptResult::served : AttemptResult::reset;
             if (e.result == AttemptResult::rejected) e.detail = dice(2);
-            e.report.memory_share = dice(3) ? 0.01 * dice(100) : -1;
+            e.report.memory_utilization = dice(3) ? 0.01 * dice(100) : -1;
             if (!o.reads && !o.begun && !ended[o.id] && dice(8) == 0)
                 e.result = AttemptResult::served, e.request_closed = true;
             if (e.request_closed) ended[o.id] = true;
--- a/tests/router/large_fleet_test.cpp
+++ b/tests/router/large_fleet_test.cpp
@@ -220,7 +220,7 @@
         << "a wait is short work, and is moved soon";
     // Where servers report their load the next pick is an informed one, and a read is moved sooner.
     AttemptEnded heard = outcome("a", 1, bench.all<StartAttempt>()[0].endpoint, AttemptResult::served, true);
-    heard.report.memory_share = 0.3;
+    heard.report.memory_utilization = 0.3;
     bench.feed(40, FirstToken{"a", 1, heard.endpoint, 1});
     bench.feed(50, heard);
     bench.feed(60, arrival("b", 60));
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -44,7 +44,7 @@
     // Reader 1 tells 50,000 of 100,000 tokens held, reader 2 tells 10,000; two prompts are the margin.
     for (const EndpointId id : {1u, 2u}) {
         AttemptEnded o = outcome("gone", 0, id, AttemptResult::prefill_done);
-        o.report.memory_share = id == 1 ? 0.5 : 0.1;
+        o.report.memory_utilization = id == 1 ? 0.5 : 0.1;
         bench.actions.clear();
         bench.router.handle(5, o, bench.actions);  // of a request long forgotten: only its report counts
     }
@@ -55,7 +55,7 @@
     start({reader(1), reader(2), reader(3), writer(11)});
     for (const EndpointId id : {1u, 2u}) {
         AttemptEnded o = outcome("gone", 0, id, AttemptResult::prefill_done);
-        o.report.memory_share = id == 1 ? 0.9 : 0.1;
+        o.report.memory_utilization = id == 1 ? 0.9 : 0.1;
         bench.actions.clear();
         bench.router.handle(5, o, bench.actions);
     }
@@ -144,13 +144,13 @@
     ASSERT_EQ(read_done("a", 20, 1), 11u);
     AttemptEnded done = outcome("a", 1, 11, AttemptResult::served, true);
     bench.feed(25, FirstToken{"a", 1, 11, 5});
-    done.report.memory_share = 0.97;
+    done.report.memory_utilization = 0.97;
     bench.feed(30, done);
     arrive("b", 40);
     EXPECT_EQ(read_done("b", 50, 1), 12u);  // though 11 is in the reader's cell
     bench.feed(55, FirstToken{"b", 1, 12, 5});
     done = outcome("b", 1, 12, AttemptResult::served, true);
-    done.report.memory_share = 0.97;
+    done.report.memory_utilization = 0.97;
     bench.feed(60, done);
     arrive("c", 70);
     EXPECT_EQ(read_done("c", 80, 1), 11u);  // all skipped, all count: the tie goes to the cell
@@ -168,7 +168,7 @@
     mixed.kind = 2;
     start({reader(1), writer(11), mixed});
     AttemptEnded full = outcome("gone", 0, 11, AttemptResult::served);
-    full.report.memory_share = 0.97;
+    full.report.memory_utilization = 0.97;
     bench.actions.clear();
     bench.router.handle(5, full, bench.actions);
     EXPECT_EQ(arrive("a", 10), 1u);
@@ -184,7 +184,7 @@
     }
     for (const EndpointId id : {11u, 12u}) {
         AttemptEnded full = outcome("gone", 0, id, AttemptResult::served);
-        full.report.memory_share = 0.97;
+        full.report.memory_utilization = 0.97;
         bench.actions.clear();
         bench.router.handle(30, full, bench.actions);
     }
--- a/tests/state/state_test.cpp
+++ b/tests/state/state_test.cpp
@@ -109,7 +109,7 @@
         AttemptEnded o;
         o.request = a.request, o.endpoint = 1,
         o.result = i % 3 ? AttemptResult::prefill_done : AttemptResult::reset;
-        o.report.memory_share = 0.1 * i;
+        o.report.memory_utilization = 0.1 * i;
         feed(10 + i / 7.0, o);
     }
     feed(30, Due{0});
