--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -27,7 +27,7 @@
     c.latency_objective = 1500, c.latency_objective_per_1000_tokens = 40, c.deadline = 6000,
     c.inter_token_objective = 60;
     s.classes = {c};
-    s.kinds = {{Role::read, 200000}, {Role::write, 150000}};
+    s.kinds = {{Role::prefill, 200000}, {Role::decode, 150000}};
     s.zones = 2, s.gateways = gateways, s.max_attempts = 6, s.cancel = true, s.resume = true;
     s.dial_timeout = 250, s.answer_slack = 50, s.drain_grace = 250, s.lease_release_timeout = 1000;
     s.overload_factor = 2.5, s.overload_window = 2000, s.initial_capacity = 0.3,
--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -27,7 +27,7 @@
 
 enum class Idempotency { idempotent, with_key, unsafe };  // what a repeat of the request may do
 enum class DedupScope { all, zone, cell };                // which servers drop a repeat of a with_key request
-enum class Role { read, write, both };                    // reads prompts, writes answers, or does either
+enum class Role { prefill, decode, mixed };               // reads prompts, writes answers, or does either
 enum class EndpointStatus { healthy, draining, removed };  // as discovery lists a server
 enum class Discovery { watch, poll };  // list changes come by themselves, or must be asked for
 
@@ -48,7 +48,7 @@
 };
 
 struct KindSettings {
-    Role role = Role::both;
+    Role role = Role::mixed;
     double memory_tokens = 0;  // what one server of this kind holds
 };
 
@@ -68,8 +68,8 @@
     bool health_checks = false;
     bool slot_reservation = false;
     bool retry_after = false;
-    bool local_read = false;  // a writer reads a prompt itself when there is no state to fetch
-    bool resume = false;      // a broken stream can go on elsewhere
+    bool local_prefill = false;  // a writer reads a prompt itself when there is no state to fetch
+    bool resume = false;         // a broken stream can go on elsewhere
     Millis max_retry_after = 0;
     Millis dial_timeout = 0;       // the host gives up a connection that has not come up by then
     double over_quota_weight = 1;  // worth of a request beyond its tenant's quota, as a share
--- a/src/cli/processes.cpp
+++ b/src/cli/processes.cpp
@@ -85,7 +85,7 @@
     const auto& k = p.module.kinds[static_cast<std::size_t>(kind)];
     o.config.role = k.role, o.config.memory_tokens = k.memory_tokens, o.config.pace = p.standins.at(kind);
     o.config.start_capacity = p.module.initial_capacity, o.config.warm = p.module.slow_start_duration;
-    o.config.local_read = p.module.local_read;
+    o.config.local_read = p.module.local_prefill;
     return o;
 }
 
--- a/src/control/invariant_checker.cpp
+++ b/src/control/invariant_checker.cpp
@@ -61,7 +61,7 @@
         if (before.out && !settings_.second_copies) breach(Rule::two_out, handle, "");
         if (before.write && !before.never_ran) check_repeat(handle, request, before, to, now);
     }
-    request.sent.push_back({attempt, to, role != Role::read, true, false, now});
+    request.sent.push_back({attempt, to, role != Role::prefill, true, false, now});
 }
 
 void Audit::check_repeat(Handle handle, const Request& request, const Sent& before, const Endpoint& to,
--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -46,13 +46,13 @@
 class Dialect {
 public:
     virtual ~Dialect() = default;
-    virtual Wanted read(const api::ChatRequest& r, const AttemptInfo& a) const = 0;
+    virtual Wanted prefill_request(const api::ChatRequest& r, const AttemptInfo& a) const = 0;
     // `parameters` of the read; empty: the engine reads the prompt itself.
-    virtual Wanted write(const api::ChatRequest& r, const AttemptInfo& a,
-                         const std::string& parameters) const = 0;
+    virtual Wanted decode_request(const api::ChatRequest& r, const AttemptInfo& a,
+                                  const std::string& parameters) const = 0;
     // Lets go of the state that the attempt `id` (a read) left or will leave, and stops the read if it runs.
-    virtual Wanted let_go(const std::string& id) const = 0;
-    virtual Verdict judge_read(int status, const std::string& body) const = 0;
+    virtual Wanted release_request(const std::string& id) const = 0;
+    virtual Verdict judge_prefill(int status, const std::string& body) const = 0;
     // An answer to a write that is not a stream.
     virtual Verdict judge_refusal(int status, const std::string& body) const = 0;
     // One event's meanings, in order, in place of what `pieces` held; at most one text, one stop and one
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -187,7 +187,7 @@
 
 class Vllm : public Dialect {
 public:
-    Wanted read(const api::ChatRequest& r, const AttemptInfo& a) const override {
+    Wanted prefill_request(const api::ChatRequest& r, const AttemptInfo& a) const override {
         Json body = body_of(r);
         body["max_tokens"] = 1;
         body["stream"] = false;
@@ -197,8 +197,8 @@
         return post("/v1/chat/completions", body, a);
     }
 
-    Wanted write(const api::ChatRequest& r, const AttemptInfo& a,
-                 const std::string& parameters) const override {
+    Wanted decode_request(const api::ChatRequest& r, const AttemptInfo& a,
+                          const std::string& parameters) const override {
         Json body = body_of(r);
         body["max_tokens"] = r.max_tokens;
         body["stream"] = true;
@@ -207,11 +207,11 @@
         return post("/v1/chat/completions", body, a);
     }
 
-    Wanted let_go(const std::string& id) const override {
+    Wanted release_request(const std::string& id) const override {
         return post("/abort_request", Json{{"rid", id}}, {id, {}, {}, 0});
     }
 
-    Verdict judge_read(int status, const std::string& body) const override {
+    Verdict judge_prefill(int status, const std::string& body) const override {
         if (status != 200) return refusal(status, body);
         Verdict v;
         const Json json = api::parse_json(body, v.why);
--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -128,9 +128,9 @@
         if (const int e = control_->listen(o_.control)) return e;
     }
     const Config& c = o_.config;
-    record("up", {{"role", c.role == Role::read    ? "read"
-                           : c.role == Role::write ? "write"
-                                                   : "both"},
+    record("up", {{"role", c.role == Role::prefill  ? "read"
+                           : c.role == Role::decode ? "write"
+                                                    : "both"},
                   {"cold", o_.cold},
                   {"start", c.start_capacity},
                   {"warm", c.warm}});
--- a/src/fake_engine/model.cpp
+++ b/src/fake_engine/model.cpp
@@ -95,7 +95,7 @@
 }
 
 Model::Admit Model::write(Millis now, Job job) {
-    if (!job.has_state && config_.role == Role::write && !config_.local_read) return Admit::no_state;
+    if (!job.has_state && config_.role == Role::decode && !config_.local_read) return Admit::no_state;
     if (static_cast<int>(queue_.size()) >= config_.pace.queue &&
         static_cast<int>(running_.size()) >= config_.pace.slots)
         return Admit::full;
@@ -106,7 +106,7 @@
 }
 
 void Model::begin_read(Millis now) {
-    if (config_.role != Role::read || reading_ || stalled_ || queue_.empty()) return;
+    if (config_.role != Role::prefill || reading_ || stalled_ || queue_.empty()) return;
     if (memory_ + queue_.front().prompt > config_.memory_tokens) return;
     job_ = std::move(queue_.front());
     queue_.pop_front();
@@ -118,7 +118,7 @@
 }
 
 void Model::begin_writes(Millis now) {
-    if (config_.role == Role::read || stalled_) return;
+    if (config_.role == Role::prefill || stalled_) return;
     while (!queue_.empty() && static_cast<int>(running_.size()) < config_.pace.slots &&
            memory_ + queue_.front().prompt <= config_.memory_tokens) {
         Running r;
@@ -188,7 +188,7 @@
         begin_writes(now);
         return true;
     }
-    if (config_.role == Role::read) {
+    if (config_.role == Role::prefill) {
         tombs_.push_back(id);
         if (tombs_.size() > kTombs) tombs_.pop_front();
     }
--- a/src/fake_engine/model.h
+++ b/src/fake_engine/model.h
@@ -21,7 +21,7 @@
 namespace gorsenotch::fake_engine {
 
 struct Config {
-    Role role = Role::both;
+    Role role = Role::mixed;
     double memory_tokens = 100000;
     settings::Standin pace;
     double start_capacity = 1;  // of a cold start
--- a/src/fault_scenario/plan.cpp
+++ b/src/fault_scenario/plan.cpp
@@ -58,7 +58,7 @@
         if (l.from >= plan.length || (l.until > 0 && l.until <= l.from))
             faults.push_back({e.line(), e.name(), "nothing would arrive between from-ms and until-ms"});
         for (const auto& [kind, s] : p.standins) {
-            if (p.module.kinds[static_cast<std::size_t>(kind)].role != Role::read)
+            if (p.module.kinds[static_cast<std::size_t>(kind)].role != Role::prefill)
                 l.usual_answer = s.answer_tokens;
         }
         plan.loads.push_back(l);
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -202,15 +202,15 @@
         return feed(o);
     }
     const Role role = p_.module.kinds[static_cast<std::size_t>(it->second.endpoint.kind)].role;
-    t.read = role == Role::read;
+    t.is_prefill = role == Role::prefill;
     t.address = it->second.address;
     const engine::AttemptInfo info{t.id, r->r.key, p_.classes[static_cast<std::size_t>(r->r.cls)],
                                    r->deadline - now};
-    auto wanted =
-        t.read ? dialect_->read(r->r.chat, info)
-               : dialect_->write(r->r.chat, info, r->state_attempt >= 0 ? r->parameters : std::string());
-    t.exchange =
-        std::make_shared<UpstreamExchange>(*dialect_, t.read, p_.limits.event_bytes, std::size_t{262144});
+    auto wanted = t.is_prefill ? dialect_->prefill_request(r->r.chat, info)
+                               : dialect_->decode_request(
+                                     r->r.chat, info, r->state_attempt >= 0 ? r->parameters : std::string());
+    t.exchange = std::make_shared<UpstreamExchange>(*dialect_, t.is_prefill, p_.limits.event_bytes,
+                                                    std::size_t{262144});
     const std::string id = a.request;
     t.exchange->on_sent = [this, id, n] {
         Request* own = find(id);
@@ -224,8 +224,8 @@
     t.exchange->on_first = [this, id, n] { first(id, n); };
     t.exchange->on_text = [this, id, n](std::string_view piece) { text(id, n, piece); };
     t.exchange->on_over = [this, id, n](AttemptOutcome e) { over(id, n, std::move(e)); };
-    if (t.read) r->prefill_attempts.push_back(n);
-    r->lease.on_attempt_begun(now, a.endpoint, !t.read);
+    if (t.is_prefill) r->prefill_attempts.push_back(n);
+    r->lease.on_attempt_begun(now, a.endpoint, !t.is_prefill);
     schedule_lease_check(*r);
     alarm(Kind::attempt_timeout, t.time.due(), r, n);
     const auto exchange = t.exchange;
@@ -249,8 +249,9 @@
 // Guards against pinned states: whatever a read may have left is let go of by the read's own id, even where
 // its answer was lost. Skips what an attempt that is out still needs.
 void Core::release_leases(Request& r, bool all) {
-    const bool writing = std::any_of(r.attempts.begin(), r.attempts.end(),
-                                     [](const AttemptState& t) { return t.out && !t.read && !t.first; });
+    const bool writing = std::any_of(r.attempts.begin(), r.attempts.end(), [](const AttemptState& t) {
+        return t.out && !t.is_prefill && !t.first;
+    });
     std::vector<int> kept;
     for (const int n : r.prefill_attempts) {
         const AttemptState& t = r.attempts[static_cast<std::size_t>(n)];
@@ -258,7 +259,7 @@
             kept.push_back(n);
             continue;
         }
-        ports_.send_aside(t.address, dialect_->let_go(t.id), p_.module.lease_release_timeout);
+        ports_.send_aside(t.address, dialect_->release_request(t.id), p_.module.lease_release_timeout);
         if (n == r.state_attempt) r.state_attempt = -1, r.parameters.clear();
     }
     r.prefill_attempts = std::move(kept);
@@ -285,7 +286,8 @@
     if (!own) return;
     if (!own->attempts.empty()) {
         AttemptState& latest = own->attempts.back();
-        if (latest.out && !latest.read && !latest.handed) end_exchange(latest, &UpstreamExchange::cancelled);
+        if (latest.out && !latest.is_prefill && !latest.handed)
+            end_exchange(latest, &UpstreamExchange::cancelled);
     }
     if ((own = find(id))) release_leases(*own, false);
 }
@@ -373,7 +375,7 @@
     t->out = false;
     const Millis now = ports_.now();
     r->lease.on_attempt_ended(now, never_ran(e.result));
-    if (t->read && !never_ran(e.result)) {
+    if (t->is_prefill && !never_ran(e.result)) {
         const bool done = e.result == AttemptResult::prefill_done;
         r->lease.on_acquired(
             now, done ? control::LeaseOrigin::prefill_done : control::LeaseOrigin::prefill_lost, t->endpoint);
@@ -382,10 +384,10 @@
     if (e.result == AttemptResult::prefill_done) {
         r->state_attempt = attempt;
         r->parameters = e.parameters;
-    } else if (t->read && never_ran(e.result)) {
+    } else if (t->is_prefill && never_ran(e.result)) {
         std::erase(r->prefill_attempts, attempt);
     }
-    if (!t->read && e.result == AttemptResult::rejected && e.detail == 1) {
+    if (!t->is_prefill && e.result == AttemptResult::rejected && e.detail == 1) {
         std::erase(r->prefill_attempts, r->state_attempt);
         r->state_attempt = -1, r->parameters.clear();
     }
@@ -435,7 +437,7 @@
         if (!r->closed) {
             // Told that a repeat is harmless only where that is sure.
             const bool ran = std::any_of(r->attempts.begin(), r->attempts.end(),
-                                         [](const AttemptState& t) { return !t.read; });
+                                         [](const AttemptState& t) { return !t.is_prefill; });
             const bool harmless = !ran || p_.module.classes[static_cast<std::size_t>(r->r.cls)].idempotency ==
                                               Idempotency::idempotent;
             refuse(*r, harmless ? 529 : 500, harmless ? kOverloaded : kFailed, harmless ? 0 : -1, harmless);
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -97,7 +97,7 @@
         std::shared_ptr<UpstreamExchange> exchange;
         EndpointId endpoint = 0;
         std::string id, address;
-        bool read = false, out = true, first = false, handed = false;
+        bool is_prefill = false, out = true, first = false, handed = false;
         Millis sent = 0, heard = 0;
         control::AttemptClock time;
     };
--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -115,7 +115,7 @@
         return finish(e);
     }
     const auto v =
-        read_ ? dialect_.judge_read(parser_.status, body_) : dialect_.judge_refusal(parser_.status, body_);
+        read_ ? dialect_.judge_prefill(parser_.status, body_) : dialect_.judge_refusal(parser_.status, body_);
     AttemptOutcome e;
     e.result = v.result, e.detail = v.note, e.parameters = v.parameters, e.why = v.why;
     finish(e);
--- a/src/invariants/record.h
+++ b/src/invariants/record.h
@@ -4,7 +4,7 @@
 // process that is killed loses at most the line under way. The checker reads nothing else.
 //
 //   engine: up(server, role, kind..), recv(id, op, key, work), run(id, key), repeat(id), held(id), taken(id),
-//           let_go(id), lease(id), first(id), end(id, how)
+//           release_request(id), lease(id), first(id), end(id, how)
 //   client: ask(c, cls, key, deadline), first(c, id), answer(c, id, status, ending), gone(c), lost(c)
 //   runner: start/kill of gateways, down/up of servers, told(server, mode), trouble
 #pragma once
--- a/src/platform/access_log.cpp
+++ b/src/platform/access_log.cpp
@@ -72,7 +72,7 @@
     s.append(" end ").append(whole(p.ended));
     for (std::size_t i = 0; i < std::min(kAttemptsLogged, p.attempts.size()); ++i) {
         const AttemptRecord& l = p.attempts[i];
-        s.append(l.read ? "; read " : "; write ").append(l.server).append(" ").append(whole(l.sent));
+        s.append(l.is_prefill ? "; read " : "; write ").append(l.server).append(" ").append(whole(l.sent));
         if (l.out) {
             s.append(" out");
         } else {
--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -55,7 +55,7 @@
 // One attempt as the log tells of it; times are ms since the request's first byte.
 struct AttemptRecord {
     std::string server;
-    bool read = false, out = false;
+    bool is_prefill = false, out = false;
     AttemptResult result = AttemptResult::served;
     Millis sent = 0, ended = 0;
 };
--- a/src/platform/health_checker.cpp
+++ b/src/platform/health_checker.cpp
@@ -42,7 +42,7 @@
     EndpointHealth& server = endpoint_health_[id];
     if (!host || !can_check() || server.check) return;
     ++checks_sent_;
-    server.check = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
+    server.check = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::lease_call);
     server.check_sent_at = ports_.now();
     const auto question = server.check;
     question->on_heard = [this, id, sent = server.check_sent_at] { on_answered(id, sent); };
--- a/src/platform/lease_releaser.cpp
+++ b/src/platform/lease_releaser.cpp
@@ -195,7 +195,7 @@
 
 void LeaseReleaser::call(std::uint64_t id, Release& release, const DiscoveredEndpoint& to) {
     make_room();
-    const auto call = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
+    const auto call = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::lease_call);
     release.calls.push_back({call, to.endpoint.id, ports_.now()});
     ++calls_out_;
     ++release.calls_made;
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -212,10 +212,10 @@
         ++counts_.results[static_cast<int>(o.result)];
         return driver_.feed(std::move(o));
     }
-    t.read = named_.settings.kinds[static_cast<std::size_t>(host->endpoint.kind)].role == Role::read;
-    t.exchange = std::make_shared<UpstreamExchange>(t.read ? UpstreamExchange::Kind::read
-                                                           : UpstreamExchange::Kind::write);
-    const bool takes = !t.read && r->lease.held();
+    t.is_prefill = named_.settings.kinds[static_cast<std::size_t>(host->endpoint.kind)].role == Role::prefill;
+    t.exchange = std::make_shared<UpstreamExchange>(t.is_prefill ? UpstreamExchange::Kind::prefill
+                                                                 : UpstreamExchange::Kind::decode);
+    const bool takes = !t.is_prefill && r->lease.held();
     t.exchange->on_go = [this, handle, server = a.endpoint, by = a.send_by, now, takes] {
         return may_begin(handle, server, by, now, takes);
     };
@@ -229,7 +229,8 @@
         if (!it) return;
         driver_.handed(it->time);
         it->handed = true;
-        const Millis usual = it->read ? prefill_times_.usual_duration(own->in.arrival.prompt_tokens) : 0;
+        const Millis usual =
+            it->is_prefill ? prefill_times_.usual_duration(own->in.arrival.prompt_tokens) : 0;
         own->lease.on_request_written(ports_.now(), ports_.now() + usual);
         schedule_lease_check(*own);
     };
@@ -239,15 +240,15 @@
         Request* own = find(handle);
         if (!own) return;
         own->lease.on_attempt_answered(ports_.now());
-        if (!own->attempts.back().read) audit_.write_answered(handle);
+        if (!own->attempts.back().is_prefill) audit_.write_answered(handle);
     };
     t.exchange->on_first = [this, handle, n](std::string_view events) { first(handle, n, events); };
     t.exchange->on_more = [this, handle, n](std::string_view events) { more(handle, n, events); };
     t.exchange->on_over = [this, handle, n](const AttemptOutcome& e) { over(handle, n, e); };
-    r->lease.on_attempt_begun(now, a.endpoint, !t.read);
+    r->lease.on_attempt_begun(now, a.endpoint, !t.is_prefill);
     // A release that is still under way would take what the write is to take. A read has nothing to lose by
     // it, and what stands from before is let go of meanwhile.
-    if (!t.read) releases_.withdraw(r->release);
+    if (!t.is_prefill) releases_.withdraw(r->release);
     schedule_lease_check(*r);
     std::string request;
     request.reserve(r->in.head.size() + r->in.body.size() + 128);
@@ -290,7 +291,7 @@
     const EndpointId server = a.endpoint;
     r->lease.on_acquired(ports_.now(), control::LeaseOrigin::slot_requested, server);
     schedule_lease_check(*r);
-    r->reservation = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::call);
+    r->reservation = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::lease_call);
     r->reservation->on_go = [this, server] { return endpoint_status(server) == EndpointStatus::healthy; };
     r->reservation->on_over = [this, handle, server](const AttemptOutcome& e) {
         Request* it = find(handle);
@@ -368,7 +369,7 @@
     if (!own || own->attempts.empty()) return;
     // What waits for a connection would find nothing to take: the time is better used for another read.
     AttemptState& latest = own->attempts.back();
-    if (latest.out && !latest.read && !latest.handed)
+    if (latest.out && !latest.is_prefill && !latest.handed)
         stop(latest, AttemptResult::cancelled, "its state was let go of");
 }
 
@@ -433,7 +434,7 @@
     p.first = r.begun < 0 ? -1 : r.begun - r.arrived;
     p.ended = ports_.now() - r.arrived;
     for (const auto& t : r.attempts) {
-        p.attempts.push_back({{}, t.read, t.out, t.result, t.sent - r.arrived, t.ended - r.arrived});
+        p.attempts.push_back({{}, t.is_prefill, t.out, t.result, t.sent - r.arrived, t.ended - r.arrived});
     }
     const Disposition f = disposition ? *disposition : access_.served(p);
     if (!access_.count(ports_.now(), f, cause)) return;
@@ -527,7 +528,7 @@
         audit_.read_answered(handle, ports_.now(), driver_.stood());
     else if (e.result == AttemptResult::rejected && e.detail == 1)
         audit_.state_taken(handle);  // its server says that there is nothing to take
-    else if (!t->read)
+    else if (!t->is_prefill)
         audit_.write_ended(handle, ports_.now(), driver_.stood());
     const Millis now = ports_.now();
     t->ended = now, t->result = e.result;
@@ -537,9 +538,9 @@
     r->lease.on_attempt_ended(now, never_ran(e.result));
     if (e.result == AttemptResult::prefill_done)
         prefill_times_.add_prefill(now - t->sent, r->in.arrival.prompt_tokens);
-    if (t->read && e.result == AttemptResult::prefill_done)
+    if (t->is_prefill && e.result == AttemptResult::prefill_done)
         r->lease.on_acquired(now, control::LeaseOrigin::prefill_done, t->endpoint);
-    else if (t->read && !never_ran(e.result))
+    else if (t->is_prefill && !never_ran(e.result))
         r->lease.on_acquired(now, control::LeaseOrigin::prefill_lost, t->endpoint);
     schedule_lease_check(*r);
     AttemptEnded o;
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -98,7 +98,7 @@
     struct AttemptState {
         std::shared_ptr<UpstreamExchange> exchange;
         EndpointId endpoint = 0;
-        bool read = false, out = true, first = false, handed = false;
+        bool is_prefill = false, out = true, first = false, handed = false;
         Millis sent = 0, heard = 0, ended = 0;
         AttemptResult result = AttemptResult::served;
         control::AttemptClock time;
--- a/src/platform/upstream_exchange.cpp
+++ b/src/platform/upstream_exchange.cpp
@@ -58,7 +58,7 @@
     const auto* away = http::find(parser_.headers, "x-turned-away");
     turned_away_ = away && *away == "1";
     const auto* type = http::find(parser_.headers, "content-type");
-    stream_ = kind_ == Kind::write && status_ == 200 && type && type->rfind("text/event-stream", 0) == 0;
+    stream_ = kind_ == Kind::decode && status_ == 200 && type && type->rfind("text/event-stream", 0) == 0;
 }
 
 void UpstreamExchange::body(std::string_view bytes) {
@@ -82,11 +82,11 @@
     clean_ = true;
     if (!parser_.keep_alive) spoilt_ = true;
     if (over_) return;
-    if (kind_ == Kind::call) return finish(AttemptResult::served, 0, "");
+    if (kind_ == Kind::lease_call) return finish(AttemptResult::served, 0, "");
     if (turned_away_ && (status_ == 503 || status_ == 504))
         return finish(AttemptResult::rejected, 0, "turned away");
     if (turned_away_ && status_ == 410) return finish(AttemptResult::rejected, 1, "no state to fetch");
-    if (kind_ == Kind::read && status_ == 202)
+    if (kind_ == Kind::prefill && status_ == 202)
         return finish(AttemptResult::prefill_done, cached_tokens(body_), "");
     if (begun_) return finish(AttemptResult::served, 0, "");
     finish(AttemptResult::error, 0, stream_ ? "a stream without an event" : "an error");
--- a/src/platform/upstream_exchange.h
+++ b/src/platform/upstream_exchange.h
@@ -26,7 +26,11 @@
 
 class UpstreamExchange : public proxy::Carried {
 public:
-    enum class Kind { read, write, call };  // call: to hold a place or let go; every answer is its end
+    enum class Kind {
+        prefill,
+        decode,
+        lease_call
+    };  // call: to hold a place or let go; every answer is its end
 
     std::function<bool()> on_go;                 // whether it may still be sent; asked before its first byte
     std::function<void(std::string&)> on_stamp;  // the request, right before its first byte goes out
--- a/src/router/records.h
+++ b/src/router/records.h
@@ -16,11 +16,11 @@
 constexpr Millis kNever = 1e18;
 constexpr double kRateSpan = 3000;  // ms over which rates are averaged
 
-enum Stage { reading = 0, waiting = 1, streaming = 2 };
+enum Stage { prefill = 0, decode_queued = 1, streaming = 2 };
 
 struct EndpointState {
     Endpoint endpoint;
-    Role role = Role::both;
+    Role role = Role::mixed;
     Millis last_listed = 0;          // by the latest list that had it
     Millis warming_since = -kNever;  // when it last started, as listed or as concluded from a return
     // own load
@@ -45,15 +45,18 @@
     stats::DecayingRate send_rate{kRateSpan};
     std::deque<Millis> recent_sends;  // sends within the fall window
 
-    bool can_prefill() const { return role != Role::write; }
-    bool can_decode() const { return role != Role::read; }
-    int in_flight_total() const { return in_flight[reading] + in_flight[waiting] + in_flight[streaming]; }
+    bool can_prefill() const { return role != Role::decode; }
+    bool can_decode() const { return role != Role::prefill; }
+    int in_flight_total() const {
+        return in_flight[prefill] + in_flight[decode_queued] + in_flight[streaming];
+    }
 };
 
 struct Cell {
     int zone = 0;
-    double read = 0, write = 0, pull = 1;  // shares of what is read and written; see pull
-    double spent = 0, reads = 0;  // parts of the aims spent on reads there and on its link; both fade
+    double prefill_share = 0, decode_share = 0, weight = 1;  // shares of what is read and written; see pull
+    double objective_spent = 0,
+           prefills = 0;  // parts of the aims spent on reads there and on its link; both fade
 };
 
 struct Request {
@@ -65,7 +68,7 @@
     bool final = false;  // a final answer is out
     // the attempt out
     bool out = false, stopped = false, excused = false;  // excused: out while this gateway stood still
-    Stage stage = reading;
+    Stage stage = prefill;
     EndpointId endpoint = 0;
     Millis sent = 0, stage_since = 0;  // less own standstills since; see watch
     Millis handed = 0;                 // when it was sent in truth
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -38,8 +38,8 @@
         need(!s_.classes.empty(), "classes: at least one is needed");
         need(!s_.kinds.empty(), "kinds: each needs a role");
         bool read = false, write = false;
-        for (const auto& k : s_.kinds) read |= k.role != Role::write, write |= k.role != Role::read;
-        need(write && (read || s_.local_read), "kinds: some must read and some must write");
+        for (const auto& k : s_.kinds) read |= k.role != Role::decode, write |= k.role != Role::prefill;
+        need(write && (read || s_.local_prefill), "kinds: some must read and some must write");
         for (const auto& c : s_.classes) {
             need(c.latency_objective > 0, "classes: aim must be above 0");
             need(c.deadline > 0, "classes: deadline must be above 0");
@@ -47,17 +47,17 @@
             max_priority_weight_ = std::max(max_priority_weight_, c.priority_weight);
             // Until seen: 1,000 tokens are read in what the aim grows by, a wait takes a twelfth of the aim,
             // a stream 100 tokens at half pace.
-            completion_times_[reading].emplace_back(c.latency_objective_per_1000_tokens > 0
+            completion_times_[prefill].emplace_back(c.latency_objective_per_1000_tokens > 0
                                                         ? c.latency_objective_per_1000_tokens
                                                         : c.latency_objective / 20,
                                                     kPriorWeight);
-            completion_times_[waiting].emplace_back(c.latency_objective / 12, kPriorWeight);
+            completion_times_[decode_queued].emplace_back(c.latency_objective / 12, kPriorWeight);
             completion_times_[streaming].emplace_back(
                 std::max(50 * c.inter_token_objective, c.latency_objective), kPriorWeight);
         }
         low_quantile_ = {
-            QuantileEstimate(kLowQuantile, kQuantileStep, completion_times_[reading][0].prior()),
-            QuantileEstimate(kLowQuantile, kQuantileStep, completion_times_[waiting][0].prior() / 4)};
+            QuantileEstimate(kLowQuantile, kQuantileStep, completion_times_[prefill][0].prior()),
+            QuantileEstimate(kLowQuantile, kQuantileStep, completion_times_[decode_queued][0].prior() / 4)};
         need(s_.gateways > 0, "gateways: at least one");
         need(s_.max_attempts > 0, "max_attempts: at least one");
         for (const auto& t : s_.tenants) quota_left_.push_back(burst(t));
@@ -94,7 +94,7 @@
         prompt_ += (a.prompt_tokens - prompt_) / seen;
         fresh_ += (fresh(r) - fresh_) / seen;
         if (a.deadline <= now_) return end(r, EndCause::deadline);
-        if (!writer_in_reach()) return end(r, EndCause::no_decode_endpoint);
+        if (!decode_reachable()) return end(r, EndCause::no_decode_endpoint);
         if (should_shed(r)) return end(r, EndCause::shed_load);
         act(SetTimer{r.serial, std::max(now_, a.deadline - s_.step)});
         advance(r);
@@ -111,7 +111,7 @@
         // A stream that was called off just as it began, and after all is still owed an answer.
         if (!o.request_closed && r.stage == streaming && r.ended && !r.final) r.ended = false;
         leave(r);
-        const bool wrote = !(server && server->role == Role::read);
+        const bool wrote = !(server && server->role == Role::prefill);
         if (wrote && !never_ran(o.result) && o.result != AttemptResult::prefill_done && !r.may_have_run) {
             r.may_have_run = true;
             r.ran_at = o.endpoint;
@@ -139,7 +139,7 @@
         if (EndpointState* s = find_endpoint(r.endpoint)) {
             observe_time(r, true);
             s->last_class_failure[cls(r)] = -kNever;
-            record_completion(*s, r, waiting);
+            record_completion(*s, r, decode_queued);
             move(*s, r, streaming);
         }
         set_lease_held(r, false);
@@ -163,9 +163,9 @@
         }
         if (e.kind != EndpointUpdate::Kind::incremental) {
             for (auto& [id, s] : endpoints_) s.endpoint.status = EndpointStatus::removed;
-            for (auto& ring : by_role_) ring.clear();
-            writers_.clear();
-            writers_of_cell_.clear();
+            for (auto& ring : healthy_by_role_) ring.clear();
+            decode_ring_.clear();
+            decode_endpoints_by_cell_.clear();
         }
         for (const auto& entry : e.endpoints) {
             if (entry.kind < 0 || entry.kind >= static_cast<int>(s_.kinds.size())) continue;
@@ -223,19 +223,20 @@
 
     // ---- servers by role ------------------------------------------------------------------------------
 
-    HashRing<EndpointState>& ring(Role role) { return by_role_[static_cast<std::size_t>(role)]; }
+    HashRing<EndpointState>& ring(Role role) { return healthy_by_role_[static_cast<std::size_t>(role)]; }
 
     void index_endpoint(EndpointState& s) {
         ring(s.role).insert(s.endpoint.id, &s);
         if (!s.can_decode()) return;
-        writers_.insert(s.endpoint.id, &s);
-        writers_of_cell_[s.endpoint.cell].push_back(&s);
+        decode_ring_.insert(s.endpoint.id, &s);
+        decode_endpoints_by_cell_[s.endpoint.cell].push_back(&s);
     }
 
     void unindex_endpoint(EndpointState& s) {
         ring(s.role).erase(s.endpoint.id);
-        writers_.erase(s.endpoint.id);
-        if (const auto at = writers_of_cell_.find(s.endpoint.cell); at != writers_of_cell_.end())
+        decode_ring_.erase(s.endpoint.id);
+        if (const auto at = decode_endpoints_by_cell_.find(s.endpoint.cell);
+            at != decode_endpoints_by_cell_.end())
             std::erase(at->second, &s);
     }
 
@@ -261,15 +262,15 @@
     bool own_home(const Request& r) const {
         return !r.a.prefix || (low_sample_rate() && r.a.session && 2 * r.a.prefix_tokens < r.a.prompt_tokens);
     }
-    std::uint64_t reader_window(const Request& r) const {
+    std::uint64_t prefill_window_key(const Request& r) const {
         const std::uint64_t key = home_key(r);
         return key ? key : seed_ + r.serial;
     }
-    std::uint64_t writer_window(const Request& r) const { return seed_ + r.serial; }
+    std::uint64_t decode_window_key(const Request& r) const { return seed_ + r.serial; }
 
     // A choice among a window of the fleet that finds nothing looks at all of it.
     template <class Choice>
-    EndpointState* whole(Choice choice) {
+    EndpointState* choose_or_scan_all(Choice choice) {
         EndpointState* found = choice();
         if (found || scan_all_ || endpoints_.size() <= kMaxFullScan) return found;
         scan_all_ = true;
@@ -292,14 +293,15 @@
             retries_ -= 1;
         }
         EndpointState* to = nullptr;
-        if (!r.state) to = pick_reader(r);
-        const Stage stage = r.state || !to ? waiting : reading;
-        if (!to && (r.state || s_.local_read)) to = pick_writer(r);
+        if (!r.state) to = choose_prefill(r);
+        const Stage stage = r.state || !to ? decode_queued : prefill;
+        if (!to && (r.state || s_.local_prefill)) to = choose_decode(r);
         if (!to) return end(r, EndCause::no_endpoint);
         // Guards against writers kept busy with late answers, which earn little: when others wait and the aim
         // is out of reach, the read is given up. May do harm where late answers are worth much.
-        if (r.state && !r.a.resumed && to->in_flight[waiting] > 1 &&
-            now_ - r.arrived + completion_time(waiting, r).value() * (to->in_flight[waiting] + 1) >
+        if (r.state && !r.a.resumed && to->in_flight[decode_queued] > 1 &&
+            now_ - r.arrived +
+                    completion_time(decode_queued, r).value() * (to->in_flight[decode_queued] + 1) >
                 latency_objective(r)) {
             return end(r, EndCause::decode_too_late);
         }
@@ -315,8 +317,8 @@
         r.sent = r.handed = now_;
         ++r.attempts;
         ++s.in_flight[stage];
-        r.units = s.in_flight[waiting];  // this one counted
-        if (stage == reading) {
+        r.units = s.in_flight[decode_queued];  // this one counted
+        if (stage == prefill) {
             s.reserved_tokens += r.a.prompt_tokens;
             s.queued_kilotokens += fresh(r);
             r.units = s.queued_kilotokens;
@@ -339,23 +341,24 @@
         // where a reader is silent: its reads are late, the first from each gateway.
         return std::min(left,
                         std::max(kTimeoutQuantiles * low_quantile_[stage].value() * span(r, stage),
-                                 kMinTimeoutObjectiveFraction[stage == reading && no_load_signal() ? 0 : 1] *
+                                 kMinTimeoutObjectiveFraction[stage == prefill && no_load_signal() ? 0 : 1] *
                                      latency_objective(r)));
     }
 
     // What a stage's time is measured by: the tokens to read, those ahead too, or the prompt to fetch.
     double span(const Request& r, Stage stage) const {
-        return stage == reading ? r.units : 0.2 + r.a.prompt_tokens / 1000;
+        return stage == prefill ? r.units : 0.2 + r.a.prompt_tokens / 1000;
     }
 
     void observe_time(const Request& r, bool done) {
         // What a cell's readers and, for states that leave it, its link take of the aims.
-        const EndpointState* reader = find_endpoint(r.stage == reading ? r.endpoint : r.reader);
+        const EndpointState* reader = find_endpoint(r.stage == prefill ? r.endpoint : r.reader);
         const EndpointState* server = find_endpoint(r.endpoint);
-        if (reader && server && (r.stage == reading || reader->endpoint.cell != server->endpoint.cell)) {
+        if (reader && server && (r.stage == prefill || reader->endpoint.cell != server->endpoint.cell)) {
             Cell& c = cells_[reader->endpoint.cell];
-            c.spent += done || !no_load_signal() ? std::min(1.0, (now_ - r.sent) / latency_objective(r)) : 1;
-            c.reads += r.stage == reading;
+            c.objective_spent +=
+                done || !no_load_signal() ? std::min(1.0, (now_ - r.sent) / latency_objective(r)) : 1;
+            c.prefills += r.stage == prefill;
         }
         const double took = (now_ - r.sent) / span(r, r.stage);
         if (done || took > low_quantile_[r.stage].value()) low_quantile_[r.stage].add(took);
@@ -363,7 +366,7 @@
 
     static void take_off(EndpointState& s, const Request& r) {
         --s.in_flight[r.stage];
-        if (r.stage == reading) {
+        if (r.stage == prefill) {
             s.reserved_tokens -= r.a.prompt_tokens;
             s.queued_kilotokens -= fresh(r);
         }
@@ -438,20 +441,20 @@
             ->second;
     }
 
-    EndpointState* pick_reader(Request& r) {
-        return whole([&] { return pick_reader_among(r); });
+    EndpointState* choose_prefill(Request& r) {
+        return choose_or_scan_all([&] { return choose_prefill_among(r); });
     }
 
-    EndpointState* pick_reader_among(Request& r) {
-        const auto& readers = candidates(ring(Role::read), reader_window(r), reader_candidates_);
-        const std::vector<EndpointState*> fit = usable_readers(r, readers);
+    EndpointState* choose_prefill_among(Request& r) {
+        const auto& readers = candidates(ring(Role::prefill), prefill_window_key(r), prefill_candidates_);
+        const std::vector<EndpointState*> fit = eligible_prefill_endpoints(r, readers);
         if (fit.empty()) return nullptr;
-        const std::vector<double> load = reader_loads(fit);
-        const std::vector<EndpointState*> near = readers_near_least(r, fit, load);
+        const std::vector<double> load = prefill_loads(fit);
+        const std::vector<EndpointState*> near = prefill_within_load_margin(r, fit, load);
         if (const std::uint64_t key = home_key(r)) {
             // Of a window's readers those that can be used stand for all.
             const std::size_t usable_in_all =
-                readers.empty() ? fit.size() : fit.size() * ring(Role::read).size() / readers.size();
+                readers.empty() ? fit.size() : fit.size() * ring(Role::prefill).size() / readers.size();
             return home_among(r, key, near, usable_in_all);
         }
         std::vector<std::pair<std::pair<double, double>, EndpointState*>> last;  // it has no home: the least
@@ -465,18 +468,19 @@
     // Those that may read it now: plain readers, and mixed servers by rule 3. A mixed server that reads also
     // writes, so it is asked when it has room and the writer that would be picked has none, or when no plain
     // reader is there.
-    std::vector<EndpointState*> usable_readers(Request& r, const std::vector<EndpointState*>& readers) {
+    std::vector<EndpointState*> eligible_prefill_endpoints(Request& r,
+                                                           const std::vector<EndpointState*>& readers) {
         EndpointState* writer = nullptr;
         std::vector<EndpointState*> fit;
         for (int strict = 1; strict >= 0 && fit.empty(); --strict) {
             for (EndpointState* s : readers) {
-                if (usable(*s, r, strict)) fit.push_back(s);
+                if (is_eligible(*s, r, strict)) fit.push_back(s);
             }
-            if (!writer) writer = pick_writer(r);
+            if (!writer) writer = choose_decode(r);
             const bool no_room = !writer || !has_capacity(*writer);
             if (!fit.empty() && !no_room) continue;
-            for (EndpointState* s : candidates(ring(Role::both), reader_window(r), mixed_candidates_)) {
-                if (usable(*s, r, strict) && (fit.empty() || has_capacity(*s))) fit.push_back(s);
+            for (EndpointState* s : candidates(ring(Role::mixed), prefill_window_key(r), mixed_candidates_)) {
+                if (is_eligible(*s, r, strict) && (fit.empty() || has_capacity(*s))) fit.push_back(s);
             }
         }
         return fit;
@@ -484,7 +488,7 @@
 
     // The share of its memory that each holds, own reads and what is known of others'; unheard ones count as
     // average.
-    std::vector<double> reader_loads(const std::vector<EndpointState*>& fit) const {
+    std::vector<double> prefill_loads(const std::vector<EndpointState*>& fit) const {
         double known = 0, heard = 0;
         for (const EndpointState* s : fit) {
             if (now_ - s->last_report_at >= kRateSpan) continue;
@@ -503,8 +507,9 @@
     }
 
     // Those within the margin of the least load, in the own zone or out of it.
-    std::vector<EndpointState*> readers_near_least(const Request& r, const std::vector<EndpointState*>& fit,
-                                                   const std::vector<double>& load) {
+    std::vector<EndpointState*> prefill_within_load_margin(const Request& r,
+                                                           const std::vector<EndpointState*>& fit,
+                                                           const std::vector<double>& load) {
         // Of most readers nothing is known: the few heard of must not draw all from their homes.
         const double least = low_sample_rate() ? std::accumulate(load.begin(), load.end(), 0.0) /
                                                      static_cast<double>(fit.size())
@@ -522,18 +527,18 @@
             near.push_back(fit[i]);
             own_zone |= fit[i]->endpoint.zone == s_.own_zone && load[i] <= least + kMinLoadMargin * prompt;
         }
-        if (own_zone) keep_zone(r, fit, near);
+        if (own_zone) prefer_own_zone(r, fit, near);
         return near;
     }
 
     // Leaves those of the own zone, or of the others. Where own queues show too little, a zone reads what its
     // share of the readers covers, taking every zone for as busy. Guards against a jam in a zone with few
     // readers while others idle.
-    void keep_zone(const Request& r, const std::vector<EndpointState*>& fit,
-                   std::vector<EndpointState*>& near) {
+    void prefer_own_zone(const Request& r, const std::vector<EndpointState*>& fit,
+                         std::vector<EndpointState*>& near) {
         double own = 0, all = 0;
         for (const EndpointState* s : fit) {
-            const double part = std::pow(pull(*s), no_load_signal() ? 4 : 2);
+            const double part = std::pow(prefill_weight(*s), no_load_signal() ? 4 : 2);
             all += part;
             own += s->endpoint.zone == s_.own_zone ? part : 0;
         }
@@ -548,7 +553,7 @@
                               std::size_t usable_in_all) {
         std::vector<std::pair<double, EndpointState*>> by;
         for (EndpointState* s : near)
-            by.push_back({-std::log(hash_fraction(key, s->endpoint.id) + 1e-18) / pull(*s), s});
+            by.push_back({-std::log(hash_fraction(key, s->endpoint.id) + 1e-18) / prefill_weight(*s), s});
         const std::size_t homes =
             own_home(r) ? 1 : std::min(by.size(), homes_of_opening(r.a.prefix, usable_in_all));
         const auto rank =
@@ -569,30 +574,30 @@
         return 1 + static_cast<std::size_t>(part * static_cast<double>(readers) / kHomeLoad);
     }
 
-    EndpointState* pick_writer(const Request& r) {
-        return whole([&] { return pick_writer_among(r); });
+    EndpointState* choose_decode(const Request& r) {
+        return choose_or_scan_all([&] { return choose_decode_among(r); });
     }
 
-    EndpointState* pick_writer_among(const Request& r) {
+    EndpointState* choose_decode_among(const Request& r) {
         std::vector<std::pair<int, EndpointState*>> fit;
         const EndpointState* reader = r.state ? find_endpoint(r.reader) : nullptr;
-        const bool windowed = writers_.size() > kMaxFullScan && !scan_all_;
-        std::uint64_t cell = windowed && reader ? deal(*reader) : 0;
-        const auto* from = &candidates(writers_, writer_window(r), writer_candidates_);
-        if (windowed && reader) add_cell(cell, writer_candidates_);
+        const bool windowed = decode_ring_.size() > kMaxFullScan && !scan_all_;
+        std::uint64_t cell = windowed && reader ? choose_decode_cell(*reader) : 0;
+        const auto* from = &candidates(decode_ring_, decode_window_key(r), decode_candidates_);
+        if (windowed && reader) add_cell_endpoints(cell, decode_candidates_);
         for (int strict = 1; strict >= 0 && fit.empty(); --strict) {
             for (EndpointState* s : *from) {
-                if (!usable(*s, r, strict)) continue;
+                if (!is_eligible(*s, r, strict)) continue;
                 if (strict && !has_capacity(*s)) continue;
-                int queued = s->in_flight[waiting] + s->in_flight[reading];
-                if (!strict) queued += young(*s);
+                int queued = s->in_flight[decode_queued] + s->in_flight[prefill];
+                if (!strict) queued += young_streams(*s);
                 fit.push_back({queued, s});
             }
         }
         if (fit.empty()) return nullptr;
         int least = fit[0].first;
         for (const auto& [n, s] : fit) least = std::min(least, n);
-        if (!windowed && reader) cell = deal(*reader);
+        if (!windowed && reader) cell = choose_decode_cell(*reader);
         std::vector<std::pair<std::array<double, 3>, EndpointState*>> near;
         for (const auto& [n, s] : fit) {
             if (n > least + 1) continue;
@@ -604,9 +609,9 @@
 
     // A window seldom holds the writers of a given cell, to which a state moves at the least cost: they join
     // it.
-    void add_cell(std::uint64_t cell, std::vector<EndpointState*>& window) {
-        const auto at = writers_of_cell_.find(cell);
-        if (at == writers_of_cell_.end()) return;
+    void add_cell_endpoints(std::uint64_t cell, std::vector<EndpointState*>& window) {
+        const auto at = decode_endpoints_by_cell_.find(cell);
+        if (at == decode_endpoints_by_cell_.end()) return;
         for (EndpointState* s : at->second) {
             if (std::find(window.begin(), window.end(), s) == window.end()) window.push_back(s);
         }
@@ -615,11 +620,12 @@
     // The cell whose writers come first for a state here: the reader's own, as far as its share of the
     // writers covers what is read in it; else one with writers to spare, the same zone's counting double.
     // Guards against few writers drawing all that many readers there read. Harms where links are narrow.
-    std::uint64_t deal(const EndpointState& reader) {
+    std::uint64_t choose_decode_cell(const EndpointState& reader) {
         const Cell& own = cells_[reader.endpoint.cell];
-        if (!low_sample_rate() || uniform() * own.read <= own.write) return reader.endpoint.cell;
+        if (!low_sample_rate() || uniform() * own.prefill_share <= own.decode_share)
+            return reader.endpoint.cell;
         const auto spare = [&](const Cell& c) {
-            return std::max(0.0, c.write - c.read) * (c.zone == reader.endpoint.zone ? 2 : 1);
+            return std::max(0.0, c.decode_share - c.prefill_share) * (c.zone == reader.endpoint.zone ? 2 : 1);
         };
         double left = 0;
         for (const auto& [id, c] : cells_) left += spare(c);
@@ -631,10 +637,12 @@
     }
 
     // How many reads a reader draws: more where writers are near, as reads far from them fill links.
-    double pull(const EndpointState& s) { return low_sample_rate() ? cells_[s.endpoint.cell].pull : 1; }
+    double prefill_weight(const EndpointState& s) {
+        return low_sample_rate() ? cells_[s.endpoint.cell].weight : 1;
+    }
 
     // Own streams at the server that have made fewer than the quantum's tokens, at the wanted pace.
-    int young(const EndpointState& s) const {
+    int young_streams(const EndpointState& s) const {
         int n = 0;
         for (const auto& [id, r] : requests_) {
             if (!r.out || r.stage != streaming || r.endpoint != s.endpoint.id) continue;
@@ -645,7 +653,7 @@
 
     // ---- guards ---------------------------------------------------------------------------------------
 
-    bool usable(EndpointState& s, const Request& r, bool strict) {
+    bool is_eligible(EndpointState& s, const Request& r, bool strict) {
         if (s.endpoint.status != EndpointStatus::healthy) return false;
         if (!within_slow_start_budget(s, r)) return false;
         // Guards against a repeat that reaches a server which does not drop it: outside the group, or after
@@ -726,7 +734,7 @@
                 s.last_success = now_;
                 s.last_class_failure[cls(r)] = -kNever;
                 s.connect_failed = false;
-                if (o.result == AttemptResult::prefill_done) record_completion(s, r, reading);
+                if (o.result == AttemptResult::prefill_done) record_completion(s, r, prefill);
                 if (r.stage == streaming) record_completion(s, r, streaming);
                 s.error_rate *= 1 - kErrorRateStep;
                 if (!early && s.ejected) {
@@ -751,10 +759,10 @@
                 if (!early) eject(s);
                 return;
             case AttemptResult::rejected:
-                if (o.detail != 1) s.rejecting_until = now_ + completion_time(waiting, r).value();
+                if (o.detail != 1) s.rejecting_until = now_ + completion_time(decode_queued, r).value();
                 return;
             case AttemptResult::timed_out:
-                keep_abandoned_read(s, r);
+                remember_abandoned_prefill(s, r);
                 if (r.stopped) return;
                 [[fallthrough]];
             case AttemptResult::reset:
@@ -773,7 +781,7 @@
                     eject(s);
                 return;
             case AttemptResult::cancelled:
-                keep_abandoned_read(s, r);
+                remember_abandoned_prefill(s, r);
                 if (r.stopped && !r.excused) s.last_class_failure[cls(r)] = now_;
                 return;
             case AttemptResult::not_sent:
@@ -782,10 +790,10 @@
     }
 
     // A read that was given up on may still run: its memory counts for as long again as it has run.
-    void keep_abandoned_read(EndpointState& s, const Request& r) {
-        if (r.stage != reading) return;
+    void remember_abandoned_prefill(EndpointState& s, const Request& r) {
+        if (r.stage != prefill) return;
         s.abandoned_prefills.push_back({now_ + (now_ - r.sent), r.a.prompt_tokens});
-        abandoned_at_.insert(s.endpoint.id);
+        endpoints_with_abandoned_prefills_.insert(s.endpoint.id);
         s.reserved_tokens += r.a.prompt_tokens;
     }
 
@@ -813,7 +821,7 @@
     bool no_load_signal() const { return low_sample_rate() && !has_load_reports_; }
 
     // Overload makes all slow: only a minority of a role may be flagged for slowness or failures.
-    bool within_max_ejection_fraction(const EndpointState& s, Stage stage = reading) const {
+    bool within_max_ejection_fraction(const EndpointState& s, Stage stage = prefill) const {
         int peers = 0, bad = 0;
         for (const auto& [id, p] : endpoints_) {
             if (p.role != s.role || p.endpoint.status != EndpointStatus::healthy) continue;
@@ -862,7 +870,7 @@
             for (auto& u : stage)
                 u.decay(std::exp(-dt / kCompletionSpan), std::exp(-dt / kCompletionSpan / 10));
         }
-        end_abandoned_reads();
+        expire_abandoned_prefills();
         std::vector<EndpointState*> slow;
         for (const auto& [id, stages] : harmed) {
             EndpointState& s = endpoints_.at(id);
@@ -879,8 +887,8 @@
         }
     }
 
-    void end_abandoned_reads() {
-        std::erase_if(abandoned_at_, [this](EndpointId id) {
+    void expire_abandoned_prefills() {
+        std::erase_if(endpoints_with_abandoned_prefills_, [this](EndpointId id) {
             EndpointState* s = find_endpoint(id);
             if (!s) return true;
             while (!s->abandoned_prefills.empty() && s->abandoned_prefills.front().first <= now_) {
@@ -942,13 +950,13 @@
         double spent = 0, reads = 0, read = 0;
         std::map<int, Cell> zones;
         for (auto& [id, c] : cells_) {
-            c.spent *= keep;
-            c.reads *= keep;
-            spent += c.spent;
-            reads += c.reads;
-            c.read = c.write = 0;
-            zones[c.zone].spent += c.spent;
-            zones[c.zone].reads += c.reads;
+            c.objective_spent *= keep;
+            c.prefills *= keep;
+            spent += c.objective_spent;
+            reads += c.prefills;
+            c.prefill_share = c.decode_share = 0;
+            zones[c.zone].objective_spent += c.objective_spent;
+            zones[c.zone].prefills += c.prefills;
         }
         std::array<double, 3> sent{}, warm{}, left{}, listed{};
         for (const auto& [id, s] : endpoints_) {
@@ -957,8 +965,8 @@
             ++listed[role];
             Cell& c = cells_[s.endpoint.cell];
             c.zone = s.endpoint.zone;
-            c.read += s.role == Role::read;
-            c.write += s.can_decode();
+            c.prefill_share += s.role == Role::prefill;
+            c.decode_share += s.can_decode();
             if (s.ejected) continue;
             ++left[role];
             if (now_ - s.warming_since < s_.slow_start_duration) continue;
@@ -971,23 +979,26 @@
                 baseline_rate_[role] = std::max(baseline_rate_[role], sent[role] / warm[role]);
             if (listed[role] > 0) available_fraction_[role] = left[role] / listed[role];
         }
-        const double readers = listed[static_cast<std::size_t>(Role::read)];
+        const double readers = listed[static_cast<std::size_t>(Role::prefill)];
         const double writers = std::accumulate(listed.begin(), listed.end(), 0.0) - readers;
         const double usual = reads > 0 ? spent / reads : 0;
         // A cell is taken for as its zone, and a zone that nothing is known of for calm: else a gateway whose
         // own zone jams never looks into the other, as it knows of nothing better.
-        const double calm = kCellPrior * std::min(usual, kUnknownZoneObjectiveFraction);
+        const double calm = kCellPriorPrefills * std::min(usual, kUnknownZoneObjectiveFraction);
         for (auto& [id, c] : cells_) {
-            c.write /= std::max(1.0, writers);
-            if (c.read <= 0) continue;
+            c.decode_share /= std::max(1.0, writers);
+            if (c.prefill_share <= 0) continue;
             const Cell& z = zones[c.zone];
-            const double there = (z.spent + calm) / (z.reads + kCellPrior);
-            const double here = (c.spent + kCellPrior * there) / (c.reads + kCellPrior);
-            c.pull = std::clamp(0.5 + 0.5 * c.write * readers / c.read, 1 / kPullMost, kPullMost) *
-                     std::clamp((kCalmObjectiveFraction + usual) / (kCalmObjectiveFraction + here), 0.3, 1.5);
-            read += c.read *= c.pull;
+            const double there = (z.objective_spent + calm) / (z.prefills + kCellPriorPrefills);
+            const double here =
+                (c.objective_spent + kCellPriorPrefills * there) / (c.prefills + kCellPriorPrefills);
+            c.weight =
+                std::clamp(0.5 + 0.5 * c.decode_share * readers / c.prefill_share, 1 / kMaxCellWeightChange,
+                           kMaxCellWeightChange) *
+                std::clamp((kCalmObjectiveFraction + usual) / (kCalmObjectiveFraction + here), 0.3, 1.5);
+            read += c.prefill_share *= c.weight;
         }
-        for (auto& [id, c] : cells_) c.read /= std::max(1e-9, read);
+        for (auto& [id, c] : cells_) c.prefill_share /= std::max(1e-9, read);
     }
 
     // Takes own requests off a server that has become slow or silent, within the retry budget.
@@ -995,7 +1006,7 @@
         for (auto& [id, r] : requests_) {
             if (!r.out || r.stopped || r.endpoint != s.endpoint.id || retries_ < 1) continue;
             // A slow read is moved only while its aim can be met, as it is lost work; a silent one always.
-            if (r.stage == reading && s.last_success >= r.sent && now_ - r.sent > 0.8 * latency_objective(r))
+            if (r.stage == prefill && s.last_success >= r.sent && now_ - r.sent > 0.8 * latency_objective(r))
                 continue;
             if (r.stage == streaming && s_.resume) {
                 retries_ -= 1;
@@ -1014,23 +1025,23 @@
         for (const auto& [id, own] : requests_)
             ahead += own.out && own.stage != streaming && find_endpoint(own.endpoint);
         double to_read = kNever;
-        for (const Role role : {Role::read, Role::both}) {
-            for (EndpointState* s : candidates(ring(role), reader_window(r), reader_candidates_)) {
-                if (usable(*s, r, true)) to_read = std::min(to_read, s->queued_kilotokens);
+        for (const Role role : {Role::prefill, Role::mixed}) {
+            for (EndpointState* s : candidates(ring(role), prefill_window_key(r), prefill_candidates_)) {
+                if (is_eligible(*s, r, true)) to_read = std::min(to_read, s->queued_kilotokens);
             }
         }
-        const auto& looked_at = candidates(writers_, writer_window(r), writer_candidates_);
+        const auto& looked_at = candidates(decode_ring_, decode_window_key(r), decode_candidates_);
         double writers = 0;
-        for (EndpointState* s : looked_at) writers += usable(*s, r, true);
+        for (EndpointState* s : looked_at) writers += is_eligible(*s, r, true);
         // A window's writers stand for all.
         if (!looked_at.empty())
-            writers *= static_cast<double>(writers_.size()) / static_cast<double>(looked_at.size());
+            writers *= static_cast<double>(decode_ring_.size()) / static_cast<double>(looked_at.size());
         if (to_read >= kNever) to_read = 0;
         if (to_read + ahead <= 0) return 0;  // nothing is ahead of it, whatever it takes
-        const Millis write = typical_time(waiting, r);
+        const Millis write = typical_time(decode_queued, r);
         // A queue is as long for a long prompt as for a usual one.
         const double own = std::min(fresh(r), fresh_);
-        const Millis read = r.state ? 0 : typical_time(reading, r) * (to_read + own);
+        const Millis read = r.state ? 0 : typical_time(prefill, r) * (to_read + own);
         return std::max(read + write, write * (1 + ahead / std::max(1.0, writers)));
     }
 
@@ -1040,13 +1051,13 @@
     Millis typical_time(Stage stage, const Request& r) {
         const CompletionTime& time = completion_time(stage, r);
         if (time.completed() < 1) return time.value();
-        const double quantile = low_quantile_[stage].value() * (stage == reading ? 1 : span(r, stage));
+        const double quantile = low_quantile_[stage].value() * (stage == prefill ? 1 : span(r, stage));
         return std::min(time.value(), kTypicalQuantiles * quantile);
     }
 
     // Guards against reads for nothing while every writer is down: each is tried by one request at a time.
-    bool writer_in_reach() const {
-        const auto& writers = writers_.by_id();
+    bool decode_reachable() const {
+        const auto& writers = decode_ring_.by_id();
         return std::any_of(writers.begin(), writers.end(), [this](const EndpointState* s) {
             const bool down = s->ejected && s->was_unreachable &&
                               (now_ < s->ejected_until || s->in_flight_total() >= s->concurrency_limit);
@@ -1070,7 +1081,7 @@
         }
         if (r.a.resumed) return false;
         // What it takes by itself is no queue: guards against long prompts refused whatever the load.
-        const Millis pace = std::min(low_quantile_[reading].value(), completion_time(reading, r).value());
+        const Millis pace = std::min(low_quantile_[prefill].value(), completion_time(prefill, r).value());
         const Millis room = std::max(latency_objective(r) - pace * fresh(r),
                                      kMinWaitObjectiveFraction * latency_objective(r));
         const Millis queue = expected_wait(r) - pace * std::min(fresh(r), fresh_);
@@ -1091,7 +1102,7 @@
         return 0.2 + std::max(0.0, r.a.prompt_tokens - r.a.prefix_tokens) / 1000;
     }
     CompletionTime& completion_time(Stage stage, const Request& r) {
-        return completion_times_[stage][stage == reading ? 0 : cls(r)];
+        return completion_times_[stage][stage == prefill ? 0 : cls(r)];
     }
     Millis expected(const Request& r, Stage stage) { return completion_time(stage, r).value() * r.units; }
     std::size_t cls(const Request& r) const { return static_cast<std::size_t>(r.a.cls); }
@@ -1121,13 +1132,13 @@
     double max_priority_weight_ = 1e-9;
     std::map<EndpointId, EndpointState> endpoints_;
     // The healthy ones.
-    std::array<HashRing<EndpointState>, 3> by_role_;
-    HashRing<EndpointState> writers_;  // those that write, mixed ones too
-    std::map<std::uint64_t, std::vector<EndpointState*>> writers_of_cell_;
-    std::vector<EndpointState*> reader_candidates_, mixed_candidates_,
-        writer_candidates_;              // of the choice under way
-    bool scan_all_ = false;              // a window had none that can be used
-    std::set<EndpointId> abandoned_at_;  // servers with abandoned reads
+    std::array<HashRing<EndpointState>, 3> healthy_by_role_;
+    HashRing<EndpointState> decode_ring_;  // those that write, mixed ones too
+    std::map<std::uint64_t, std::vector<EndpointState*>> decode_endpoints_by_cell_;
+    std::vector<EndpointState*> prefill_candidates_, mixed_candidates_,
+        decode_candidates_;                                   // of the choice under way
+    bool scan_all_ = false;                                   // a window had none that can be used
+    std::set<EndpointId> endpoints_with_abandoned_prefills_;  // servers with abandoned reads
     Millis surveyed_ = 0, survey_due_ = 0;
     std::map<std::uint64_t, Cell> cells_;
     std::map<RequestId, Request> requests_;
--- a/src/router/tuning.h
+++ b/src/router/tuning.h
@@ -27,9 +27,10 @@
 constexpr double kTypicalQuantiles = 4;   // a usual time is so many times it at most
 constexpr double kTimeoutQuantiles = 20;  // a time-out is so many times that quantile
 constexpr std::array<double, 2> kMinTimeoutObjectiveFraction{
-    2.5, 0.4};                     // and not under this part of the aim; reads, waits
-constexpr double kCellPrior = 3;   // reads in a cell that outweigh what is usual in its zone
-constexpr double kPullMost = 1.2;  // what a cell's writers add to its readers' pull at most, or take from it
+    2.5, 0.4};                            // and not under this part of the aim; reads, waits
+constexpr double kCellPriorPrefills = 3;  // reads in a cell that outweigh what is usual in its zone
+constexpr double kMaxCellWeightChange =
+    1.2;  // what a cell's writers add to its readers' pull at most, or take from it
 constexpr double kMinWaitObjectiveFraction =
     0.3;                                   // part of the aim that may be waited however long the own work is
 constexpr double kNoSignalWaitFactor = 2;  // times by which a wait foreseen from few visits may be too long
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -99,7 +99,7 @@
         for (std::size_t i = 0; i < flavors.size(); ++i) {
             const Role role =
                 choice<Role>("FamilyInfo.RoleByKind", roles[i],
-                             {{"read", Role::read}, {"write", Role::write}, {"both", Role::both}});
+                             {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}});
             s.kinds.push_back({role, item(info, "FamilyInfo.KindMemoryTokens", i, 0)});
             named.kinds[flavors[i]] = static_cast<int>(i);
         }
@@ -118,7 +118,7 @@
     s.health_checks = info.yes("Ceilings.Probes");
     s.slot_reservation = info.yes("FamilyInfo.Ahead");
     s.retry_after = info.yes("Ceilings.RetryAfter");
-    s.local_read = info.yes("FamilyInfo.LocalRead");
+    s.local_prefill = info.yes("FamilyInfo.LocalRead");
     s.resume = info.yes("FamilyInfo.Resume");
     s.max_retry_after = info.num("Ceilings.MaxRetryAfterMs", 0);
     s.dial_timeout = info.num("Ceilings.DialTimeoutMs", 0);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -146,9 +146,9 @@
         names(list, "kind", p_.kinds);
         for (const auto& e : list.children("kind")) {
             const std::string role = e.text("role");
-            p_.module.kinds.push_back({role == "read"    ? Role::read
-                                       : role == "write" ? Role::write
-                                                         : Role::both,
+            p_.module.kinds.push_back({role == "read"    ? Role::prefill
+                                       : role == "write" ? Role::decode
+                                                         : Role::mixed,
                                        e.number("memory-tokens")});
             if (p_.module.kinds.back().memory_tokens < 1) fault(e, "memory-tokens should be 1 or more");
         }
@@ -178,7 +178,7 @@
         s.zones = static_cast<int>(p_.zones.size());
         if (e) {
             s.gateways = e.whole("gateways"), s.max_attempts = e.whole("max-attempts");
-            s.cancel = e.yes("cancel"), s.local_read = e.yes("local-read");
+            s.cancel = e.yes("cancel"), s.local_prefill = e.yes("local-read");
             s.retry_after = e.yes("retry-after"), s.max_retry_after = e.number("max-retry-after-ms");
             s.dial_timeout = e.number("dial-timeout-ms");
             s.over_quota_weight = e.number("over-share-worth");
--- a/tests/control/run_time_invariants_test.cpp
+++ b/tests/control/run_time_invariants_test.cpp
@@ -66,12 +66,12 @@
         return entry;
     }
     void write(Audit::Handle request, int attempt, Millis now, int zone = 0) {
-        audit.sent(request, attempt, server(7, zone), Role::write, now);
+        audit.sent(request, attempt, server(7, zone), Role::decode, now);
     }
 };
 
 TEST_F(AuditTest, AnOrdinaryRequestBreaksNothing) {
-    audit.sent(0, 0, server(1), Role::read, 100);
+    audit.sent(0, 0, server(1), Role::prefill, 100);
     audit.ended(0, 0, false);
     write(0, 1, 150);
     audit.ended(0, 1, true);
@@ -114,7 +114,7 @@
 }
 
 TEST_F(AuditTest, OneAttemptIsOutAtATime) {
-    audit.sent(0, 0, server(1), Role::read, 100);
+    audit.sent(0, 0, server(1), Role::prefill, 100);
     write(0, 1, 150);
     EXPECT_EQ(broken, (std::vector<Rule>{Rule::two_out}));
 }
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -106,7 +106,7 @@
             }
             const auto& r = std::get<api::ChatRequest>(parsed);
             need(!r.turns.empty() && r.prompt_tokens > 0, "what is taken has turns");
-            const auto wanted = dialect->write(r, {"req_1.0", "", "c", 0}, "");
+            const auto wanted = dialect->decode_request(r, {"req_1.0", "", "c", 0}, "");
             std::string why;
             const auto sent = api::parse_json(wanted.body, why);
             need(sent.is_object() && sent["messages"].size() == r.turns.size(),
@@ -160,7 +160,7 @@
     Settings s;
     s.classes = {ClassSettings{}};
     s.classes[0].latency_objective = 500, s.classes[0].deadline = 3000;
-    s.kinds = {{Role::read, 1000}, {Role::write, 1000}};
+    s.kinds = {{Role::prefill, 1000}, {Role::decode, 1000}};
     std::istringstream in{std::string(bytes)};
     try {
         state::replay(in, s);
@@ -258,7 +258,7 @@
 
 void attempt(std::string_view bytes) {
     using Kind = platform::UpstreamExchange::Kind;
-    for (const auto kind : {Kind::read, Kind::write, Kind::call}) {
+    for (const auto kind : {Kind::prefill, Kind::decode, Kind::lease_call}) {
         const std::string whole = attempt_trace(bytes, bytes.size() + 1, kind);
         need(attempt_trace(bytes, 1, kind) == whole, "the same end however the bytes are cut");
     }
--- a/tests/gateway/upstream_exchange_test.cpp
+++ b/tests/gateway/upstream_exchange_test.cpp
@@ -200,7 +200,7 @@
     const auto d = engine::vllm();
     api::ChatRequest r;
     r.model = "m", r.turns = {{"system", "s"}, {"user", "u"}}, r.max_tokens = 7, r.stop = {"x"};
-    const auto read = d->read(r, {"id.0", "t/k", "chat", 0});
+    const auto read = d->prefill_request(r, {"id.0", "t/k", "chat", 0});
     auto j = api::Json::parse(read.body);
     EXPECT_EQ(j["max_tokens"], 1);
     EXPECT_EQ(j["stream"], false);
@@ -208,13 +208,14 @@
     EXPECT_EQ(*http::find(read.headers, "x-request-id"), "id.0");
     EXPECT_EQ(*http::find(read.headers, "idempotency-key"), "t/k");
     const auto v =
-        d->judge_read(200, "{\"kv_transfer_params\":{\"do_remote_prefill\":true,\"remote_port\":9}}");
-    j = api::Json::parse(d->write(r, {"id.1", "", "", 0}, v.parameters).body);
+        d->judge_prefill(200, "{\"kv_transfer_params\":{\"do_remote_prefill\":true,\"remote_port\":9}}");
+    j = api::Json::parse(d->decode_request(r, {"id.1", "", "", 0}, v.parameters).body);
     EXPECT_EQ(j["max_tokens"], 7);
     EXPECT_EQ(j["stream_options"]["include_usage"], true);
     EXPECT_EQ(j["kv_transfer_params"]["remote_port"], 9);
     EXPECT_EQ(j["stop"][0], "x");
-    EXPECT_FALSE(api::Json::parse(d->write(r, {"id.1", "", "", 0}, "").body).contains("kv_transfer_params"));
+    EXPECT_FALSE(
+        api::Json::parse(d->decode_request(r, {"id.1", "", "", 0}, "").body).contains("kv_transfer_params"));
 }
 
 TEST(Vllm, LoadReports) {
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -24,7 +24,7 @@
     EXPECT_EQ(s.classes[1].idempotency, Idempotency::unsafe);
     EXPECT_EQ(c.named.classes.at("bulk job"), 1);
     EXPECT_EQ(s.own_zone, 1);
-    EXPECT_EQ(s.kinds[1].role, Role::write);
+    EXPECT_EQ(s.kinds[1].role, Role::decode);
     EXPECT_TRUE(s.resume && s.slot_reservation && s.cancel);
     EXPECT_EQ(c.named.idle_close, 15000);
 }
@@ -281,32 +281,32 @@
         bool reusable;
     };
     const Case cases[] = {
-        {Kind::read, "HTTP/1.1 202 Accepted\r\ncontent-length: 23\r\n\r\n{\"cached_tokens\": 4096}",
+        {Kind::prefill, "HTTP/1.1 202 Accepted\r\ncontent-length: 23\r\n\r\n{\"cached_tokens\": 4096}",
          AttemptResult::prefill_done, 4096, true},
-        {Kind::read, "HTTP/1.1 202 Accepted\r\ncontent-length: 4\r\n\r\nnone", AttemptResult::prefill_done, 0,
-         true},
-        {Kind::write, kStream + chunked("data: a\n\n") + chunked("data: [DONE]\n\n") + "0\r\n\r\n",
+        {Kind::prefill, "HTTP/1.1 202 Accepted\r\ncontent-length: 4\r\n\r\nnone", AttemptResult::prefill_done,
+         0, true},
+        {Kind::decode, kStream + chunked("data: a\n\n") + chunked("data: [DONE]\n\n") + "0\r\n\r\n",
          AttemptResult::served, 0, true},
-        {Kind::write,
+        {Kind::decode,
          "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n\r\n" + kStream + chunked("data: a\n\n") +
              "0\r\n\r\n",
          AttemptResult::served, 0, true},
-        {Kind::write,
+        {Kind::decode,
          kStream + chunked("data: a\n\n") + "0\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n",
          AttemptResult::served, 0, false},
-        {Kind::write, "HTTP/1.1 503 no\r\n" + away, AttemptResult::rejected, 0, true},
-        {Kind::read, "HTTP/1.1 504 no\r\n" + away, AttemptResult::rejected, 0, true},
-        {Kind::write, "HTTP/1.1 410 Gone\r\n" + away, AttemptResult::rejected, 1, true},
-        {Kind::write, "HTTP/1.1 503 no\r\ncontent-length: 0\r\n\r\n", AttemptResult::error, 0, true},
-        {Kind::write, "HTTP/1.1 500 no\r\ncontent-length: 0\r\n\r\n", AttemptResult::error, 0, true},
-        {Kind::write, "noise and more noise\r\n\r\n", AttemptResult::error, 0, false},
-        {Kind::write, "HTTP/1.1 200 OK\r\nx: " + std::string(40000, 'x'), AttemptResult::error, 0, false},
-        {Kind::write, kStream + "zz\r\n", AttemptResult::error, 0, false},
-        {Kind::write, kStream + "c0000000\r\nxxxx", AttemptResult::error, 0, false},
-        {Kind::write, kStream + chunked("data: half"), AttemptResult::error, 0, false},  // and then "zz"
-        {Kind::write, kStream + chunked("data: a\n\n") + "c0000000\r\nxxxx", AttemptResult::reset, 0, false},
-        {Kind::write, kStream + chunked("data: a\n\n") + "2\r\nabcdef\r\n", AttemptResult::reset, 0, false},
-        {Kind::call, "HTTP/1.1 204 No Content\r\n\r\n", AttemptResult::served, 0, true},
+        {Kind::decode, "HTTP/1.1 503 no\r\n" + away, AttemptResult::rejected, 0, true},
+        {Kind::prefill, "HTTP/1.1 504 no\r\n" + away, AttemptResult::rejected, 0, true},
+        {Kind::decode, "HTTP/1.1 410 Gone\r\n" + away, AttemptResult::rejected, 1, true},
+        {Kind::decode, "HTTP/1.1 503 no\r\ncontent-length: 0\r\n\r\n", AttemptResult::error, 0, true},
+        {Kind::decode, "HTTP/1.1 500 no\r\ncontent-length: 0\r\n\r\n", AttemptResult::error, 0, true},
+        {Kind::decode, "noise and more noise\r\n\r\n", AttemptResult::error, 0, false},
+        {Kind::decode, "HTTP/1.1 200 OK\r\nx: " + std::string(40000, 'x'), AttemptResult::error, 0, false},
+        {Kind::decode, kStream + "zz\r\n", AttemptResult::error, 0, false},
+        {Kind::decode, kStream + "c0000000\r\nxxxx", AttemptResult::error, 0, false},
+        {Kind::decode, kStream + chunked("data: half"), AttemptResult::error, 0, false},  // and then "zz"
+        {Kind::decode, kStream + chunked("data: a\n\n") + "c0000000\r\nxxxx", AttemptResult::reset, 0, false},
+        {Kind::decode, kStream + chunked("data: a\n\n") + "2\r\nabcdef\r\n", AttemptResult::reset, 0, false},
+        {Kind::lease_call, "HTTP/1.1 204 No Content\r\n\r\n", AttemptResult::served, 0, true},
     };
     for (const auto& c : cases) {
         for (const std::size_t piece : {std::size_t{1}, std::size_t{2}, std::size_t{7}, std::size_t{50000}}) {
@@ -326,7 +326,7 @@
     for (std::size_t piece = 1; piece < 30; ++piece) {
         std::string bytes = kStream;
         for (std::size_t i = 0; i < events.size(); i += 5) bytes += chunked(events.substr(i, 5));
-        Told t(Kind::write);
+        Told t(Kind::decode);
         t.feed(bytes, piece);
         EXPECT_EQ(t.events, events);
         EXPECT_FALSE(t.end);
@@ -334,7 +334,7 @@
         ASSERT_TRUE(t.end);
         EXPECT_EQ(t.end->result, AttemptResult::served);
     }
-    Told half(Kind::write);
+    Told half(Kind::decode);
     half.feed(kStream + chunked("data: {"), 100);
     EXPECT_EQ(half.events, "");
     half.attempt->ended();
@@ -343,19 +343,19 @@
 }
 
 TEST(PlatformAttempt, WhatBrokeBeforeTheLastByteNeverRan) {
-    platform::UpstreamExchange a(Kind::write);
+    platform::UpstreamExchange a(Kind::decode);
     AttemptResult r = AttemptResult::served;
     a.on_over = [&](const AttemptOutcome& e) { r = e.result; };
     a.sent();
     a.ended();
     EXPECT_EQ(r, AttemptResult::unreachable);
-    platform::UpstreamExchange b(Kind::write);
+    platform::UpstreamExchange b(Kind::decode);
     b.on_over = [&](const AttemptOutcome& e) { r = e.result; };
     b.sent();
     b.handed();
     b.ended();
     EXPECT_EQ(r, AttemptResult::reset);
-    platform::UpstreamExchange c(Kind::write);
+    platform::UpstreamExchange c(Kind::decode);
     c.on_over = [&](const AttemptOutcome& e) { r = e.result; };
     c.give_up(AttemptResult::timed_out, "");
     EXPECT_EQ(r, AttemptResult::unreachable) << "no connection came up in its time";
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -73,7 +73,8 @@
         loop.run();
     }
     std::shared_ptr<platform::UpstreamExchange> start(std::optional<platform::AttemptOutcome>& end) {
-        auto call = std::make_shared<platform::UpstreamExchange>(platform::UpstreamExchange::Kind::call);
+        auto call =
+            std::make_shared<platform::UpstreamExchange>(platform::UpstreamExchange::Kind::lease_call);
         call->on_over = [&end](const platform::AttemptOutcome& e) { end = e; };
         upstream.start(server.address(), "DELETE /x HTTP/1.1\r\n\r\n", call);
         return call;
--- a/tests/router/guards_test.cpp
+++ b/tests/router/guards_test.cpp
@@ -708,7 +708,7 @@
     s.classes.clear();
     EXPECT_NE(why(s).find("classes"), std::string::npos);
     s = plain_settings();
-    s.kinds = {{Role::read, 1000}};
+    s.kinds = {{Role::prefill, 1000}};
     EXPECT_NE(why(s).find("kinds"), std::string::npos);
     s = plain_settings();
     s.classes[1].latency_objective = 0;
--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -118,7 +118,7 @@
     Settings s = plain_settings();
     s.second_copies = dice(2);
     s.health_checks = dice(2);
-    s.local_read = dice(2);
+    s.local_prefill = dice(2);
     s.slot_reservation = dice(2);
     s.cancel = dice(4) > 0;
     s.resume = dice(2);
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -95,7 +95,7 @@
                 breach(now, "twice: sent to another cell");
         }
         Try t;
-        t.server = a->endpoint, t.sent = now, t.reader = role(a->endpoint) == Role::read;
+        t.server = a->endpoint, t.sent = now, t.reader = role(a->endpoint) == Role::prefill;
         r.tries.push_back(t);
         const double budget =
             s_.overload_factor * s_.initial_capacity * capacity_per_s * s_.overload_window / 1000;
@@ -183,7 +183,7 @@
     c.latency_objective = 1000, c.deadline = 5000, c.priority_weight = 3, c.inter_token_objective = 60;
     s.classes = {c, c};
     s.classes[1].priority_weight = 1;
-    s.kinds = {{Role::read, 100000}, {Role::write, 100000}, {Role::both, 100000}};
+    s.kinds = {{Role::prefill, 100000}, {Role::decode, 100000}, {Role::mixed, 100000}};
     s.zones = 2;
     s.gateways = 2;
     s.max_attempts = 6;
--- a/tests/state/state_test.cpp
+++ b/tests/state/state_test.cpp
@@ -83,7 +83,7 @@
 Settings plain() {
     Settings s;
     s.classes = {{.latency_objective = 500, .deadline = 3000}};
-    s.kinds = {{Role::read, 1000}, {Role::write, 1000}};
+    s.kinds = {{Role::prefill, 1000}, {Role::decode, 1000}};
     s.max_attempts = 4, s.cancel = true;
     return s;
 }
