--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -66,8 +66,8 @@
     for (Millis at = 10; rate > 0 && at < seconds * kSecond; at += kSecond / rate) {
         Arrival a;
         a.request = std::to_string(++count), a.deadline = at + 6000;
-        a.session = random() % 5000 + 1, a.prefix = random() % 40 + 1;
-        a.prompt_tokens = 2000, a.prefix_tokens = 1500, a.max_tokens = 400;
+        a.session = random() % 5000 + 1, a.shared_prefix = random() % 40 + 1;
+        a.prompt_tokens = 2000, a.shared_prefix_tokens = 1500, a.max_tokens = 400;
         events.emplace(at, a);
     }
     Played played;
--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -98,11 +98,11 @@
     int cls = 0;
     int tenant = 0;
     std::uint64_t session = 0;
-    std::uint64_t prefix = 0;  // shared beginning of the prompt, 0 for none
-    Millis deadline = 0;       // clock time at which the client leaves
-    Millis length_hint = -1;   // guessed answer length as time at the class's token aim; below 0: none
+    std::uint64_t shared_prefix = 0;  // shared beginning of the prompt, 0 for none
+    Millis deadline = 0;              // clock time at which the client leaves
+    Millis length_hint = -1;          // guessed answer length as time at the class's token aim; below 0: none
     double prompt_tokens = 0;
-    double prefix_tokens = 0;
+    double shared_prefix_tokens = 0;
     double max_tokens = 0;
     bool client_retry = false;  // a client's repeat, where clients mark it
     bool resumed = false;       // came again after its stream broke
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -99,8 +99,8 @@
     Arrival a;
     a.request = request.id;
     a.cls = request.cls, a.tenant = request.tenant;
-    a.session = request.chat.session, a.prefix = request.chat.prefix;
-    a.prompt_tokens = request.chat.prompt_tokens, a.prefix_tokens = request.chat.prefix_tokens;
+    a.session = request.chat.session, a.shared_prefix = request.chat.prefix;
+    a.prompt_tokens = request.chat.prompt_tokens, a.shared_prefix_tokens = request.chat.prefix_tokens;
     a.max_tokens = static_cast<double>(request.chat.max_tokens);
     a.client_retry = request.client_retry;
     a.deadline = asked + cls.deadline;
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -37,11 +37,11 @@
         while (!name.empty() && name.front() == ' ') name.remove_prefix(1);
         if (name == "prefix") {
             if (value.empty()) return false;
-            a.prefix = hash(value);
+            a.shared_prefix = hash(value);
             continue;
         }
         double* to = name == "prompt_len"   ? &a.prompt_tokens
-                     : name == "prefix_len" ? &a.prefix_tokens
+                     : name == "prefix_len" ? &a.shared_prefix_tokens
                      : name == "max_out"    ? &a.max_tokens
                                             : nullptr;
         if (!to) continue;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -89,10 +89,10 @@
         by_serial_[r.serial] = a.request;
         arrivals_.add(now_);
         const double seen = static_cast<double>(std::min<std::uint64_t>(serial_, 30));
-        if (a.prefix) ++openings_[a.prefix];
-        ++seen_;
-        prompt_ += (a.prompt_tokens - prompt_) / seen;
-        fresh_ += (fresh(r) - fresh_) / seen;
+        if (a.shared_prefix) ++shared_prefix_arrivals_[a.shared_prefix];
+        ++arrivals_seen_;
+        typical_prompt_tokens_ += (a.prompt_tokens - typical_prompt_tokens_) / seen;
+        typical_uncached_kilotokens_ += (uncached_kilotokens(r) - typical_uncached_kilotokens_) / seen;
         if (a.deadline <= now_) return end(r, EndCause::deadline);
         if (!decode_reachable()) return end(r, EndCause::no_decode_endpoint);
         if (should_shed(r)) return end(r, EndCause::shed_load);
@@ -253,17 +253,18 @@
     }
 
     // What a request's reads are kept by: its own session, or the opening it shares; 0 for neither.
-    std::uint64_t home_key(const Request& r) const {
+    std::uint64_t affinity_key(const Request& r) const {
         // Not the opening where visits are rare and a session's own text is the more: it has its own home
         // then, as no queue would show a hot opening's jam.
-        const bool own = own_home(r);
-        return own ? r.a.session : r.a.prefix;
+        const bool own = has_session_affinity(r);
+        return own ? r.a.session : r.a.shared_prefix;
     }
-    bool own_home(const Request& r) const {
-        return !r.a.prefix || (low_sample_rate() && r.a.session && 2 * r.a.prefix_tokens < r.a.prompt_tokens);
+    bool has_session_affinity(const Request& r) const {
+        return !r.a.shared_prefix ||
+               (low_sample_rate() && r.a.session && 2 * r.a.shared_prefix_tokens < r.a.prompt_tokens);
     }
     std::uint64_t prefill_window_key(const Request& r) const {
-        const std::uint64_t key = home_key(r);
+        const std::uint64_t key = affinity_key(r);
         return key ? key : seed_ + r.serial;
     }
     std::uint64_t decode_window_key(const Request& r) const { return seed_ + r.serial; }
@@ -320,7 +321,7 @@
         r.units = s.in_flight[decode_queued];  // this one counted
         if (stage == prefill) {
             s.reserved_tokens += r.a.prompt_tokens;
-            s.queued_kilotokens += fresh(r);
+            s.queued_kilotokens += uncached_kilotokens(r);
             r.units = s.queued_kilotokens;
         }
         s.send_rate.add(now_);
@@ -368,7 +369,7 @@
         --s.in_flight[r.stage];
         if (r.stage == prefill) {
             s.reserved_tokens -= r.a.prompt_tokens;
-            s.queued_kilotokens -= fresh(r);
+            s.queued_kilotokens -= uncached_kilotokens(r);
         }
     }
 
@@ -451,11 +452,11 @@
         if (fit.empty()) return nullptr;
         const std::vector<double> load = prefill_loads(fit);
         const std::vector<EndpointState*> near = prefill_within_load_margin(r, fit, load);
-        if (const std::uint64_t key = home_key(r)) {
+        if (const std::uint64_t key = affinity_key(r)) {
             // Of a window's readers those that can be used stand for all.
             const std::size_t usable_in_all =
                 readers.empty() ? fit.size() : fit.size() * ring(Role::prefill).size() / readers.size();
-            return home_among(r, key, near, usable_in_all);
+            return choose_by_affinity(r, key, near, usable_in_all);
         }
         std::vector<std::pair<std::pair<double, double>, EndpointState*>> last;  // it has no home: the least
         for (std::size_t i = 0; i < fit.size(); ++i) {
@@ -517,8 +518,8 @@
         // A prompt read away from its home is read in full. So the margin grows with what home saves:
         // otherwise the first jam scatters the beginnings, each read gets longer, and the jam stays.
         const double saves =
-            std::clamp(r.a.prompt_tokens / (1000 * fresh(r)), kMinLoadMargin, kMaxLoadMargin);
-        const double prompt = prompt_ / memory_capacity(*fit[0]);
+            std::clamp(r.a.prompt_tokens / (1000 * uncached_kilotokens(r)), kMinLoadMargin, kMaxLoadMargin);
+        const double prompt = typical_prompt_tokens_ / memory_capacity(*fit[0]);
         // The own zone is left sooner: it may have few readers, and there its gateways' reads would jam.
         std::vector<EndpointState*> near;
         bool own_zone = false;
@@ -549,13 +550,15 @@
 
     // Sessions that share a beginning share its home and meet their texts there. By the list, as a next turn
     // comes elsewhere: rendezvous weighted by pull.
-    EndpointState* home_among(const Request& r, std::uint64_t key, const std::vector<EndpointState*>& near,
-                              std::size_t usable_in_all) {
+    EndpointState* choose_by_affinity(const Request& r, std::uint64_t key,
+                                      const std::vector<EndpointState*>& near, std::size_t usable_in_all) {
         std::vector<std::pair<double, EndpointState*>> by;
         for (EndpointState* s : near)
             by.push_back({-std::log(hash_fraction(key, s->endpoint.id) + 1e-18) / prefill_weight(*s), s});
         const std::size_t homes =
-            own_home(r) ? 1 : std::min(by.size(), homes_of_opening(r.a.prefix, usable_in_all));
+            has_session_affinity(r)
+                ? 1
+                : std::min(by.size(), affinity_replicas(r.a.shared_prefix, usable_in_all));
         const auto rank =
             static_cast<std::size_t>(hash_fraction(r.a.session, 1) * static_cast<double>(homes));
         const auto at = by.begin() + static_cast<std::ptrdiff_t>(rank);
@@ -566,12 +569,12 @@
     // How many readers share a beginning. Guards against a hot beginning whose home jams, as where visits are
     // rare no own queue shows it: none carries more than so many times a reader's mean of one beginning. A
     // session keeps its rank among them. May do harm by texts read anew at each of them.
-    std::size_t homes_of_opening(std::uint64_t prefix, std::size_t readers) const {
+    std::size_t affinity_replicas(std::uint64_t prefix, std::size_t readers) const {
         if (!low_sample_rate()) return 1;
-        const auto seen = openings_.find(prefix);
-        if (seen == openings_.end()) return 1;
-        const double part = (seen->second - 1) / (kFewSeen + seen_);
-        return 1 + static_cast<std::size_t>(part * static_cast<double>(readers) / kHomeLoad);
+        const auto seen = shared_prefix_arrivals_.find(prefix);
+        if (seen == shared_prefix_arrivals_.end()) return 1;
+        const double part = (seen->second - 1) / (kSharedPrefixPriorArrivals + arrivals_seen_);
+        return 1 + static_cast<std::size_t>(part * static_cast<double>(readers) / kAffinityReplicaLoad);
     }
 
     EndpointState* choose_decode(const Request& r) {
@@ -863,9 +866,9 @@
         }
         survey_in_time();
         const double keep = std::exp(-dt / kCompletionSpan / 10);
-        seen_ *= keep;
-        for (auto& [prefix, count] : openings_) count *= keep;
-        std::erase_if(openings_, [](const auto& b) { return b.second < 0.05; });
+        arrivals_seen_ *= keep;
+        for (auto& [prefix, count] : shared_prefix_arrivals_) count *= keep;
+        std::erase_if(shared_prefix_arrivals_, [](const auto& b) { return b.second < 0.05; });
         for (auto& stage : completion_times_) {
             for (auto& u : stage)
                 u.decay(std::exp(-dt / kCompletionSpan), std::exp(-dt / kCompletionSpan / 10));
@@ -1040,7 +1043,7 @@
         if (to_read + ahead <= 0) return 0;  // nothing is ahead of it, whatever it takes
         const Millis write = typical_time(decode_queued, r);
         // A queue is as long for a long prompt as for a usual one.
-        const double own = std::min(fresh(r), fresh_);
+        const double own = std::min(uncached_kilotokens(r), typical_uncached_kilotokens_);
         const Millis read = r.state ? 0 : typical_time(prefill, r) * (to_read + own);
         return std::max(read + write, write * (1 + ahead / std::max(1.0, writers)));
     }
@@ -1082,9 +1085,10 @@
         if (r.a.resumed) return false;
         // What it takes by itself is no queue: guards against long prompts refused whatever the load.
         const Millis pace = std::min(low_quantile_[prefill].value(), completion_time(prefill, r).value());
-        const Millis room = std::max(latency_objective(r) - pace * fresh(r),
+        const Millis room = std::max(latency_objective(r) - pace * uncached_kilotokens(r),
                                      kMinWaitObjectiveFraction * latency_objective(r));
-        const Millis queue = expected_wait(r) - pace * std::min(fresh(r), fresh_);
+        const Millis queue =
+            expected_wait(r) - pace * std::min(uncached_kilotokens(r), typical_uncached_kilotokens_);
         // Guards against a gateway that met a jammed server and refuses while others idle: what it foresees
         // from few visits may be double the truth. May do harm by late answers where all are overloaded.
         return queue > (no_load_signal() ? kNoSignalWaitFactor : 1) * room * (0.3 + 0.5 * value);
@@ -1098,8 +1102,8 @@
     // ---- small helpers --------------------------------------------------------------------------------
 
     // Thousands of tokens that a read must work through: all but the shared beginning, and a little.
-    static double fresh(const Request& r) {
-        return 0.2 + std::max(0.0, r.a.prompt_tokens - r.a.prefix_tokens) / 1000;
+    static double uncached_kilotokens(const Request& r) {
+        return 0.2 + std::max(0.0, r.a.prompt_tokens - r.a.shared_prefix_tokens) / 1000;
     }
     CompletionTime& completion_time(Stage stage, const Request& r) {
         return completion_times_[stage][stage == prefill ? 0 : cls(r)];
@@ -1146,10 +1150,11 @@
     std::uint64_t serial_ = 0;
     double retries_ = 0;
     DecayingRate arrivals_{kRateSpan};
-    bool has_load_reports_ = false;             // servers tell of their load
-    std::map<std::uint64_t, double> openings_;  // arrivals by shared beginning, fading
-    double seen_ = 0;                           // arrivals in all, fading
-    double prompt_ = 0, fresh_ = 0;             // usual length, and usual thousands of tokens to read of it
+    bool has_load_reports_ = false;                           // servers tell of their load
+    std::map<std::uint64_t, double> shared_prefix_arrivals_;  // arrivals by shared beginning, fading
+    double arrivals_seen_ = 0;                                // arrivals in all, fading
+    double typical_prompt_tokens_ = 0,
+           typical_uncached_kilotokens_ = 0;  // usual length, and usual thousands of tokens to read of it
     std::array<std::vector<CompletionTime>, 3> completion_times_;
     std::array<QuantileEstimate, 2> low_quantile_{QuantileEstimate(kLowQuantile, kQuantileStep, 1),
                                                   QuantileEstimate(kLowQuantile, kQuantileStep, 1)};
--- a/src/router/tuning.h
+++ b/src/router/tuning.h
@@ -34,8 +34,10 @@
 constexpr double kMinWaitObjectiveFraction =
     0.3;                                   // part of the aim that may be waited however long the own work is
 constexpr double kNoSignalWaitFactor = 2;  // times by which a wait foreseen from few visits may be too long
-constexpr double kHomeLoad = 1.5;  // times the mean of a reader that one of a beginning's homes carries of it
-constexpr double kFewSeen = 10;    // arrivals that stand for what is not known of a beginning yet
+constexpr double kAffinityReplicaLoad =
+    1.5;  // times the mean of a reader that one of a beginning's homes carries of it
+constexpr double kSharedPrefixPriorArrivals =
+    10;  // arrivals that stand for what is not known of a beginning yet
 constexpr double kUnknownZoneObjectiveFraction =
     0.1;  // part of the aim that reads take at most in a zone nothing is known of
 constexpr double kCalmObjectiveFraction = 0.3;  // part of the aim that is quick anyway
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -185,9 +185,9 @@
         a.deadline = number(part(f, 6));
         const auto bits = whole<std::uint64_t>(part(f, 12));
         a.length_hint = bits & 1 ? number(part(f, 7), -1) : -1;
-        a.prefix = whole<std::uint64_t>(part(f, 8));
+        a.shared_prefix = whole<std::uint64_t>(part(f, 8));
         a.prompt_tokens = number(part(f, 9));
-        a.prefix_tokens = number(part(f, 10));
+        a.shared_prefix_tokens = number(part(f, 10));
         a.max_tokens = number(part(f, 11));
         a.client_retry = bits & 2;
         a.resumed = bits & 16;
--- a/src/state/decision_journal.cpp
+++ b/src/state/decision_journal.cpp
@@ -20,10 +20,12 @@
     return std::visit(
         Overloaded{
             [](const Arrival& a) -> Json {
-                return {{"e", "arrival"},       {"r", a.request},     {"c", a.cls},
-                        {"g", a.tenant},        {"s", a.session},     {"x", a.prefix},
-                        {"d", a.deadline},      {"h", a.length_hint}, {"p", a.prompt_tokens},
-                        {"q", a.prefix_tokens}, {"m", a.max_tokens},  {"again", a.client_retry},
+                return {{"e", "arrival"},       {"r", a.request},
+                        {"c", a.cls},           {"g", a.tenant},
+                        {"s", a.session},       {"x", a.shared_prefix},
+                        {"d", a.deadline},      {"h", a.length_hint},
+                        {"p", a.prompt_tokens}, {"q", a.shared_prefix_tokens},
+                        {"m", a.max_tokens},    {"again", a.client_retry},
                         {"back", a.resumed}};
             },
             [](const AttemptEnded& o) -> Json {
@@ -100,8 +102,8 @@
         Arrival a;
         a.request = j.at("r"), a.cls = whole<int>(j.at("c"));
         a.tenant = whole<int>(j.at("g")), a.session = whole<std::uint64_t>(j.at("s"));
-        a.prefix = whole<std::uint64_t>(j.at("x")), a.deadline = j.at("d"), a.length_hint = j.at("h");
-        a.prompt_tokens = j.at("p"), a.prefix_tokens = j.at("q"), a.max_tokens = j.at("m");
+        a.shared_prefix = whole<std::uint64_t>(j.at("x")), a.deadline = j.at("d"), a.length_hint = j.at("h");
+        a.prompt_tokens = j.at("p"), a.shared_prefix_tokens = j.at("q"), a.max_tokens = j.at("m");
         a.client_retry = j.at("again"), a.resumed = j.at("back");
         return a;
     }
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -181,10 +181,10 @@
     EXPECT_EQ(in.txn, "9b1f");
     EXPECT_EQ(in.arrival.deadline, 4800);
     EXPECT_EQ(in.arrival.prompt_tokens, 5120);
-    EXPECT_EQ(in.arrival.prefix_tokens, 2048);
+    EXPECT_EQ(in.arrival.shared_prefix_tokens, 2048);
     EXPECT_EQ(in.arrival.max_tokens, 800);
     EXPECT_EQ(in.arrival.length_hint, 12);
-    EXPECT_NE(in.arrival.prefix, 0u);
+    EXPECT_NE(in.arrival.shared_prefix, 0u);
     EXPECT_NE(in.arrival.session, 0u);
     EXPECT_TRUE(in.arrival.resumed);
     EXPECT_FALSE(in.arrival.client_retry);
--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -182,7 +182,7 @@
             Arrival a = arrival("r" + std::to_string(next++), now, dice(8000));
             a.cls = dice(2), a.tenant = dice(2);
             a.session = static_cast<std::uint64_t>(dice(20));
-            a.prefix = static_cast<std::uint64_t>(dice(4));
+            a.shared_prefix = static_cast<std::uint64_t>(dice(4));
             a.deadline = now + dice(6000) + 20;
             a.resumed = dice(10) == 0;
             open[a.request] = a;
--- a/tests/router/large_fleet_test.cpp
+++ b/tests/router/large_fleet_test.cpp
@@ -316,14 +316,14 @@
             const RequestId id = "r" + std::to_string(i);
             Arrival a = arrival(id, now, 3000);
             a.session = gateway * 1000 + i;
-            a.prefix = i % 5 < 2 ? hot : 100 + (gateway * 7 + i) % 40;
-            a.prefix_tokens = 2600;
+            a.shared_prefix = i % 5 < 2 ? hot : 100 + (gateway * 7 + i) % 40;
+            a.shared_prefix_tokens = 2600;
             bench.feed(now, a);
             const auto sends = bench.all<StartAttempt>();
             ASSERT_EQ(sends.size(), 1u);
             const EndpointId at = sends[0].endpoint;
-            if (i >= 40 && a.prefix == hot) ++hot_reads[at], ++hot_sum;
-            if (a.prefix != hot) ++rare_reads[a.prefix][at];
+            if (i >= 40 && a.shared_prefix == hot) ++hot_reads[at], ++hot_sum;
+            if (a.shared_prefix != hot) ++rare_reads[a.shared_prefix][at];
             bench.feed(now + 20, outcome(id, 0, at, AttemptResult::prefill_done));
             const EndpointId writer = bench.all<StartAttempt>().at(0).endpoint;
             bench.feed(now + 30, FirstToken{id, 1, writer, 5});
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -91,7 +91,7 @@
     std::set<EndpointId> homes;
     for (std::uint64_t session = 1; session <= 4; ++session) {
         Arrival a = arrival("s" + std::to_string(session), 10, 1000);
-        a.session = session, a.prefix = 77, a.prefix_tokens = 900;
+        a.session = session, a.shared_prefix = 77, a.shared_prefix_tokens = 900;
         bench.feed(10, a);
         homes.insert(sent());
     }
