--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -28,10 +28,10 @@
     c.inter_token_objective = 60;
     s.classes = {c};
     s.kinds = {{Role::prefill, 200000}, {Role::decode, 150000}};
-    s.zones = 2, s.gateways = gateways, s.max_attempts = 6, s.cancel = true, s.resume = true;
-    s.dial_timeout = 250, s.answer_slack = 50, s.drain_grace = 250, s.lease_release_timeout = 1000;
+    s.zones = 2, s.gateways = gateways, s.max_attempts = 6, s.cancellation = true, s.stream_migration = true;
+    s.connect_timeout = 250, s.answer_slack = 50, s.drain_grace = 250, s.lease_release_timeout = 1000;
     s.overload_factor = 2.5, s.overload_window = 2000, s.initial_capacity = 0.3,
-    s.slow_start_duration = 10000, s.step = 4;
+    s.slow_start_duration = 10000, s.event_interval = 4;
     return s;
 }
 
@@ -83,7 +83,7 @@
         played.cpu_ms += cpu_ms() - before;
         for (const auto& action : actions) {
             if (const auto* timer = std::get_if<SetTimer>(&action))
-                events.emplace(timer->at, Due{timer->label});
+                events.emplace(timer->at, TimerFired{timer->timer});
             const auto* attempt = std::get_if<StartAttempt>(&action);
             if (!attempt) continue;
             played.decisions =
--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -63,15 +63,15 @@
     Millis poll_interval = 0;  // `ask`: how old the last call may be
     // what the deployment permits
     int max_attempts = 1;
-    bool cancel = false;
-    bool second_copies = false;
+    bool cancellation = false;
+    bool hedging = false;
     bool health_checks = false;
     bool slot_reservation = false;
     bool retry_after = false;
-    bool local_prefill = false;  // a writer reads a prompt itself when there is no state to fetch
-    bool resume = false;         // a broken stream can go on elsewhere
+    bool local_prefill = false;     // a writer reads a prompt itself when there is no state to fetch
+    bool stream_migration = false;  // a broken stream can go on elsewhere
     Millis max_retry_after = 0;
-    Millis dial_timeout = 0;       // the host gives up a connection that has not come up by then
+    Millis connect_timeout = 0;    // the host gives up a connection that has not come up by then
     double over_quota_weight = 1;  // worth of a request beyond its tenant's quota, as a share
     // guarantees
     Millis answer_slack = 0;
@@ -81,7 +81,7 @@
     Millis overload_window = 0;
     double initial_capacity = 1;
     Millis slow_start_duration = 0;
-    Millis step = 1;  // events come at most this often
+    Millis event_interval = 1;  // events come at most this often
 };
 
 // ---- events ---------------------------------------------------------------------------------------------
@@ -150,7 +150,7 @@
     bool reserved = false;
 };
 
-struct ClientGone {
+struct ClientDisconnected {
     RequestId request;
 };
 
@@ -181,8 +181,8 @@
     LoadReport report;
 };
 
-struct Due {
-    std::uint64_t label = 0;
+struct TimerFired {
+    std::uint64_t timer = 0;
 };
 
 // The host has let go of what is held for the request: the time in which it must be taken would have been
@@ -193,8 +193,8 @@
 
 struct Shutdown {};  // the host is about to end: every request without an answer gets its final one at once
 
-using Event = std::variant<Arrival, AttemptEnded, FirstToken, ReservationReply, ClientGone, EndpointUpdate,
-                           HealthCheckResult, Due, LeaseReleased, Shutdown>;
+using Event = std::variant<Arrival, AttemptEnded, FirstToken, ReservationReply, ClientDisconnected,
+                           EndpointUpdate, HealthCheckResult, TimerFired, LeaseReleased, Shutdown>;
 
 // ---- actions --------------------------------------------------------------------------------------------
 
@@ -238,14 +238,14 @@
     RequestId request;
     EndCause cause = EndCause::deadline;
 };
-struct MoveStream {  // hand a begun stream back to its client, which comes again
+struct MigrateStream {  // hand a begun stream back to its client, which comes again
     RequestId request;
 };
 struct HealthCheck {
     EndpointId endpoint = 0;
 };
 struct SetTimer {
-    std::uint64_t label = 0;
+    std::uint64_t timer = 0;
     Millis at = 0;
 };
 struct WatchEndpoints {};  // ask for a standing list subscription
@@ -254,7 +254,7 @@
     std::string text;
 };
 
-using Action = std::variant<StartAttempt, StopAttempt, ReserveSlot, ReleaseLease, Reject, Fail, MoveStream,
+using Action = std::variant<StartAttempt, StopAttempt, ReserveSlot, ReleaseLease, Reject, Fail, MigrateStream,
                             HealthCheck, SetTimer, WatchEndpoints, PollEndpoints, Log>;
 
 class Router {
--- a/src/control/invariant_checker.cpp
+++ b/src/control/invariant_checker.cpp
@@ -58,7 +58,7 @@
         since != not_up_since_.end() && now - since->second > settings_.drain_grace)
         breach(Rule::sent_to_drained, handle, std::to_string(now - since->second) + " ms after it was told");
     for (const Sent& before : request.sent) {
-        if (before.out && !settings_.second_copies) breach(Rule::two_out, handle, "");
+        if (before.out && !settings_.hedging) breach(Rule::two_out, handle, "");
         if (before.write && !before.never_ran) check_repeat(handle, request, before, to, now);
     }
     request.sent.push_back({attempt, to, role != Role::prefill, true, false, now});
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -32,7 +32,7 @@
     const auto random = [&] { return (std::uint64_t{device()} << 32) | device(); };
     const std::uint64_t seed = p_.seed.value_or(random());
     upstream_ = std::make_unique<proxy::Upstream>(
-        loop, proxy::Upstream::Config{p_.source, p_.module.dial_timeout, p_.limits.engine_idle_ms,
+        loop, proxy::Upstream::Config{p_.source, p_.module.connect_timeout, p_.limits.engine_idle_ms,
                                       p_.limits.engine_idle});
     core_ = std::make_unique<Core>(p_, seed, *this, api::messages::error_body);
     core_->on_wake = [this] { ticker_.wake(); };
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -113,7 +113,7 @@
         // needs its answer while it waits.
         const Millis whole =
             r.r.patience > 0 ? std::min(r.r.patience, p_.limits.whole_answer_ms) : p_.limits.whole_answer_ms;
-        alarm(Kind::complete_answer, asked + whole - p_.module.step, &r);
+        alarm(Kind::complete_answer, asked + whole - p_.module.event_interval, &r);
     }
     feed(std::move(a));
     return true;
@@ -125,7 +125,7 @@
     if (!r || r->closed) return;
     r->r.client = nullptr;
     close(*r, 0, "client_gone");
-    feed(ClientGone{id});
+    feed(ClientDisconnected{id});
     r = find(id);
     if (!r) return;
     for (auto& t : r->attempts) {  // a stream that nobody reads ends
@@ -176,7 +176,7 @@
                        ports_.log("info", "router", {{"text", a.text}});
                    },
                    // Timers are the driver's. The rest the settings of this program do not permit.
-                   [&](const SetTimer&) {}, [&](const ReserveSlot&) {}, [&](const MoveStream&) {},
+                   [&](const SetTimer&) {}, [&](const ReserveSlot&) {}, [&](const MigrateStream&) {},
                    [&](const HealthCheck&) {}, [&](const WatchEndpoints&) {}, [&](const PollEndpoints&) {}},
         action);
 }
@@ -483,7 +483,7 @@
     } else if (a.kind == Kind::complete_answer) {
         if (r->closed) return;
         refuse(*r, 504, {504, "timeout_error", "the answer took longer than the client waits"}, -1, false);
-        feed(ClientGone{id});
+        feed(ClientDisconnected{id});
         if (!(r = find(id))) return;
         for (auto& t : r->attempts) {
             if (t.out && t.first) return end_exchange(t, &UpstreamExchange::cancelled);
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -39,7 +39,7 @@
 
 proxy::Upstream::Config upstream_config(const Config& c) {
     proxy::Upstream::Config u;
-    u.dial_timeout = c.named.settings.dial_timeout > 0 ? c.named.settings.dial_timeout : 250;
+    u.dial_timeout = c.named.settings.connect_timeout > 0 ? c.named.settings.connect_timeout : 250;
     // Well before the server closes it: what is written to a connection it has closed is lost.
     u.idle = c.named.idle_close > 0 ? std::min(15000.0, 0.4 * c.named.idle_close) : 5000;
     u.max_idle = 8;
@@ -187,7 +187,8 @@
     // 0.7 s.
     Millis longest = 0;
     for (const auto& c : config_.named.settings.classes) longest = std::max(longest, c.deadline);
-    departure_.emplace(stopped_, stopped_ + std::min(longest, 3000.0) + 700, config_.named.settings.resume);
+    departure_.emplace(stopped_, stopped_ + std::min(longest, 3000.0) + 700,
+                       config_.named.settings.stream_migration);
     drainer_.after(20);
 }
 
@@ -198,7 +199,8 @@
     const bool quiet = now - stopped_ >= kStillServed && relay_.open() == 0 && clients_.connections() == 0;
     if (!quiet && !departure_->depart(now) && relay_.streams() == 0) return;
     if (quiet || departure_->depart(now)) clients_.depart();
-    if (config_.named.settings.resume) relay_.hand_back(departure_->hand_back(now, relay_.streams()));
+    if (config_.named.settings.stream_migration)
+        relay_.hand_back(departure_->hand_back(now, relay_.streams()));
     if (departure_->answer_rest(now)) {
         relay_.shutdown();
         relay_.end_silent_streams(stopped_ + kEndedByKill);
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -134,7 +134,7 @@
     Request* r = find(handle);
     if (!r || r->closed) return;
     client_left(*r);
-    driver_.feed(ClientGone{std::to_string(handle)});
+    driver_.feed(ClientDisconnected{std::to_string(handle)});
     if ((r = find(handle))) end_stream(*r, "the client left");
 }
 
@@ -181,7 +181,7 @@
                                   final(*r, 502, 0, "failed; it may have run", a.cause);
                               }
                           },
-                          [&](const MoveStream& a) {
+                          [&](const MigrateStream& a) {
                               Request* r = find(a.request);
                               if (r && !r->closed) move(*r, "moved");
                           },
--- a/src/proxy/router_driver.h
+++ b/src/proxy/router_driver.h
@@ -123,7 +123,7 @@
             for (const auto& a : actions) {
                 if (done) done(a);
                 if (const auto* timer = std::get_if<SetTimer>(&a)) {
-                    alarm(Kind::router, timer->at, nullptr, 0, timer->label, false);
+                    alarm(Kind::router, timer->at, nullptr, 0, timer->timer, false);
                 } else {
                     carry(a);
                 }
@@ -133,7 +133,7 @@
         if (rest) rest();
     }
     void fire(const Alarm& a) {
-        if (a.kind == Kind::router) return feed(Due{a.label});
+        if (a.kind == Kind::router) return feed(TimerFired{a.label});
         due(a);
     }
     void run(std::uint64_t last, Millis until) {
--- a/src/router/records.h
+++ b/src/router/records.h
@@ -59,29 +59,30 @@
            prefills = 0;  // parts of the aims spent on reads there and on its link; both fade
 };
 
-struct Request {
-    Arrival a;
+struct RequestState {
+    Arrival arrival;
     std::uint64_t serial = 0;
-    Millis arrived = 0;
-    int attempts = 0;
-    bool ended = false;  // nothing more is owed: the stream has begun, or a final answer is out
-    bool final = false;  // a final answer is out
+    Millis arrived_at = 0;
+    int attempt_count = 0;
+    bool closed = false;    // nothing more is owed: the stream has begun, or a final answer is out
+    bool answered = false;  // a final answer is out
     // the attempt out
-    bool out = false, stopped = false, excused = false;  // excused: out while this gateway stood still
+    bool in_flight = false, cancelled = false,
+         stalled_meanwhile = false;  // excused: out while this gateway stood still
     Stage stage = prefill;
     EndpointId endpoint = 0;
-    Millis sent = 0, stage_since = 0;  // less own standstills since; see watch
-    Millis handed = 0;                 // when it was sent in truth
+    Millis sent_at = 0, stage_since = 0;  // less own standstills since; see watch
+    Millis first_sent_at = 0;             // when it was sent in truth
     // Queue at the send: thousands of tokens to read, or sends waiting; for a stream its hinted length.
-    double units = 1;
+    double work_units = 1;
     // the read state
-    bool state = false;
-    EndpointId reader = 0;
-    std::vector<EndpointId> failed;  // where an attempt of its failed
+    bool lease_held = false;
+    EndpointId prefill_endpoint = 0;
+    std::vector<EndpointId> failed_endpoints;  // where an attempt of its failed
     // effects
     bool may_have_run = false;
-    EndpointId ran_at = 0;
-    Millis ran_sent = 0;
+    EndpointId ran_on = 0;
+    Millis ran_sent_at = 0;
 };
 
 }  // namespace gorsenotch::router
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -31,16 +31,17 @@
 
 class Router::Impl {
 public:
-    Impl(const Settings& settings, std::uint64_t seed) : s_(settings), seed_(seed), random_(seed) {
+    Impl(const Settings& settings, std::uint64_t seed) : settings_(settings), seed_(seed), random_(seed) {
         const auto need = [](bool ok, const char* what) {
             if (!ok) throw std::invalid_argument(std::string("gorsenotch settings: ") + what);
         };
-        need(!s_.classes.empty(), "classes: at least one is needed");
-        need(!s_.kinds.empty(), "kinds: each needs a role");
+        need(!settings_.classes.empty(), "classes: at least one is needed");
+        need(!settings_.kinds.empty(), "kinds: each needs a role");
         bool read = false, write = false;
-        for (const auto& k : s_.kinds) read |= k.role != Role::decode, write |= k.role != Role::prefill;
-        need(write && (read || s_.local_prefill), "kinds: some must read and some must write");
-        for (const auto& c : s_.classes) {
+        for (const auto& k : settings_.kinds)
+            read |= k.role != Role::decode, write |= k.role != Role::prefill;
+        need(write && (read || settings_.local_prefill), "kinds: some must read and some must write");
+        for (const auto& c : settings_.classes) {
             need(c.latency_objective > 0, "classes: aim must be above 0");
             need(c.deadline > 0, "classes: deadline must be above 0");
             min_latency_objective_ = std::min(min_latency_objective_, c.latency_objective);
@@ -58,22 +59,22 @@
         low_quantile_ = {
             QuantileEstimate(kLowQuantile, kQuantileStep, completion_times_[prefill][0].prior()),
             QuantileEstimate(kLowQuantile, kQuantileStep, completion_times_[decode_queued][0].prior() / 4)};
-        need(s_.gateways > 0, "gateways: at least one");
-        need(s_.max_attempts > 0, "max_attempts: at least one");
-        for (const auto& t : s_.tenants) quota_left_.push_back(burst(t));
-        retries_ = retry_least();
+        need(settings_.gateways > 0, "gateways: at least one");
+        need(settings_.max_attempts > 0, "max_attempts: at least one");
+        for (const auto& t : settings_.tenants) quota_left_.push_back(quota_burst(t));
+        retry_budget_ = min_retry_budget();
     }
 
     void handle(Millis now, const Event& event, std::vector<Action>& actions) {
         now_ = now;
         actions_ = &actions;
-        if (!ticking_) {
-            ticking_ = true;
-            checked_ = surveyed_ = now_;
-            set_tick();
-            if (s_.discovery == Discovery::poll) watch_endpoints();
+        if (!started_) {
+            started_ = true;
+            last_health_tick_ = stats_refreshed_at_ = now_;
+            schedule_health_tick();
+            if (settings_.discovery == Discovery::poll) watch_endpoints();
         }
-        watch();
+        detect_stall();
         std::visit([this](const auto& e) { on(e); }, event);
     }
 
@@ -81,84 +82,87 @@
     // ---- events ---------------------------------------------------------------------------------------
 
     void on(const Arrival& a) {
-        if (a.cls < 0 || a.cls >= static_cast<int>(s_.classes.size()) || requests_.count(a.request)) return;
-        Request& r = requests_[a.request];
-        r.a = a;
-        r.arrived = now_;
+        if (a.cls < 0 || a.cls >= static_cast<int>(settings_.classes.size()) || requests_.count(a.request))
+            return;
+        RequestState& r = requests_[a.request];
+        r.arrival = a;
+        r.arrived_at = now_;
         r.serial = ++serial_;
         by_serial_[r.serial] = a.request;
-        arrivals_.add(now_);
+        arrival_rate_.add(now_);
         const double seen = static_cast<double>(std::min<std::uint64_t>(serial_, 30));
         if (a.shared_prefix) ++shared_prefix_arrivals_[a.shared_prefix];
         ++arrivals_seen_;
         typical_prompt_tokens_ += (a.prompt_tokens - typical_prompt_tokens_) / seen;
         typical_uncached_kilotokens_ += (uncached_kilotokens(r) - typical_uncached_kilotokens_) / seen;
-        if (a.deadline <= now_) return end(r, EndCause::deadline);
-        if (!decode_reachable()) return end(r, EndCause::no_decode_endpoint);
-        if (should_shed(r)) return end(r, EndCause::shed_load);
-        act(SetTimer{r.serial, std::max(now_, a.deadline - s_.step)});
-        advance(r);
+        if (a.deadline <= now_) return finish_with(r, EndCause::deadline);
+        if (!decode_reachable()) return finish_with(r, EndCause::no_decode_endpoint);
+        if (should_shed(r)) return finish_with(r, EndCause::shed_load);
+        emit(SetTimer{r.serial, std::max(now_, a.deadline - settings_.event_interval)});
+        dispatch_next_stage(r);
     }
 
     void on(const AttemptEnded& o) {
         EndpointState* server = find_endpoint(o.endpoint);
         if (server) apply_load_report(*server, o.report);
         const auto it = requests_.find(o.request);
-        if (it == requests_.end() || !it->second.out || o.attempt != it->second.attempts - 1) return;
-        Request& r = it->second;
-        if (r.stage != streaming) observe_time(r, o.result == AttemptResult::prefill_done);
+        if (it == requests_.end() || !it->second.in_flight || o.attempt != it->second.attempt_count - 1)
+            return;
+        RequestState& r = it->second;
+        if (r.stage != streaming) observe_stage_time(r, o.result == AttemptResult::prefill_done);
         if (server) record_outcome(*server, r, o);
         // A stream that was called off just as it began, and after all is still owed an answer.
-        if (!o.request_closed && r.stage == streaming && r.ended && !r.final) r.ended = false;
-        leave(r);
+        if (!o.request_closed && r.stage == streaming && r.closed && !r.answered) r.closed = false;
+        on_attempt_left(r);
         const bool wrote = !(server && server->role == Role::prefill);
         if (wrote && !never_ran(o.result) && o.result != AttemptResult::prefill_done && !r.may_have_run) {
             r.may_have_run = true;
-            r.ran_at = o.endpoint;
-            r.ran_sent = r.handed;
+            r.ran_on = o.endpoint;
+            r.ran_sent_at = r.first_sent_at;
         }
         const bool no_state = o.result == AttemptResult::rejected && o.detail == 1;
         if (no_state) set_lease_held(r, false);
         if (o.result == AttemptResult::prefill_done) {
-            r.reader = o.endpoint;
+            r.prefill_endpoint = o.endpoint;
             set_lease_held(r, true);
         }
-        if (o.request_closed) r.ended = true;
-        if (r.ended) return finish(r);
-        if (o.result != AttemptResult::prefill_done && !no_state) r.failed.push_back(o.endpoint);
+        if (o.request_closed) r.closed = true;
+        if (r.closed) return forget_request(r);
+        if (o.result != AttemptResult::prefill_done && !no_state) r.failed_endpoints.push_back(o.endpoint);
         // Guards against pinned states: a read whose end was lost, or a state whose reader is only cut off,
         // may still stand there though this gateway heard of none.
-        if (!r.state) act(ReleaseLease{r.a.request});
-        advance(r);
+        if (!r.lease_held) emit(ReleaseLease{r.arrival.request});
+        dispatch_next_stage(r);
     }
 
     void on(const FirstToken& f) {
         const auto it = requests_.find(f.request);
-        if (it == requests_.end() || !it->second.out || f.attempt != it->second.attempts - 1) return;
-        Request& r = it->second;
+        if (it == requests_.end() || !it->second.in_flight || f.attempt != it->second.attempt_count - 1)
+            return;
+        RequestState& r = it->second;
         if (EndpointState* s = find_endpoint(r.endpoint)) {
-            observe_time(r, true);
-            s->last_class_failure[cls(r)] = -kNever;
+            observe_stage_time(r, true);
+            s->last_class_failure[class_index(r)] = -kNever;
             record_completion(*s, r, decode_queued);
-            move(*s, r, streaming);
+            change_stage(*s, r, streaming);
         }
         set_lease_held(r, false);
-        retries_ = std::min(retries_ + kRetriesPerFirstToken, retry_cap());
-        r.ended = true;
+        retry_budget_ = std::min(retry_budget_ + kRetriesPerFirstToken, max_retry_budget());
+        r.closed = true;
     }
 
     void on(const ReservationReply&) {}  // places are never held ahead
 
-    void on(const ClientGone& g) {
+    void on(const ClientDisconnected& g) {
         const auto it = requests_.find(g.request);
         if (it == requests_.end()) return;
-        it->second.ended = true;
-        release(it->second);
+        it->second.closed = true;
+        release_request(it->second);
     }
 
     void on(const EndpointUpdate& e) {
         if (e.kind == EndpointUpdate::Kind::failed) {
-            last_watch_request_ = now_ - s_.poll_interval / 2 + 500;  // ask again in half a second
+            last_watch_request_ = now_ - settings_.poll_interval / 2 + 500;  // ask again in half a second
             return;
         }
         if (e.kind != EndpointUpdate::Kind::incremental) {
@@ -168,7 +172,7 @@
             decode_endpoints_by_cell_.clear();
         }
         for (const auto& entry : e.endpoints) {
-            if (entry.kind < 0 || entry.kind >= static_cast<int>(s_.kinds.size())) continue;
+            if (entry.kind < 0 || entry.kind >= static_cast<int>(settings_.kinds.size())) continue;
             auto [it, fresh] = endpoints_.try_emplace(entry.id);
             EndpointState& s = it->second;
             unindex_endpoint(s);
@@ -177,7 +181,7 @@
                 s.ejected = s.was_unreachable = false;
                 s.error_rate = 0;
                 s.slowness_evidence = {};
-                s.last_class_failure.assign(s_.classes.size(), -kNever);
+                s.last_class_failure.assign(settings_.classes.size(), -kNever);
                 s.tokens_held_by_others = 0;
                 s.last_report_at = -kNever;
                 s.memory_utilization = -1;
@@ -188,23 +192,23 @@
             }
             s.endpoint = entry;
             s.last_listed = now_;
-            s.role = s_.kinds[static_cast<std::size_t>(entry.kind)].role;
+            s.role = settings_.kinds[static_cast<std::size_t>(entry.kind)].role;
             if (entry.status == EndpointStatus::healthy) index_endpoint(s);
         }
-        if (now_ >= survey_due_) survey(0);
+        if (now_ >= stats_due_) refresh_fleet_stats(0);
     }
 
     void on(const HealthCheckResult& p) {
         if (EndpointState* s = find_endpoint(p.endpoint)) apply_load_report(*s, p.report);
     }
 
-    void on(const Due& d) {
-        if (d.label == kHealthTimer) return on_health_tick();
-        const auto it = by_serial_.find(d.label);
+    void on(const TimerFired& d) {
+        if (d.timer == kHealthTimer) return on_health_tick();
+        const auto it = by_serial_.find(d.timer);
         if (it == by_serial_.end()) return;
-        Request& r = requests_.at(it->second);
-        if (r.ended || (r.out && r.stage == streaming)) return;
-        end(r, EndCause::deadline);
+        RequestState& r = requests_.at(it->second);
+        if (r.closed || (r.in_flight && r.stage == streaming)) return;
+        finish_with(r, EndCause::deadline);
     }
 
     void on(const LeaseReleased& released) {
@@ -216,9 +220,9 @@
     void on(const Shutdown&) {
         std::vector<RequestId> unanswered;
         for (const auto& [id, request] : requests_) {
-            if (!request.ended) unanswered.push_back(id);
+            if (!request.closed) unanswered.push_back(id);
         }
-        for (const auto& id : unanswered) end(requests_.at(id), EndCause::shutdown);
+        for (const auto& id : unanswered) finish_with(requests_.at(id), EndCause::shutdown);
     }
 
     // ---- servers by role ------------------------------------------------------------------------------
@@ -253,21 +257,21 @@
     }
 
     // What a request's reads are kept by: its own session, or the opening it shares; 0 for neither.
-    std::uint64_t affinity_key(const Request& r) const {
+    std::uint64_t affinity_key(const RequestState& r) const {
         // Not the opening where visits are rare and a session's own text is the more: it has its own home
         // then, as no queue would show a hot opening's jam.
         const bool own = has_session_affinity(r);
-        return own ? r.a.session : r.a.shared_prefix;
+        return own ? r.arrival.session : r.arrival.shared_prefix;
     }
-    bool has_session_affinity(const Request& r) const {
-        return !r.a.shared_prefix ||
-               (low_sample_rate() && r.a.session && 2 * r.a.shared_prefix_tokens < r.a.prompt_tokens);
+    bool has_session_affinity(const RequestState& r) const {
+        return !r.arrival.shared_prefix || (low_sample_rate() && r.arrival.session &&
+                                            2 * r.arrival.shared_prefix_tokens < r.arrival.prompt_tokens);
     }
-    std::uint64_t prefill_window_key(const Request& r) const {
+    std::uint64_t prefill_window_key(const RequestState& r) const {
         const std::uint64_t key = affinity_key(r);
         return key ? key : seed_ + r.serial;
     }
-    std::uint64_t decode_window_key(const Request& r) const { return seed_ + r.serial; }
+    std::uint64_t decode_window_key(const RequestState& r) const { return seed_ + r.serial; }
 
     // A choice among a window of the fleet that finds nothing looks at all of it.
     template <class Choice>
@@ -283,154 +287,157 @@
     // ---- a request's way ------------------------------------------------------------------------------
 
     // Sends the request to its next stage, or ends it.
-    void advance(Request& r) {
-        if (r.a.deadline <= now_) return end(r, EndCause::deadline);
-        if (r.attempts >= s_.max_attempts) return end(r, EndCause::attempts_exhausted);
-        if (r.may_have_run && s_.classes[cls(r)].idempotency == Idempotency::unsafe)
-            return end(r, EndCause::may_have_run);
+    void dispatch_next_stage(RequestState& r) {
+        if (r.arrival.deadline <= now_) return finish_with(r, EndCause::deadline);
+        if (r.attempt_count >= settings_.max_attempts) return finish_with(r, EndCause::attempts_exhausted);
+        if (r.may_have_run && settings_.classes[class_index(r)].idempotency == Idempotency::unsafe)
+            return finish_with(r, EndCause::may_have_run);
         // Guards against retry storms: each attempt past the ordinary read and write takes from the budget.
-        if (r.attempts > (r.state ? 1 : 0)) {
-            if (retries_ < 1) return end(r, EndCause::retry_budget);
-            retries_ -= 1;
+        if (r.attempt_count > (r.lease_held ? 1 : 0)) {
+            if (retry_budget_ < 1) return finish_with(r, EndCause::retry_budget);
+            retry_budget_ -= 1;
         }
         EndpointState* to = nullptr;
-        if (!r.state) to = choose_prefill(r);
-        const Stage stage = r.state || !to ? decode_queued : prefill;
-        if (!to && (r.state || s_.local_prefill)) to = choose_decode(r);
-        if (!to) return end(r, EndCause::no_endpoint);
+        if (!r.lease_held) to = choose_prefill(r);
+        const Stage stage = r.lease_held || !to ? decode_queued : prefill;
+        if (!to && (r.lease_held || settings_.local_prefill)) to = choose_decode(r);
+        if (!to) return finish_with(r, EndCause::no_endpoint);
         // Guards against writers kept busy with late answers, which earn little: when others wait and the aim
         // is out of reach, the read is given up. May do harm where late answers are worth much.
-        if (r.state && !r.a.resumed && to->in_flight[decode_queued] > 1 &&
-            now_ - r.arrived +
+        if (r.lease_held && !r.arrival.resumed && to->in_flight[decode_queued] > 1 &&
+            now_ - r.arrived_at +
                     completion_time(decode_queued, r).value() * (to->in_flight[decode_queued] + 1) >
                 latency_objective(r)) {
-            return end(r, EndCause::decode_too_late);
+            return finish_with(r, EndCause::decode_too_late);
         }
-        send(r, *to, stage);
+        start_attempt(r, *to, stage);
     }
 
-    void send(Request& r, EndpointState& s, Stage stage) {
-        r.out = true;
-        r.stopped = false;
-        r.excused = false;
+    void start_attempt(RequestState& r, EndpointState& s, Stage stage) {
+        r.in_flight = true;
+        r.cancelled = false;
+        r.stalled_meanwhile = false;
         r.stage = stage;
         r.endpoint = s.endpoint.id;
-        r.sent = r.handed = now_;
-        ++r.attempts;
+        r.sent_at = r.first_sent_at = now_;
+        ++r.attempt_count;
         ++s.in_flight[stage];
-        r.units = s.in_flight[decode_queued];  // this one counted
+        r.work_units = s.in_flight[decode_queued];  // this one counted
         if (stage == prefill) {
-            s.reserved_tokens += r.a.prompt_tokens;
+            s.reserved_tokens += r.arrival.prompt_tokens;
             s.queued_kilotokens += uncached_kilotokens(r);
-            r.units = s.queued_kilotokens;
+            r.work_units = s.queued_kilotokens;
         }
         s.send_rate.add(now_);
         s.recent_sends.push_back(now_);
         drop_old_sends(s);
-        act(StartAttempt{r.a.request, s.endpoint.id, limit(r, stage),
-                         std::min(r.a.deadline, retry_deadline(r))});
+        emit(StartAttempt{r.arrival.request, s.endpoint.id, attempt_timeout(r, stage),
+                          std::min(r.arrival.deadline, retry_deadline(r))});
     }
 
     // How long to wait for this attempt. Guards against silence: a request at a dead server must still reach
     // its aim elsewhere. Grows with what is usual now, so that overload does not turn into time-outs.
-    Millis limit(const Request& r, Stage stage) {
-        const Millis left = r.a.deadline - now_;
-        if (r.attempts >= s_.max_attempts) return left;
+    Millis attempt_timeout(const RequestState& r, Stage stage) {
+        const Millis left = r.arrival.deadline - now_;
+        if (r.attempt_count >= settings_.max_attempts) return left;
         if (!low_sample_rate())
-            return std::min(left, std::max(6 * expected(r, stage), 0.6 * latency_objective(r)));
+            return std::min(left, std::max(6 * expected_time(r, stage), 0.6 * latency_objective(r)));
         // A read is work that is done anew elsewhere, so in a jam early time-outs double the load. Does harm
         // where a reader is silent: its reads are late, the first from each gateway.
         return std::min(left,
-                        std::max(kTimeoutQuantiles * low_quantile_[stage].value() * span(r, stage),
+                        std::max(kTimeoutQuantiles * low_quantile_[stage].value() * stage_work(r, stage),
                                  kMinTimeoutObjectiveFraction[stage == prefill && no_load_signal() ? 0 : 1] *
                                      latency_objective(r)));
     }
 
     // What a stage's time is measured by: the tokens to read, those ahead too, or the prompt to fetch.
-    double span(const Request& r, Stage stage) const {
-        return stage == prefill ? r.units : 0.2 + r.a.prompt_tokens / 1000;
+    double stage_work(const RequestState& r, Stage stage) const {
+        return stage == prefill ? r.work_units : 0.2 + r.arrival.prompt_tokens / 1000;
     }
 
-    void observe_time(const Request& r, bool done) {
+    void observe_stage_time(const RequestState& r, bool done) {
         // What a cell's readers and, for states that leave it, its link take of the aims.
-        const EndpointState* reader = find_endpoint(r.stage == prefill ? r.endpoint : r.reader);
+        const EndpointState* reader = find_endpoint(r.stage == prefill ? r.endpoint : r.prefill_endpoint);
         const EndpointState* server = find_endpoint(r.endpoint);
         if (reader && server && (r.stage == prefill || reader->endpoint.cell != server->endpoint.cell)) {
             Cell& c = cells_[reader->endpoint.cell];
             c.objective_spent +=
-                done || !no_load_signal() ? std::min(1.0, (now_ - r.sent) / latency_objective(r)) : 1;
+                done || !no_load_signal() ? std::min(1.0, (now_ - r.sent_at) / latency_objective(r)) : 1;
             c.prefills += r.stage == prefill;
         }
-        const double took = (now_ - r.sent) / span(r, r.stage);
+        const double took = (now_ - r.sent_at) / stage_work(r, r.stage);
         if (done || took > low_quantile_[r.stage].value()) low_quantile_[r.stage].add(took);
     }
 
-    static void take_off(EndpointState& s, const Request& r) {
+    static void remove_from_load(EndpointState& s, const RequestState& r) {
         --s.in_flight[r.stage];
         if (r.stage == prefill) {
-            s.reserved_tokens -= r.a.prompt_tokens;
+            s.reserved_tokens -= r.arrival.prompt_tokens;
             s.queued_kilotokens -= uncached_kilotokens(r);
         }
     }
 
     // The attempt out is over: takes it off its server's count.
-    void leave(Request& r) {
-        if (EndpointState* s = find_endpoint(r.endpoint)) take_off(*s, r);
-        r.out = false;
+    void on_attempt_left(RequestState& r) {
+        if (EndpointState* s = find_endpoint(r.endpoint)) remove_from_load(*s, r);
+        r.in_flight = false;
     }
 
-    void move(EndpointState& s, Request& r, Stage to) {
-        take_off(s, r);
+    void change_stage(EndpointState& s, RequestState& r, Stage to) {
+        remove_from_load(s, r);
         r.stage = to;
-        const double pace = s_.classes[cls(r)].inter_token_objective;
-        r.units = r.a.length_hint > 0 && pace > 0 ? std::clamp(r.a.length_hint / pace / 100, 0.3, 3.0) : 1;
+        const double pace = settings_.classes[class_index(r)].inter_token_objective;
+        r.work_units = r.arrival.length_hint > 0 && pace > 0
+                           ? std::clamp(r.arrival.length_hint / pace / 100, 0.3, 3.0)
+                           : 1;
         ++s.in_flight[to];
         r.stage_since = now_;
     }
 
-    void set_lease_held(Request& r, bool held) {
-        if (r.state == held) return;
-        r.state = held;
-        if (EndpointState* s = find_endpoint(r.reader))
-            s->reserved_tokens += held ? r.a.prompt_tokens : -r.a.prompt_tokens;
+    void set_lease_held(RequestState& r, bool held) {
+        if (r.lease_held == held) return;
+        r.lease_held = held;
+        if (EndpointState* s = find_endpoint(r.prefill_endpoint))
+            s->reserved_tokens += held ? r.arrival.prompt_tokens : -r.arrival.prompt_tokens;
     }
 
     // Gives the one final answer, at once.
-    void end(Request& r, EndCause cause) {
-        if (r.ended) return;
-        const ClassSettings& c = s_.classes[cls(r)];
+    void finish_with(RequestState& r, EndCause cause) {
+        if (r.closed) return;
+        const ClassSettings& c = settings_.classes[class_index(r)];
         // An attempt still out, a read too, may count as run.
-        const bool harmless = c.idempotency == Idempotency::idempotent || !(r.may_have_run || r.out) ||
+        const bool harmless = c.idempotency == Idempotency::idempotent || !(r.may_have_run || r.in_flight) ||
                               (c.idempotency == Idempotency::with_key && c.dedup_scope == DedupScope::all);
         if (harmless) {
-            act(Reject{r.a.request, s_.retry_after ? std::min(s_.max_retry_after, expected_wait(r)) : 0,
-                       cause});
+            emit(Reject{r.arrival.request,
+                        settings_.retry_after ? std::min(settings_.max_retry_after, expected_wait(r)) : 0,
+                        cause});
         } else {
-            act(Fail{r.a.request, cause});
+            emit(Fail{r.arrival.request, cause});
         }
-        r.final = r.ended = true;
-        release(r);
+        r.answered = r.closed = true;
+        release_request(r);
     }
 
     // An ended request: stop what is out, release what is held.
-    void release(Request& r) {
-        if (r.out) {
-            if (s_.cancel && !r.stopped && r.stage != streaming) stop(r);
+    void release_request(RequestState& r) {
+        if (r.in_flight) {
+            if (settings_.cancellation && !r.cancelled && r.stage != streaming) cancel_attempt(r);
             return;
         }
-        finish(r);
+        forget_request(r);
     }
 
-    void finish(Request& r) {
-        if (r.attempts > 0 && r.stage != streaming) act(ReleaseLease{r.a.request});
+    void forget_request(RequestState& r) {
+        if (r.attempt_count > 0 && r.stage != streaming) emit(ReleaseLease{r.arrival.request});
         set_lease_held(r, false);
         by_serial_.erase(r.serial);
-        requests_.erase(RequestId(r.a.request));
+        requests_.erase(RequestId(r.arrival.request));
     }
 
-    void stop(Request& r) {
-        r.stopped = true;
-        act(StopAttempt{r.a.request, r.attempts - 1});
+    void cancel_attempt(RequestState& r) {
+        r.cancelled = true;
+        emit(StopAttempt{r.arrival.request, r.attempt_count - 1});
     }
 
     // ---- the three rules ------------------------------------------------------------------------------
@@ -442,11 +449,11 @@
             ->second;
     }
 
-    EndpointState* choose_prefill(Request& r) {
+    EndpointState* choose_prefill(RequestState& r) {
         return choose_or_scan_all([&] { return choose_prefill_among(r); });
     }
 
-    EndpointState* choose_prefill_among(Request& r) {
+    EndpointState* choose_prefill_among(RequestState& r) {
         const auto& readers = candidates(ring(Role::prefill), prefill_window_key(r), prefill_candidates_);
         const std::vector<EndpointState*> fit = eligible_prefill_endpoints(r, readers);
         if (fit.empty()) return nullptr;
@@ -469,7 +476,7 @@
     // Those that may read it now: plain readers, and mixed servers by rule 3. A mixed server that reads also
     // writes, so it is asked when it has room and the writer that would be picked has none, or when no plain
     // reader is there.
-    std::vector<EndpointState*> eligible_prefill_endpoints(Request& r,
+    std::vector<EndpointState*> eligible_prefill_endpoints(RequestState& r,
                                                            const std::vector<EndpointState*>& readers) {
         EndpointState* writer = nullptr;
         std::vector<EndpointState*> fit;
@@ -508,7 +515,7 @@
     }
 
     // Those within the margin of the least load, in the own zone or out of it.
-    std::vector<EndpointState*> prefill_within_load_margin(const Request& r,
+    std::vector<EndpointState*> prefill_within_load_margin(const RequestState& r,
                                                            const std::vector<EndpointState*>& fit,
                                                            const std::vector<double>& load) {
         // Of most readers nothing is known: the few heard of must not draw all from their homes.
@@ -517,8 +524,8 @@
                                                : *std::min_element(load.begin(), load.end());
         // A prompt read away from its home is read in full. So the margin grows with what home saves:
         // otherwise the first jam scatters the beginnings, each read gets longer, and the jam stays.
-        const double saves =
-            std::clamp(r.a.prompt_tokens / (1000 * uncached_kilotokens(r)), kMinLoadMargin, kMaxLoadMargin);
+        const double saves = std::clamp(r.arrival.prompt_tokens / (1000 * uncached_kilotokens(r)),
+                                        kMinLoadMargin, kMaxLoadMargin);
         const double prompt = typical_prompt_tokens_ / memory_capacity(*fit[0]);
         // The own zone is left sooner: it may have few readers, and there its gateways' reads would jam.
         std::vector<EndpointState*> near;
@@ -526,7 +533,8 @@
         for (std::size_t i = 0; i < fit.size(); ++i) {
             if (load[i] > least + saves * prompt) continue;
             near.push_back(fit[i]);
-            own_zone |= fit[i]->endpoint.zone == s_.own_zone && load[i] <= least + kMinLoadMargin * prompt;
+            own_zone |=
+                fit[i]->endpoint.zone == settings_.own_zone && load[i] <= least + kMinLoadMargin * prompt;
         }
         if (own_zone) prefer_own_zone(r, fit, near);
         return near;
@@ -535,22 +543,25 @@
     // Leaves those of the own zone, or of the others. Where own queues show too little, a zone reads what its
     // share of the readers covers, taking every zone for as busy. Guards against a jam in a zone with few
     // readers while others idle.
-    void prefer_own_zone(const Request& r, const std::vector<EndpointState*>& fit,
+    void prefer_own_zone(const RequestState& r, const std::vector<EndpointState*>& fit,
                          std::vector<EndpointState*>& near) {
         double own = 0, all = 0;
         for (const EndpointState* s : fit) {
             const double part = std::pow(prefill_weight(*s), no_load_signal() ? 4 : 2);
             all += part;
-            own += s->endpoint.zone == s_.own_zone ? part : 0;
+            own += s->endpoint.zone == settings_.own_zone ? part : 0;
         }
-        const bool stays = !low_sample_rate() || hash_fraction(r.a.session, 0) * all <= own * s_.zones;
-        const auto other = [&](EndpointState* s) { return (s->endpoint.zone == s_.own_zone) != stays; };
+        const bool stays =
+            !low_sample_rate() || hash_fraction(r.arrival.session, 0) * all <= own * settings_.zones;
+        const auto other = [&](EndpointState* s) {
+            return (s->endpoint.zone == settings_.own_zone) != stays;
+        };
         if (!std::all_of(near.begin(), near.end(), other)) std::erase_if(near, other);
     }
 
     // Sessions that share a beginning share its home and meet their texts there. By the list, as a next turn
     // comes elsewhere: rendezvous weighted by pull.
-    EndpointState* choose_by_affinity(const Request& r, std::uint64_t key,
+    EndpointState* choose_by_affinity(const RequestState& r, std::uint64_t key,
                                       const std::vector<EndpointState*>& near, std::size_t usable_in_all) {
         std::vector<std::pair<double, EndpointState*>> by;
         for (EndpointState* s : near)
@@ -558,9 +569,9 @@
         const std::size_t homes =
             has_session_affinity(r)
                 ? 1
-                : std::min(by.size(), affinity_replicas(r.a.shared_prefix, usable_in_all));
+                : std::min(by.size(), affinity_replicas(r.arrival.shared_prefix, usable_in_all));
         const auto rank =
-            static_cast<std::size_t>(hash_fraction(r.a.session, 1) * static_cast<double>(homes));
+            static_cast<std::size_t>(hash_fraction(r.arrival.session, 1) * static_cast<double>(homes));
         const auto at = by.begin() + static_cast<std::ptrdiff_t>(rank);
         std::nth_element(by.begin(), at, by.end());
         return at->second;
@@ -577,13 +588,13 @@
         return 1 + static_cast<std::size_t>(part * static_cast<double>(readers) / kAffinityReplicaLoad);
     }
 
-    EndpointState* choose_decode(const Request& r) {
+    EndpointState* choose_decode(const RequestState& r) {
         return choose_or_scan_all([&] { return choose_decode_among(r); });
     }
 
-    EndpointState* choose_decode_among(const Request& r) {
+    EndpointState* choose_decode_among(const RequestState& r) {
         std::vector<std::pair<int, EndpointState*>> fit;
-        const EndpointState* reader = r.state ? find_endpoint(r.reader) : nullptr;
+        const EndpointState* reader = r.lease_held ? find_endpoint(r.prefill_endpoint) : nullptr;
         const bool windowed = decode_ring_.size() > kMaxFullScan && !scan_all_;
         std::uint64_t cell = windowed && reader ? choose_decode_cell(*reader) : 0;
         const auto* from = &candidates(decode_ring_, decode_window_key(r), decode_candidates_);
@@ -648,23 +659,24 @@
     int young_streams(const EndpointState& s) const {
         int n = 0;
         for (const auto& [id, r] : requests_) {
-            if (!r.out || r.stage != streaming || r.endpoint != s.endpoint.id) continue;
-            n += now_ - r.stage_since < kYoungStreamTokens * s_.classes[cls(r)].inter_token_objective;
+            if (!r.in_flight || r.stage != streaming || r.endpoint != s.endpoint.id) continue;
+            n += now_ - r.stage_since <
+                 kYoungStreamTokens * settings_.classes[class_index(r)].inter_token_objective;
         }
         return n;
     }
 
     // ---- guards ---------------------------------------------------------------------------------------
 
-    bool is_eligible(EndpointState& s, const Request& r, bool strict) {
+    bool is_eligible(EndpointState& s, const RequestState& r, bool strict) {
         if (s.endpoint.status != EndpointStatus::healthy) return false;
         if (!within_slow_start_budget(s, r)) return false;
         // Guards against a repeat that reaches a server which does not drop it: outside the group, or after
         // the window has closed while the connection came up. Holds for reads too, as they are sends.
-        if (now_ + s_.dial_timeout >= retry_deadline(r)) return false;
+        if (now_ + settings_.connect_timeout >= retry_deadline(r)) return false;
         if (is_keyed_retry(r)) {
-            const DedupScope group = s_.classes[cls(r)].dedup_scope;
-            const EndpointState* ran = find_endpoint(r.ran_at);
+            const DedupScope group = settings_.classes[class_index(r)].dedup_scope;
+            const EndpointState* ran = find_endpoint(r.ran_on);
             if (!ran && group != DedupScope::all) return false;
             if (group == DedupScope::zone && ran->endpoint.zone != s.endpoint.zone) return false;
             if (group == DedupScope::cell && ran->endpoint.cell != s.endpoint.cell) return false;
@@ -672,22 +684,26 @@
         if (!strict) return true;
         // Guards against a request spent on one server that, sick or full, looks idle from here.
         if (now_ < s.rejecting_until) return false;
-        if (std::find(r.failed.begin(), r.failed.end(), s.endpoint.id) != r.failed.end()) return false;
+        if (std::find(r.failed_endpoints.begin(), r.failed_endpoints.end(), s.endpoint.id) !=
+            r.failed_endpoints.end())
+            return false;
         // What failed a class last may serve the others. Guards against one class unanswered and, where
         // visits are too rare for flags, all sickness; not a minority alone. Outlasts jams.
-        if (low_sample_rate() && now_ - s.last_class_failure[cls(r)] < kClassEjectionTime) return false;
+        if (low_sample_rate() && now_ - s.last_class_failure[class_index(r)] < kClassEjectionTime)
+            return false;
         if (!s.ejected) return true;
         return now_ >= s.ejected_until && s.in_flight_total() < s.concurrency_limit;
     }
 
-    bool is_keyed_retry(const Request& r) const {
-        return r.may_have_run && s_.classes[cls(r)].idempotency == Idempotency::with_key;
+    bool is_keyed_retry(const RequestState& r) const {
+        return r.may_have_run && settings_.classes[class_index(r)].idempotency == Idempotency::with_key;
     }
 
     // When the last byte of a further attempt may be sent at the latest.
-    Millis retry_deadline(const Request& r) const {
+    Millis retry_deadline(const RequestState& r) const {
         if (!is_keyed_retry(r)) return kNever;
-        return r.ran_sent + s_.classes[cls(r)].dedup_window - kTransitFraction * s_.dial_timeout;
+        return r.ran_sent_at + settings_.classes[class_index(r)].dedup_window -
+               kTransitFraction * settings_.connect_timeout;
     }
 
     bool has_capacity(const EndpointState& s) const { return s.memory_utilization < kMemoryNearFull; }
@@ -695,22 +711,23 @@
     // Guards against a cold server being pushed over by all gateways together. Each sends it a share of what
     // its warm peers get from this same gateway, so that the sum holds. A share under one send is a chance,
     // drawn once for a request and server. Where this gateway shuns many peers, all may: less then.
-    bool within_slow_start_budget(EndpointState& s, const Request& r) {
-        if (now_ - s.warming_since >= s_.slow_start_duration) return true;
+    bool within_slow_start_budget(EndpointState& s, const RequestState& r) {
+        if (now_ - s.warming_since >= settings_.slow_start_duration) return true;
         drop_old_sends(s);
         const auto role = static_cast<std::size_t>(s.role);
-        const double age = (now_ - s.warming_since) / s_.slow_start_duration;
-        const double gained = s_.initial_capacity + (1 - s_.initial_capacity) * age;
-        const double share = std::min(gained, kSlowStartSafety * s_.overload_factor * s_.initial_capacity);
+        const double age = (now_ - s.warming_since) / settings_.slow_start_duration;
+        const double gained = settings_.initial_capacity + (1 - settings_.initial_capacity) * age;
+        const double share =
+            std::min(gained, kSlowStartSafety * settings_.overload_factor * settings_.initial_capacity);
         const double sent = static_cast<double>(s.recent_sends.size());
-        const double carried = baseline_rate_[role] * s_.overload_window;
-        if (s_.gateways <= kFewGateways) return sent + 1 <= std::max(1.0, share * carried);
+        const double carried = baseline_rate_[role] * settings_.overload_window;
+        if (settings_.gateways <= kFewGateways) return sent + 1 <= std::max(1.0, share * carried);
         const double draw = hash_fraction(seed_ + r.serial, s.endpoint.id);
         return sent + draw < share * std::max(available_fraction_[role], carried);
     }
 
     void drop_old_sends(EndpointState& s) const {
-        while (!s.recent_sends.empty() && s.recent_sends.front() <= now_ - s_.overload_window)
+        while (!s.recent_sends.empty() && s.recent_sends.front() <= now_ - settings_.overload_window)
             s.recent_sends.pop_front();
     }
 
@@ -724,18 +741,18 @@
     }
 
     double memory_capacity(const EndpointState& s) const {
-        const double m = s_.kinds[static_cast<std::size_t>(s.endpoint.kind)].memory_tokens;
+        const double m = settings_.kinds[static_cast<std::size_t>(s.endpoint.kind)].memory_tokens;
         return std::max(1.0, m) * (s.endpoint.weight > 0 ? s.endpoint.weight : 1);
     }
 
     // Judges a server by the outcome of an attempt.
-    void record_outcome(EndpointState& s, const Request& r, const AttemptEnded& o) {
-        const bool early = s.ejected && r.sent < s.ejected_at;  // tells nothing new of a suspect
+    void record_outcome(EndpointState& s, const RequestState& r, const AttemptEnded& o) {
+        const bool early = s.ejected && r.sent_at < s.ejected_at;  // tells nothing new of a suspect
         switch (o.result) {
             case AttemptResult::served:
             case AttemptResult::prefill_done:
                 s.last_success = now_;
-                s.last_class_failure[cls(r)] = -kNever;
+                s.last_class_failure[class_index(r)] = -kNever;
                 s.connect_failed = false;
                 if (o.result == AttemptResult::prefill_done) record_completion(s, r, prefill);
                 if (r.stage == streaming) record_completion(s, r, streaming);
@@ -756,7 +773,7 @@
                 // Guards against a whole server shunned, and then taken for cold, for one connection: when it
                 // is down the next does not come up either. Covers connections reset as they open. May do
                 // harm by one more attempt, or one more wait for a connection, at a server that is gone.
-                s.last_class_failure[cls(r)] = now_;
+                s.last_class_failure[class_index(r)] = now_;
                 if (!std::exchange(s.connect_failed, true) && !s.ejected) return;
                 s.was_unreachable = true;
                 if (!early) eject(s);
@@ -766,7 +783,7 @@
                 return;
             case AttemptResult::timed_out:
                 remember_abandoned_prefill(s, r);
-                if (r.stopped) return;
+                if (r.cancelled) return;
                 [[fallthrough]];
             case AttemptResult::reset:
                 // Guards against servers shunned for streams that break off or are spoilt on the way, which
@@ -774,7 +791,7 @@
                 if (r.stage == streaming) return;
                 [[fallthrough]];
             case AttemptResult::error:
-                s.last_class_failure[cls(r)] = now_;
+                s.last_class_failure[class_index(r)] = now_;
                 if (early) return;
                 s.error_rate += kErrorRateStep * (o.result == AttemptResult::reset ? kResetWeight : 1) *
                                 (1 - s.error_rate);
@@ -785,7 +802,7 @@
                 return;
             case AttemptResult::cancelled:
                 remember_abandoned_prefill(s, r);
-                if (r.stopped && !r.excused) s.last_class_failure[cls(r)] = now_;
+                if (r.cancelled && !r.stalled_meanwhile) s.last_class_failure[class_index(r)] = now_;
                 return;
             case AttemptResult::not_sent:
                 return;
@@ -793,11 +810,11 @@
     }
 
     // A read that was given up on may still run: its memory counts for as long again as it has run.
-    void remember_abandoned_prefill(EndpointState& s, const Request& r) {
+    void remember_abandoned_prefill(EndpointState& s, const RequestState& r) {
         if (r.stage != prefill) return;
-        s.abandoned_prefills.push_back({now_ + (now_ - r.sent), r.a.prompt_tokens});
+        s.abandoned_prefills.push_back({now_ + (now_ - r.sent_at), r.arrival.prompt_tokens});
         endpoints_with_abandoned_prefills_.insert(s.endpoint.id);
-        s.reserved_tokens += r.a.prompt_tokens;
+        s.reserved_tokens += r.arrival.prompt_tokens;
     }
 
     // A suspect gets nothing for a while, then one request at a time, doubling with each success.
@@ -816,8 +833,8 @@
 
     // Whether a server is met too seldom for own queues to show the load: the list and times seen stand in.
     bool low_sample_rate() const {
-        return s_.gateways > kFewGateways &&
-               baseline_rate_[static_cast<std::size_t>(s_.kinds[0].role)] * kCompletionSpan < 1;
+        return settings_.gateways > kFewGateways &&
+               baseline_rate_[static_cast<std::size_t>(settings_.kinds[0].role)] * kCompletionSpan < 1;
     }
 
     // Nor do reports show it: a jam is met by chance, and what is met must be trusted less and acted on more.
@@ -835,7 +852,7 @@
     }
 
     // A finished stage speaks against its server being slow.
-    void record_completion(EndpointState& s, const Request& r, Stage stage) {
+    void record_completion(EndpointState& s, const RequestState& r, Stage stage) {
         s.slowness_evidence[stage] = std::max(0.0, s.slowness_evidence[stage] - std::log(kSlowFactor));
         if (!s.ejected) completion_time(stage, r).add_completion();
     }
@@ -844,27 +861,28 @@
     // completion against it. Covers silence, slow machines and stalled streams alike. May do harm when a few
     // long answers meet on one server: then it is left for a while without need.
     void on_health_tick() {
-        set_tick();
-        if (s_.discovery == Discovery::poll && now_ - last_watch_request_ > s_.poll_interval / 2)
+        schedule_health_tick();
+        if (settings_.discovery == Discovery::poll &&
+            now_ - last_watch_request_ > settings_.poll_interval / 2)
             watch_endpoints();
-        const Millis dt = now_ - checked_;
-        checked_ = now_;
+        const Millis dt = now_ - last_health_tick_;
+        last_health_tick_ = now_;
         std::map<EndpointId, std::array<bool, 3>>
             harmed;  // by work that has waited long, measured by its aim
         for (auto& [id, r] : requests_) {
-            EndpointState* s = r.out && !r.stopped ? find_endpoint(r.endpoint) : nullptr;
+            EndpointState* s = r.in_flight && !r.cancelled ? find_endpoint(r.endpoint) : nullptr;
             if (!s) continue;
-            const Millis expects = expected(r, r.stage);
-            const Millis age = now_ - (r.stage == streaming ? r.stage_since : r.sent);
+            const Millis expects = expected_time(r, r.stage);
+            const Millis age = now_ - (r.stage == streaming ? r.stage_since : r.sent_at);
             // What is out long past the usual tells of a long answer, no longer of its server.
             if (age < 3 * expects || r.stage != streaming) {
                 double& e = s->slowness_evidence[r.stage];
                 e = std::min(2 * kSlownessThreshold, e + dt / expects * (1 - 1 / kSlowFactor));
             }
-            if (!s->ejected) completion_time(r.stage, r).add_time(dt / r.units);
+            if (!s->ejected) completion_time(r.stage, r).add_time(dt / r.work_units);
             if (r.stage == streaming || age > 0.5 * latency_objective(r)) harmed[r.endpoint][r.stage] = true;
         }
-        survey_in_time();
+        refresh_fleet_stats_if_due();
         const double keep = std::exp(-dt / kCompletionSpan / 10);
         arrivals_seen_ *= keep;
         for (auto& [prefix, count] : shared_prefix_arrivals_) count *= keep;
@@ -906,32 +924,33 @@
     // says that nothing was heard for as long, so it is no time of those that have work out. Covers a stopped
     // process, a starved core and a long turn alike. May do harm when a server slows while this gateway
     // stands: its work out then is judged too kindly, once, by as much.
-    void watch() {
-        const Millis late = now_ - tick_due_;
-        if (late <= tick()) return;
-        tick_due_ = now_;
-        checked_ = std::min(now_, checked_ + late);
-        surveyed_ = std::min(now_, surveyed_ + late);
+    void detect_stall() {
+        const Millis late = now_ - next_health_tick_;
+        if (late <= health_interval()) return;
+        next_health_tick_ = now_;
+        last_health_tick_ = std::min(now_, last_health_tick_ + late);
+        stats_refreshed_at_ = std::min(now_, stats_refreshed_at_ + late);
         for (auto& [id, r] : requests_) {
-            if (!r.out) continue;
-            r.sent = std::min(now_, r.sent + late);
+            if (!r.in_flight) continue;
+            r.sent_at = std::min(now_, r.sent_at + late);
             r.stage_since = std::min(now_, r.stage_since + late);
-            r.excused = true;
+            r.stalled_meanwhile = true;
         }
     }
 
-    void set_tick() {
-        tick_due_ = now_ + tick();
-        act(SetTimer{kHealthTimer, tick_due_});
+    void schedule_health_tick() {
+        next_health_tick_ = now_ + health_interval();
+        emit(SetTimer{kHealthTimer, next_health_tick_});
     }
 
     // A survey each tick, or with many servers as seldom as its cost grows. Guards against a cost of an idle
     // gateway that grows with the fleet. May do harm by usual rates that are late by up to some ticks.
-    void survey_in_time() {
-        if (now_ < survey_due_) return;
-        survey(now_ - surveyed_);
-        surveyed_ = now_;
-        survey_due_ = now_ + tick() * (static_cast<double>(endpoints_.size() / kEndpointsPerStatsTick) - 0.5);
+    void refresh_fleet_stats_if_due() {
+        if (now_ < stats_due_) return;
+        refresh_fleet_stats(now_ - stats_refreshed_at_);
+        stats_refreshed_at_ = now_;
+        stats_due_ = now_ + health_interval() *
+                                (static_cast<double>(endpoints_.size() / kEndpointsPerStatsTick) - 0.5);
         forget_removed_endpoints();
     }
 
@@ -948,7 +967,7 @@
     // By role: the most that this gateway lately sent a warm server and the part of the servers that it does
     // not shun. By cell: shares of what is read and written and the readers' pull, by the list, so that
     // gateways agree; less where more of the aim was spent of late. Guards against jams and busier zones.
-    void survey(Millis dt) {
+    void refresh_fleet_stats(Millis dt) {
         const double keep = std::exp(-dt / kCompletionSpan / 3);
         double spent = 0, reads = 0, read = 0;
         std::map<int, Cell> zones;
@@ -972,7 +991,7 @@
             c.decode_share += s.can_decode();
             if (s.ejected) continue;
             ++left[role];
-            if (now_ - s.warming_since < s_.slow_start_duration) continue;
+            if (now_ - s.warming_since < settings_.slow_start_duration) continue;
             ++warm[role];
             sent[role] += s.send_rate.read(now_);
         }
@@ -1007,26 +1026,28 @@
     // Takes own requests off a server that has become slow or silent, within the retry budget.
     void migrate_off(EndpointState& s) {
         for (auto& [id, r] : requests_) {
-            if (!r.out || r.stopped || r.endpoint != s.endpoint.id || retries_ < 1) continue;
+            if (!r.in_flight || r.cancelled || r.endpoint != s.endpoint.id || retry_budget_ < 1) continue;
             // A slow read is moved only while its aim can be met, as it is lost work; a silent one always.
-            if (r.stage == prefill && s.last_success >= r.sent && now_ - r.sent > 0.8 * latency_objective(r))
+            if (r.stage == prefill && s.last_success >= r.sent_at &&
+                now_ - r.sent_at > 0.8 * latency_objective(r))
                 continue;
-            if (r.stage == streaming && s_.resume) {
-                retries_ -= 1;
-                r.stopped = true;
-                act(MoveStream{id});
-            } else if (r.stage != streaming && s_.cancel && !r.ended && r.attempts < s_.max_attempts - 1) {
-                stop(r);
+            if (r.stage == streaming && settings_.stream_migration) {
+                retry_budget_ -= 1;
+                r.cancelled = true;
+                emit(MigrateStream{id});
+            } else if (r.stage != streaming && settings_.cancellation && !r.closed &&
+                       r.attempt_count < settings_.max_attempts - 1) {
+                cancel_attempt(r);
             }
         }
     }
 
     // The wait for a first token that is to be expected now: behind the shortest own read queue, then behind
     // all own requests still before a stream, those being read among them, as they will join those.
-    Millis expected_wait(const Request& r) {
+    Millis expected_wait(const RequestState& r) {
         double ahead = 0;
         for (const auto& [id, own] : requests_)
-            ahead += own.out && own.stage != streaming && find_endpoint(own.endpoint);
+            ahead += own.in_flight && own.stage != streaming && find_endpoint(own.endpoint);
         double to_read = kNever;
         for (const Role role : {Role::prefill, Role::mixed}) {
             for (EndpointState* s : candidates(ring(role), prefill_window_key(r), prefill_candidates_)) {
@@ -1044,17 +1065,17 @@
         const Millis write = typical_time(decode_queued, r);
         // A queue is as long for a long prompt as for a usual one.
         const double own = std::min(uncached_kilotokens(r), typical_uncached_kilotokens_);
-        const Millis read = r.state ? 0 : typical_time(prefill, r) * (to_read + own);
+        const Millis read = r.lease_held ? 0 : typical_time(prefill, r) * (to_read + own);
         return std::max(read + write, write * (1 + ahead / std::max(1.0, writers)));
     }
 
     // What a stage takes at servers that answer. Guards against work that hangs at a few servers taken for a
     // wait that all have: it is out long and lifts the mean, but not the low quantile. Where none answers the
     // mean stands. May do harm where waits differ much: what is foreseen for the slower part is too short.
-    Millis typical_time(Stage stage, const Request& r) {
+    Millis typical_time(Stage stage, const RequestState& r) {
         const CompletionTime& time = completion_time(stage, r);
         if (time.completed() < 1) return time.value();
-        const double quantile = low_quantile_[stage].value() * (stage == prefill ? 1 : span(r, stage));
+        const double quantile = low_quantile_[stage].value() * (stage == prefill ? 1 : stage_work(r, stage));
         return std::min(time.value(), kTypicalQuantiles * quantile);
     }
 
@@ -1069,20 +1090,21 @@
     }
 
     // Sheds what earns least first: as the wait nears the aim, over-share tenants, then cheap classes.
-    bool should_shed(const Request& r) {
-        double value = s_.classes[cls(r)].priority_weight / max_priority_weight_;
-        const auto t = static_cast<std::size_t>(r.a.tenant);
-        if (r.a.tenant >= 0 && t < quota_left_.size() && s_.tenants[t].quota_per_s > 0) {
-            const double gain = s_.tenants[t].quota_per_s / s_.gateways / 1000;
-            quota_left_[t] = std::min(burst(s_.tenants[t]), quota_left_[t] + gain * (now_ - quota_at_[t]));
-            quota_at_[t] = now_;
+    bool should_shed(const RequestState& r) {
+        double value = settings_.classes[class_index(r)].priority_weight / max_priority_weight_;
+        const auto t = static_cast<std::size_t>(r.arrival.tenant);
+        if (r.arrival.tenant >= 0 && t < quota_left_.size() && settings_.tenants[t].quota_per_s > 0) {
+            const double gain = settings_.tenants[t].quota_per_s / settings_.gateways / 1000;
+            quota_left_[t] = std::min(quota_burst(settings_.tenants[t]),
+                                      quota_left_[t] + gain * (now_ - quota_updated_at_[t]));
+            quota_updated_at_[t] = now_;
             if (quota_left_[t] >= 1) {
                 quota_left_[t] -= 1;
             } else {
-                value *= s_.over_quota_weight;
+                value *= settings_.over_quota_weight;
             }
         }
-        if (r.a.resumed) return false;
+        if (r.arrival.resumed) return false;
         // What it takes by itself is no queue: guards against long prompts refused whatever the load.
         const Millis pace = std::min(low_quantile_[prefill].value(), completion_time(prefill, r).value());
         const Millis room = std::max(latency_objective(r) - pace * uncached_kilotokens(r),
@@ -1094,27 +1116,31 @@
         return queue > (no_load_signal() ? kNoSignalWaitFactor : 1) * room * (0.3 + 0.5 * value);
     }
 
-    double burst(const TenantSettings& t) const { return std::max(2.0, 2 * t.quota_per_s / s_.gateways); }
-    double retry_cap() const { return std::max(retry_least(), 6000 * arrivals_.read(now_)); }
+    double quota_burst(const TenantSettings& t) const {
+        return std::max(2.0, 2 * t.quota_per_s / settings_.gateways);
+    }
+    double max_retry_budget() const { return std::max(min_retry_budget(), 6000 * arrival_rate_.read(now_)); }
     // What a gateway starts with: of many, the sum counts.
-    double retry_least() const { return std::clamp(40.0 / s_.gateways, kMinRetryBudget, 20.0); }
+    double min_retry_budget() const { return std::clamp(40.0 / settings_.gateways, kMinRetryBudget, 20.0); }
 
     // ---- small helpers --------------------------------------------------------------------------------
 
     // Thousands of tokens that a read must work through: all but the shared beginning, and a little.
-    static double uncached_kilotokens(const Request& r) {
-        return 0.2 + std::max(0.0, r.a.prompt_tokens - r.a.shared_prefix_tokens) / 1000;
+    static double uncached_kilotokens(const RequestState& r) {
+        return 0.2 + std::max(0.0, r.arrival.prompt_tokens - r.arrival.shared_prefix_tokens) / 1000;
+    }
+    CompletionTime& completion_time(Stage stage, const RequestState& r) {
+        return completion_times_[stage][stage == prefill ? 0 : class_index(r)];
     }
-    CompletionTime& completion_time(Stage stage, const Request& r) {
-        return completion_times_[stage][stage == prefill ? 0 : cls(r)];
+    Millis expected_time(const RequestState& r, Stage stage) {
+        return completion_time(stage, r).value() * r.work_units;
     }
-    Millis expected(const Request& r, Stage stage) { return completion_time(stage, r).value() * r.units; }
-    std::size_t cls(const Request& r) const { return static_cast<std::size_t>(r.a.cls); }
-    Millis latency_objective(const Request& r) const {
-        const ClassSettings& c = s_.classes[cls(r)];
-        return c.latency_objective + c.latency_objective_per_1000_tokens * r.a.prompt_tokens / 1000;
+    std::size_t class_index(const RequestState& r) const { return static_cast<std::size_t>(r.arrival.cls); }
+    Millis latency_objective(const RequestState& r) const {
+        const ClassSettings& c = settings_.classes[class_index(r)];
+        return c.latency_objective + c.latency_objective_per_1000_tokens * r.arrival.prompt_tokens / 1000;
     }
-    Millis tick() const { return std::max(s_.step, min_latency_objective_ / 20); }
+    Millis health_interval() const { return std::max(settings_.event_interval, min_latency_objective_ / 20); }
     EndpointState* find_endpoint(EndpointId id) {
         const auto it = endpoints_.find(id);
         return it == endpoints_.end() ? nullptr : &it->second;
@@ -1122,17 +1148,18 @@
     double uniform() { return stats::unit_interval(random_()); }
     void watch_endpoints() {
         last_watch_request_ = now_;
-        act(WatchEndpoints{});
+        emit(WatchEndpoints{});
     }
-    void act(Action a) { actions_->push_back(std::move(a)); }
+    void emit(Action a) { actions_->push_back(std::move(a)); }
 
-    const Settings s_;
+    const Settings settings_;
     const std::uint64_t seed_;
     std::mt19937_64 random_;
     Millis now_ = 0;
     std::vector<Action>* actions_ = nullptr;
-    bool ticking_ = false;
-    Millis last_watch_request_ = 0, checked_ = 0, tick_due_ = 0, min_latency_objective_ = kNever;
+    bool started_ = false;
+    Millis last_watch_request_ = 0, last_health_tick_ = 0, next_health_tick_ = 0,
+           min_latency_objective_ = kNever;
     double max_priority_weight_ = 1e-9;
     std::map<EndpointId, EndpointState> endpoints_;
     // The healthy ones.
@@ -1143,13 +1170,13 @@
         decode_candidates_;                                   // of the choice under way
     bool scan_all_ = false;                                   // a window had none that can be used
     std::set<EndpointId> endpoints_with_abandoned_prefills_;  // servers with abandoned reads
-    Millis surveyed_ = 0, survey_due_ = 0;
+    Millis stats_refreshed_at_ = 0, stats_due_ = 0;
     std::map<std::uint64_t, Cell> cells_;
-    std::map<RequestId, Request> requests_;
+    std::map<RequestId, RequestState> requests_;
     std::map<std::uint64_t, RequestId> by_serial_;
     std::uint64_t serial_ = 0;
-    double retries_ = 0;
-    DecayingRate arrivals_{kRateSpan};
+    double retry_budget_ = 0;
+    DecayingRate arrival_rate_{kRateSpan};
     bool has_load_reports_ = false;                           // servers tell of their load
     std::map<std::uint64_t, double> shared_prefix_arrivals_;  // arrivals by shared beginning, fading
     double arrivals_seen_ = 0;                                // arrivals in all, fading
@@ -1160,7 +1187,7 @@
                                                   QuantileEstimate(kLowQuantile, kQuantileStep, 1)};
     std::array<double, 3> baseline_rate_{}, available_fraction_{1, 1, 1};  // by role: see survey
     std::vector<double> quota_left_;
-    std::map<std::size_t, Millis> quota_at_;
+    std::map<std::size_t, Millis> quota_updated_at_;
 };
 
 Router::Router(const Settings& settings, std::uint64_t seed)
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -113,15 +113,15 @@
     s.discovery = info.text("Discovery", "push") == "ask" ? Discovery::poll : Discovery::watch;
     s.poll_interval = info.num("Guarantees.AskWithinMs", 0);
     s.max_attempts = whole(info, "Ceilings.AttemptsCap", 1);
-    s.cancel = info.yes("Ceilings.Cancel");
-    s.second_copies = info.yes("Ceilings.SecondCopies");
+    s.cancellation = info.yes("Ceilings.Cancel");
+    s.hedging = info.yes("Ceilings.SecondCopies");
     s.health_checks = info.yes("Ceilings.Probes");
     s.slot_reservation = info.yes("FamilyInfo.Ahead");
     s.retry_after = info.yes("Ceilings.RetryAfter");
     s.local_prefill = info.yes("FamilyInfo.LocalRead");
-    s.resume = info.yes("FamilyInfo.Resume");
+    s.stream_migration = info.yes("FamilyInfo.Resume");
     s.max_retry_after = info.num("Ceilings.MaxRetryAfterMs", 0);
-    s.dial_timeout = info.num("Ceilings.DialTimeoutMs", 0);
+    s.connect_timeout = info.num("Ceilings.DialTimeoutMs", 0);
     s.over_quota_weight = info.num("OverShareWorth", 1);
     s.answer_slack = info.num("Guarantees.AnswerSlackMs", 0);
     s.drain_grace = info.num("Guarantees.DrainGraceMs", 0);
@@ -130,7 +130,7 @@
     s.overload_window = info.num("Guarantees.TipAfterMs", 0);
     s.initial_capacity = info.num("Guarantees.StartCapacity", 1);
     s.slow_start_duration = info.num("Guarantees.WarmWithinMs", 0);
-    s.step = info.num("StepMs", 1);
+    s.event_interval = info.num("StepMs", 1);
     named.idle_close = info.num("Ceilings.IdleCloseMs", 0);
     return named;
 }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -169,23 +169,23 @@
 
     void routing(const Element& e, const Element& g) {
         Settings& s = p_.module;
-        s.max_attempts = 6, s.cancel = true, s.retry_after = true;
-        s.max_retry_after = 5000, s.dial_timeout = 250, s.over_quota_weight = 0.05;
+        s.max_attempts = 6, s.cancellation = true, s.retry_after = true;
+        s.max_retry_after = 5000, s.connect_timeout = 250, s.over_quota_weight = 0.05;
         s.answer_slack = 50, s.drain_grace = 250, s.lease_release_timeout = 1000;
         s.overload_factor = 2.5, s.overload_window = 2000, s.initial_capacity = 0.3,
         s.slow_start_duration = 10000;
-        s.step = 2;  // the loop's timers are whole milliseconds; events come at once
+        s.event_interval = 2;  // the loop's timers are whole milliseconds; events come at once
         s.zones = static_cast<int>(p_.zones.size());
         if (e) {
             s.gateways = e.whole("gateways"), s.max_attempts = e.whole("max-attempts");
-            s.cancel = e.yes("cancel"), s.local_prefill = e.yes("local-read");
+            s.cancellation = e.yes("cancel"), s.local_prefill = e.yes("local-read");
             s.retry_after = e.yes("retry-after"), s.max_retry_after = e.number("max-retry-after-ms");
-            s.dial_timeout = e.number("dial-timeout-ms");
+            s.connect_timeout = e.number("dial-timeout-ms");
             s.over_quota_weight = e.number("over-share-worth");
             p_.source = e.text("source");
             if (e.has("seed")) p_.seed = e.large("seed");
             for (const auto& c : s.classes) {
-                if (s.dial_timeout >= c.deadline) {
+                if (s.connect_timeout >= c.deadline) {
                     fault(e,
                           "dial-timeout-ms reaches a class's deadline-ms: no second server could be tried");
                     break;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -210,13 +210,13 @@
         feed(part(f, 1),
              ReservationReply{part(f, 2), whole<EndpointId>(part(f, 4)), whole<int>(part(f, 5)) == 1});
     } else if (word == "client_gone") {
-        feed(part(f, 1), ClientGone{part(f, 2)});
+        feed(part(f, 1), ClientDisconnected{part(f, 2)});
     } else if (word == "ping_result") {
         feed(part(f, 1),
              HealthCheckResult{whole<EndpointId>(part(f, 3)), result(part(f, 2)) == AttemptResult::served,
                                number(part(f, 4)), report(part(f, 5))});
     } else if (word == "due") {
-        feed(part(f, 1), Due{whole<std::uint64_t>(part(f, 2))});
+        feed(part(f, 1), TimerFired{whole<std::uint64_t>(part(f, 2))});
     } else if (word == "fleet") {
         EndpointUpdate e;
         using Form = EndpointUpdate::Kind;
@@ -268,9 +268,9 @@
                    [&](const ReleaseLease& a) { say("drop_state", a.request); },
                    [&](const Reject& a) { say("reject", a.request, a.retry_after); },
                    [&](const Fail& a) { say("end_failed", a.request); },
-                   [&](const MoveStream& a) { say("reassign", a.request); },
+                   [&](const MigrateStream& a) { say("reassign", a.request); },
                    [&](const HealthCheck& a) { say("touch", a.endpoint); },
-                   [&](const SetTimer& a) { say("set_timer", a.label, a.at); },
+                   [&](const SetTimer& a) { say("set_timer", a.timer, a.at); },
                    [&](const WatchEndpoints&) { say("watch", 1); },
                    [&](const PollEndpoints&) { say("refresh"); }, [&](const Log& a) { say("log", a.text); }},
         action);
--- a/src/state/decision_journal.cpp
+++ b/src/state/decision_journal.cpp
@@ -46,7 +46,7 @@
             [](const ReservationReply& n) -> Json {
                 return {{"e", "place"}, {"r", n.request}, {"s", n.endpoint}, {"held", n.reserved}};
             },
-            [](const ClientGone& g) -> Json {
+            [](const ClientDisconnected& g) -> Json {
                 return {{"e", "gone"}, {"r", g.request}};
             },
             [](const EndpointUpdate& l) -> Json {
@@ -63,8 +63,8 @@
                         {"took", p.took},
                         {"load", report_json(p.report)}};
             },
-            [](const Due& d) -> Json {
-                return {{"e", "due"}, {"l", d.label}};
+            [](const TimerFired& d) -> Json {
+                return {{"e", "due"}, {"l", d.timer}};
             },
             [](const LeaseReleased& s) -> Json {
                 return {{"e", "released"}, {"r", s.request}};
@@ -119,7 +119,7 @@
     if (e == "first")
         return FirstToken{j.at("r"), whole<int>(j.at("n")), whole<EndpointId>(j.at("s")), j.at("took")};
     if (e == "place") return ReservationReply{j.at("r"), whole<EndpointId>(j.at("s")), j.at("held")};
-    if (e == "gone") return ClientGone{j.at("r")};
+    if (e == "gone") return ClientDisconnected{j.at("r")};
     if (e == "list") {
         EndpointUpdate l;
         l.kind = choice(j.at("form"), EndpointUpdate::Kind::failed);
@@ -136,7 +136,7 @@
     if (e == "probe")
         return HealthCheckResult{whole<EndpointId>(j.at("s")), j.at("good"), j.at("took"),
                                  report_of(j.at("load"))};
-    if (e == "due") return Due{whole<std::uint64_t>(j.at("l"))};
+    if (e == "due") return TimerFired{whole<std::uint64_t>(j.at("l"))};
     if (e == "released") return LeaseReleased{j.at("r")};
     if (e == "shutdown") return Shutdown{};
     throw std::runtime_error("unknown event '" + e + "'");
@@ -165,14 +165,14 @@
                                  [](const Fail& a) -> Json {
                                      return {{"a", "fail"}, {"r", a.request}};
                                  },
-                                 [](const MoveStream& a) -> Json {
+                                 [](const MigrateStream& a) -> Json {
                                      return {{"a", "move"}, {"r", a.request}};
                                  },
                                  [](const HealthCheck& a) -> Json {
                                      return {{"a", "probe"}, {"s", a.endpoint}};
                                  },
                                  [](const SetTimer& a) -> Json {
-                                     return {{"a", "timer"}, {"l", a.label}, {"at", a.at}};
+                                     return {{"a", "timer"}, {"l", a.timer}, {"at", a.at}};
                                  },
                                  [](const WatchEndpoints&) -> Json {
                                      return {{"a", "subscribe"}};
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -115,9 +115,9 @@
     p.module.classes[2].dedup_scope = DedupScope::cell, p.module.classes[2].dedup_window = 2000;
     p.module.tenants = {{0}};
     p.module.kinds = {{Role::prefill, 100000}, {Role::decode, 100000}};
-    p.module.max_attempts = 6, p.module.cancel = true, p.module.retry_after = true;
-    p.module.max_retry_after = 1000, p.module.dial_timeout = 200, p.module.answer_slack = 50;
-    p.module.lease_release_timeout = 1000, p.module.drain_grace = 250, p.module.step = 2;
+    p.module.max_attempts = 6, p.module.cancellation = true, p.module.retry_after = true;
+    p.module.max_retry_after = 1000, p.module.connect_timeout = 200, p.module.answer_slack = 50;
+    p.module.lease_release_timeout = 1000, p.module.drain_grace = 250, p.module.event_interval = 2;
     p.limits.open_requests = 1000;
     return p;
 }
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -318,7 +318,7 @@
     std::mt19937_64 random(seed);
     const auto dice = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
     CoreBench b;
-    b.p.module.cancel = dice(4) > 0;
+    b.p.module.cancellation = dice(4) > 0;
     b.begin(seed);
     struct Known {
         std::unique_ptr<FakeClient> client = std::make_unique<FakeClient>();
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -25,7 +25,7 @@
     EXPECT_EQ(c.named.classes.at("bulk job"), 1);
     EXPECT_EQ(s.own_zone, 1);
     EXPECT_EQ(s.kinds[1].role, Role::decode);
-    EXPECT_TRUE(s.resume && s.slot_reservation && s.cancel);
+    EXPECT_TRUE(s.stream_migration && s.slot_reservation && s.cancellation);
     EXPECT_EQ(c.named.idle_close, 15000);
 }
 
--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -350,8 +350,8 @@
     const auto handle = ask("t1", client);
     read_done();
     answer(kStream + chunked("data: a\n\n"));
-    relay.carry(MoveStream{std::to_string(handle)});
-    relay.carry(MoveStream{std::to_string(handle)});
+    relay.carry(MigrateStream{std::to_string(handle)});
+    relay.carry(MigrateStream{std::to_string(handle)});
     EXPECT_TRUE(client.cutoff);
     EXPECT_EQ(client.ended, 1);
     EXPECT_TRUE(last().closed);
--- a/tests/router/fleet_test.cpp
+++ b/tests/router/fleet_test.cpp
@@ -28,7 +28,7 @@
     Settings settings = [] {
         Settings s = plain_settings();
         s.gateways = 300;
-        s.dial_timeout = 250;
+        s.connect_timeout = 250;
         return s;
     }();
     // The server of the last action, if that is an attempt.
--- a/tests/router/guards_test.cpp
+++ b/tests/router/guards_test.cpp
@@ -49,7 +49,7 @@
                 where.erase(id);
             }
             bench->run_to(now);
-            for (const auto& m : bench->all<MoveStream>()) {
+            for (const auto& m : bench->all<MigrateStream>()) {
                 moved(where[m.request]);
                 bench->feed(now, outcome(m.request, 1, where[m.request], AttemptResult::cancelled, true));
                 where.erase(m.request);
@@ -94,7 +94,7 @@
             to = a.empty() ? 0 : a[0].endpoint;
         }
         if (to) bench->feed(now + 2, outcome(id, attempt, to, AttemptResult::prefill_done));
-        bench->feed(now + 3, ClientGone{id});
+        bench->feed(now + 3, ClientDisconnected{id});
     }
     EXPECT_LE(at_bad, 8);
 }
@@ -128,8 +128,8 @@
     bench->run_to(899);
     std::map<RequestId, EndpointId> at;
     for (int i = 0; i < 4; ++i) at["p" + std::to_string(i)] = read_at("p" + std::to_string(i), 900);
-    bench->feed(2900, ClientGone{"nobody"});  // the first that is heard after it
-    bench->run_to(2901);                      // and every timer that fell due meanwhile
+    bench->feed(2900, ClientDisconnected{"nobody"});  // the first that is heard after it
+    bench->run_to(2901);                              // and every timer that fell due meanwhile
     EXPECT_TRUE(bench->all<StopAttempt>().empty());
     for (const auto& [id, server] : at) {
         bench->feed(2902, outcome(id, 0, server, AttemptResult::prefill_done));
@@ -180,7 +180,7 @@
             const EndpointId to = read_at(id, now += 2);
             bench->feed(now += 1, outcome(id, 0, to, to == server ? result : AttemptResult::prefill_done));
             const auto a = bench->all<StartAttempt>();
-            bench->feed(now += 1, ClientGone{id});
+            bench->feed(now += 1, ClientDisconnected{id});
             if (!a.empty()) bench->feed(now, outcome(id, 1, a[0].endpoint, AttemptResult::not_sent, true));
             if (to == server) return true;
         }
@@ -259,7 +259,7 @@
             bench->feed(
                 now, outcome(id, 0, to, to == 1 ? AttemptResult::unreachable : AttemptResult::prefill_done));
             const auto a = bench->all<StartAttempt>();
-            bench->feed(now, ClientGone{id});
+            bench->feed(now, ClientDisconnected{id});
             if (!a.empty()) bench->feed(now, outcome(id, 1, a[0].endpoint, AttemptResult::not_sent, true));
         }
         bench->feed(30, list({reader(2), writer(11)}));
@@ -376,7 +376,7 @@
     bench->actions.clear();
     bench->router.handle(10, late, bench->actions);
     EXPECT_EQ(bench->all<Reject>().size(), 1u);
-    bench->checker.event(10, ClientGone{"late"});
+    bench->checker.event(10, ClientDisconnected{"late"});
 }
 
 TEST_F(Guards, TheDeadlineEndsARequestAndItsReadIsDropped) {
@@ -392,7 +392,7 @@
 TEST_F(Guards, AGoneClientsStateIsDropped) {
     start(plain_settings(), {reader(1), writer(11)});
     const EndpointId r = read_at("a", 10);
-    bench->feed(15, ClientGone{"a"});
+    bench->feed(15, ClientDisconnected{"a"});
     EXPECT_EQ(bench->all<StopAttempt>().size(), 1u);
     bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done, true));
     EXPECT_EQ(bench->all<ReleaseLease>().size(), 1u);
@@ -458,7 +458,7 @@
     Settings s = plain_settings();
     s.classes[0].idempotency = Idempotency::with_key;
     s.classes[0].dedup_window = 1000;
-    s.dial_timeout = 250;
+    s.connect_timeout = 250;
     for (const Millis reset_at : {600.0, 700.0}) {
         start(s, {reader(1), reader(2), writer(11), writer(12)});
         const EndpointId r = read_at("a", 10);
@@ -631,7 +631,7 @@
         bench->feed(1310 + i, outcome(id, 0, 1, AttemptResult::prefill_done));
     }
     bench->run_to(1700);
-    EXPECT_TRUE(bench->all<MoveStream>().empty());
+    EXPECT_TRUE(bench->all<MigrateStream>().empty());
 }
 
 TEST_F(Guards, ABurstIsShedBeforeItsReadsReachTheWriters) {
@@ -690,8 +690,8 @@
     bench->router.handle(1, FirstToken{"nobody", 0, 1, 1}, bench->actions);
     bench->router.handle(1, ReservationReply{"nobody", 1, true}, bench->actions);
     bench->router.handle(1, HealthCheckResult{999, true, 1, {}}, bench->actions);
-    bench->router.handle(1, ClientGone{"nobody"}, bench->actions);
-    bench->router.handle(1, Due{12345}, bench->actions);
+    bench->router.handle(1, ClientDisconnected{"nobody"}, bench->actions);
+    bench->router.handle(1, TimerFired{12345}, bench->actions);
     EXPECT_TRUE(bench->actions.empty());
 }
 
--- a/tests/router/hung_endpoint_test.cpp
+++ b/tests/router/hung_endpoint_test.cpp
@@ -59,7 +59,7 @@
             if (const auto* s = std::get_if<StopAttempt>(&action)) {
                 if (!out_[s->request].streams) end(now, s->request, AttemptResult::cancelled);
             }
-            if (const auto* m = std::get_if<MoveStream>(&action))
+            if (const auto* m = std::get_if<MigrateStream>(&action))
                 end(now, m->request, AttemptResult::cancelled, true);
             if (const auto* r = std::get_if<Reject>(&action)) shed += r->cause == EndCause::shed_load;
         }
--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -116,15 +116,15 @@
     std::mt19937_64 random(seed);
     const auto dice = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
     Settings s = plain_settings();
-    s.second_copies = dice(2);
+    s.hedging = dice(2);
     s.health_checks = dice(2);
     s.local_prefill = dice(2);
     s.slot_reservation = dice(2);
-    s.cancel = dice(4) > 0;
-    s.resume = dice(2);
+    s.cancellation = dice(4) > 0;
+    s.stream_migration = dice(2);
     s.retry_after = dice(2);
     s.max_retry_after = 500;
-    s.dial_timeout = 100;
+    s.connect_timeout = 100;
     s.discovery = dice(2) ? Discovery::poll : Discovery::watch;
     s.poll_interval = 10000;
     s.tenants = {{5}, {5}};
@@ -166,7 +166,7 @@
                 ended[r->request] = true;
             } else if (const auto* f = std::get_if<Fail>(&a)) {
                 ended[f->request] = true;
-            } else if (const auto* m = std::get_if<MoveStream>(&a)) {
+            } else if (const auto* m = std::get_if<MigrateStream>(&a)) {
                 ended[m->request] = true;
             }
         }
@@ -205,7 +205,7 @@
             // A host tells within the dial timeout that no connection came up.
             const bool never_up =
                 e.result == AttemptResult::unreachable || e.result == AttemptResult::not_sent;
-            if (never_up && now > o.sent + s.dial_timeout) e.result = AttemptResult::reset;
+            if (never_up && now > o.sent + s.connect_timeout) e.result = AttemptResult::reset;
             if (o.begun) e.result = dice(3) ? AttemptResult::served : AttemptResult::reset;
             if (e.result == AttemptResult::rejected) e.detail = dice(2);
             e.report.memory_utilization = dice(3) ? 0.01 * dice(100) : -1;
@@ -215,7 +215,7 @@
             feed(e);
         } else if (what < 95 && next > 0) {
             const RequestId id = "r" + std::to_string(dice(next));
-            if (!ended[id] && now < open[id].deadline) ended[id] = true, feed(ClientGone{id});
+            if (!ended[id] && now < open[id].deadline) ended[id] = true, feed(ClientDisconnected{id});
         } else if (what < 98) {
             EndpointUpdate e;
             e.kind = dice(3) ? EndpointUpdate::Kind::incremental : EndpointUpdate::Kind::full;
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -20,7 +20,7 @@
 void Checker::event(Millis now, const Event& event) {
     if (const auto* e = std::get_if<Arrival>(&event)) {
         requests_[e->request].a = *e;
-    } else if (const auto* g = std::get_if<ClientGone>(&event)) {
+    } else if (const auto* g = std::get_if<ClientDisconnected>(&event)) {
         if (const auto it = requests_.find(g->request); it != requests_.end()) it->second.ended = true;
     } else if (const auto* f = std::get_if<FirstToken>(&event)) {
         Request& r = requests_.at(f->request);
@@ -80,7 +80,7 @@
         if (r.ended) breach(now, "lost: attempt after the end");
         send(now, a->endpoint);
         if (!servers_.count(a->endpoint)) return;
-        if (out(r) > 0 && !s_.second_copies) breach(now, "twice: two attempts out");
+        if (out(r) > 0 && !s_.hedging) breach(now, "twice: two attempts out");
         const ClassSettings& c = s_.classes[static_cast<std::size_t>(r.a.cls)];
         const Endpoint& to = servers_.at(a->endpoint).entry;
         for (const Try& t : r.tries) {
@@ -116,7 +116,7 @@
     } else if (const auto* e = std::get_if<Reject>(&action)) {
         end(now, e->request, true);
     } else if (std::get_if<StopAttempt>(&action)) {
-        if (!s_.cancel) breach(now, "attempt stopped where that is forbidden");
+        if (!s_.cancellation) breach(now, "attempt stopped where that is forbidden");
     } else if (std::get_if<HealthCheck>(&action)) {
         if (!s_.health_checks) breach(now, "probe where that is forbidden");
     }
@@ -160,7 +160,7 @@
     router.handle(now, event, actions);
     for (const auto& a : actions) {
         checker.action(now, a);
-        if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(t->at, t->label);
+        if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(t->at, t->timer);
     }
     return actions;
 }
@@ -170,7 +170,7 @@
     while (!timers.empty() && timers.begin()->first <= now) {
         const auto [at, label] = *timers.begin();
         timers.erase(timers.begin());
-        feed(at, Due{label});
+        feed(at, TimerFired{label});
         gathered.insert(gathered.end(), actions.begin(), actions.end());
     }
     checker.time(now);
@@ -187,8 +187,8 @@
     s.zones = 2;
     s.gateways = 2;
     s.max_attempts = 6;
-    s.cancel = true;
-    s.resume = true;
+    s.cancellation = true;
+    s.stream_migration = true;
     s.answer_slack = 16;
     s.drain_grace = 250;
     s.lease_release_timeout = 500;
@@ -196,7 +196,7 @@
     s.overload_window = 2000;
     s.initial_capacity = 0.3;
     s.slow_start_duration = 10000;
-    s.step = 4;
+    s.event_interval = 4;
     return s;
 }
 
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -39,7 +39,7 @@
     const auto p = parse(kGood, "dir/f.xml", faults);
     EXPECT_EQ(p->engines.size(), 10u);
     EXPECT_EQ(p->module.classes[0].deadline, 5000);
-    EXPECT_EQ(p->module.dial_timeout, 250);
+    EXPECT_EQ(p->module.connect_timeout, 250);
     EXPECT_EQ(p->limits.stream_buffer, 32768u);  // defaults of the schema
     EXPECT_EQ(tenant_of(*p, "local-key"), 0);
     EXPECT_EQ(tenant_of(*p, "local-kez"), -1);
--- a/tests/state/state_test.cpp
+++ b/tests/state/state_test.cpp
@@ -84,7 +84,7 @@
     Settings s;
     s.classes = {{.latency_objective = 500, .deadline = 3000}};
     s.kinds = {{Role::prefill, 1000}, {Role::decode, 1000}};
-    s.max_attempts = 4, s.cancel = true;
+    s.max_attempts = 4, s.cancellation = true;
     return s;
 }
 
@@ -112,8 +112,8 @@
         o.report.memory_utilization = 0.1 * i;
         feed(10 + i / 7.0, o);
     }
-    feed(30, Due{0});
-    feed(31, ClientGone{"r3"});
+    feed(30, TimerFired{0});
+    feed(31, ClientDisconnected{"r3"});
 }
 
 std::string journal(const std::string& file, std::uint64_t seed) {
