--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -1,5 +1,5 @@
-// The life of a request in the Relay, against a world of the test's own: answers, releases, stops, clients
-// that leave, and every order of them.
+// The life of a request in the RequestLifecycle, against a world of the test's own: answers, releases, stops,
+// clients that leave, and every order of them.
 #include <map>
 #include <random>
 #include <set>
@@ -59,7 +59,7 @@
 
 TEST_F(RelayTest, AGoneClientsReadIsStoppedAndItsStateLetGoOfTwice) {
     const auto handle = ask("t1", client);
-    relay.client_gone(handle);
+    relay.on_client_disconnected(handle);
     EXPECT_TRUE(world.sent[0].closed);
     EXPECT_EQ(releases(), 1u);
     release();
@@ -72,7 +72,7 @@
 TEST_F(RelayTest, AReleaseIsTriedElsewhereUntilItIsAnswered) {
     const auto handle = ask("t1", client);
     read_done();
-    relay.client_gone(handle);
+    relay.on_client_disconnected(handle);
     ASSERT_EQ(releases(), 1u);
     const std::string first = last().address;
     pass(200);
@@ -102,7 +102,7 @@
     list("{\"seq\":9,\"whole\":true,\"hosts\":[" + rows + "]}");
     const auto handle = ask("t1", client);
     read_done();
-    relay.client_gone(handle);
+    relay.on_client_disconnected(handle);
     pass(160);
     ASSERT_EQ(releases(), 2u);
     const auto reads = [](const std::string& address) { return address < std::string("10.0.1.6"); };
@@ -130,8 +130,8 @@
     EXPECT_EQ(client.ended, 1);
     EXPECT_EQ(client.status, 503);
     for (auto& s : world.sent) {
-        if (s.request.rfind("DELETE", 0) == 0 && !s.attempt->over())
-            s.attempt->data("HTTP/1.1 204 No Content\r\n\r\n");
+        if (s.request.rfind("DELETE", 0) == 0 && !s.attempt->is_over())
+            s.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
     }
     pass(3000);
 }
@@ -143,7 +143,7 @@
     PlatformClient waiting;
     ask("t2", waiting);
     EXPECT_EQ(relay.streams(), 1u);
-    relay.hand_back(5);
+    relay.migrate_streams(5);
     EXPECT_TRUE(client.cutoff);
     EXPECT_EQ(relay.streams(), 0u);
     EXPECT_EQ(waiting.ended, 0);
@@ -163,7 +163,7 @@
         const std::size_t read = world.sent.size() - 1;
         EndpointId writer = 0;
         for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
-        relay.carry(ReserveSlot{std::to_string(handle), writer});
+        relay.execute(ReserveSlot{std::to_string(handle), writer});
         ASSERT_EQ(world.sent.size(), read + 2);
         EXPECT_EQ(last().request.rfind("POST /bootstrap/rooms/" + txn + " HTTP/1.1\r\n", 0), 0u);
         EXPECT_EQ(last().address, "10.0.0.3:1");
@@ -175,7 +175,7 @@
             EXPECT_TRUE(world.sent[call].closed) << "a silent writer keeps no connection for good";
         }
         const std::size_t before = releases();
-        relay.client_gone(handle);
+        relay.on_client_disconnected(handle);
         // Where the writer was silent a release is under way already, and several servers are asked at once.
         EXPECT_GE(releases(), before + 1) << "a place may be held whatever was answered";
         if (*status) {
@@ -191,10 +191,10 @@
     read_done();
     ASSERT_EQ(last().address, "10.0.0.3:1");
     const auto write = last().attempt;
-    EXPECT_TRUE(write->may_go());
+    EXPECT_TRUE(write->may_start());
     drain_writer();
-    EXPECT_FALSE(write->may_go());
-    write->not_sent();
+    EXPECT_FALSE(write->may_start());
+    write->on_not_sent();
     EXPECT_EQ(client.status, 503);
     settle();
 }
@@ -214,7 +214,7 @@
             << "no further one, only what releases the state";
     }
     EXPECT_EQ(releases(), 1u);
-    relay.client_gone(handle);  // and now it is read
+    relay.on_client_disconnected(handle);  // and now it is read
     EXPECT_EQ(client.ended, 0);
     settle();
 }
@@ -224,27 +224,27 @@
     world.dials_wait = true;
     const auto write_of = [&](const std::string& txn, PlatformClient& c) {
         const auto handle = ask(txn, c);
-        last().attempt->may_go();
-        last().attempt->handed();
+        last().attempt->may_start();
+        last().attempt->on_request_written();
         read_done();
         return std::pair(handle, last().attempt);
     };
     PlatformClient closes, leaves, expires;
     const auto [closing, unread] = write_of("t1", closes);
-    EXPECT_TRUE(unread->may_go());
+    EXPECT_TRUE(unread->may_start());
     closes.closed = true;
-    EXPECT_FALSE(unread->may_go()) << "its client has closed, which has not been read yet";
-    unread->not_sent();
+    EXPECT_FALSE(unread->may_start()) << "its client has closed, which has not been read yet";
+    unread->on_not_sent();
     EXPECT_EQ(closes.ended, 0);
     const auto [leaving, orphan] = write_of("t2", leaves);
-    relay.client_gone(leaving);
-    EXPECT_FALSE(orphan->may_go()) << "its client has gone";
-    orphan->not_sent();
+    relay.on_client_disconnected(leaving);
+    EXPECT_FALSE(orphan->may_start()) << "its client has gone";
+    orphan->on_not_sent();
     const auto [expiring, late] = write_of("t3", expires);
-    EXPECT_TRUE(late->may_go());
+    EXPECT_TRUE(late->may_start());
     world.clock += 5000;
-    EXPECT_FALSE(late->may_go()) << "its time is over";
-    late->not_sent();
+    EXPECT_FALSE(late->may_start()) << "its time is over";
+    late->on_not_sent();
     EXPECT_EQ(expires.status, 503);
     settle();
 }
@@ -252,17 +252,17 @@
 TEST_F(RelayTest, WhatDidNotLeaveWholeNeverRan) {
     world.dials_wait = true;
     ask("t1", client, 1);  // of the class whose requests may run once
-    last().attempt->may_go();
-    last().attempt->handed();
+    last().attempt->may_start();
+    last().attempt->on_request_written();
     read_done();
     const auto write = last().attempt;
-    ASSERT_TRUE(write->may_go());
-    write->sent();  // but its last byte is not out when the gateway ends
+    ASSERT_TRUE(write->may_start());
+    write->on_first_byte_sent();  // but its last byte is not out when the gateway ends
     relay.shutdown();
     EXPECT_EQ(client.ended, 1);
-    EXPECT_TRUE(write->over()) << "called off";
-    EXPECT_EQ(relay.counts().results[static_cast<int>(AttemptResult::not_sent)], 1u);
-    EXPECT_EQ(relay.counts().results[static_cast<int>(AttemptResult::cancelled)], 0u);
+    EXPECT_TRUE(write->is_over()) << "called off";
+    EXPECT_EQ(relay.counters().results[static_cast<int>(AttemptResult::not_sent)], 1u);
+    EXPECT_EQ(relay.counters().results[static_cast<int>(AttemptResult::cancelled)], 0u);
     settle();
 }
 
@@ -297,7 +297,7 @@
     const auto handle = ask("t1", client);
     read_done();
     const Millis began = world.clock;
-    relay.client_gone(handle);
+    relay.on_client_disconnected(handle);
     pass(250);
     EXPECT_GE(releases(), 8u) << "most servers have been asked";
     EXPECT_LE(world.clock, began + 300);
@@ -306,7 +306,7 @@
 
 TEST_F(ShortReleaseTest, TheSecondReleaseOfAReadCutOffComesInItsTime) {
     const auto handle = ask("t1", client);
-    relay.client_gone(handle);
+    relay.on_client_disconnected(handle);
     ASSERT_EQ(releases(), 1u);
     release();
     pass(120);
@@ -340,9 +340,9 @@
     for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
     drain_writer();
     const std::size_t before = world.sent.size();
-    relay.carry(ReserveSlot{std::to_string(handle), writer});
+    relay.execute(ReserveSlot{std::to_string(handle), writer});
     EXPECT_EQ(world.sent.size(), before);
-    relay.client_gone(handle);
+    relay.on_client_disconnected(handle);
     settle();
 }
 
@@ -350,8 +350,8 @@
     const auto handle = ask("t1", client);
     read_done();
     answer(kStream + chunked("data: a\n\n"));
-    relay.carry(MigrateStream{std::to_string(handle)});
-    relay.carry(MigrateStream{std::to_string(handle)});
+    relay.execute(MigrateStream{std::to_string(handle)});
+    relay.execute(MigrateStream{std::to_string(handle)});
     EXPECT_TRUE(client.cutoff);
     EXPECT_EQ(client.ended, 1);
     EXPECT_TRUE(last().closed);
@@ -390,7 +390,7 @@
                 for (std::size_t i = 0; i < seen; ++i) {
                     const auto& o = world.sent[i];
                     EXPECT_FALSE(!o.request.empty() && !release(o) && txn(o) == txn(s) && !o.closed &&
-                                 !o.attempt->over())
+                                 !o.attempt->is_over())
                         << "two attempts of " << txn(s);
                 }
             }
@@ -398,7 +398,8 @@
         const auto engine = [&](bool kindly) {  // one of those that wait does something
             std::vector<std::size_t> out;
             for (std::size_t i = 0; i < world.sent.size(); ++i) {
-                if (!world.sent[i].request.empty() && !world.sent[i].closed && !world.sent[i].attempt->over())
+                if (!world.sent[i].request.empty() && !world.sent[i].closed &&
+                    !world.sent[i].attempt->is_over())
                     out.push_back(i);
             }
             if (out.empty()) return false;
@@ -407,24 +408,24 @@
             const std::size_t how = kindly ? 0 : below(6);
             if (release(s)) {
                 if (how > 4)
-                    s.attempt->ended();
+                    s.attempt->on_connection_closed();
                 else
-                    s.attempt->data("HTTP/1.1 204 No Content\r\n\r\n");
+                    s.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
             } else if (how == 5) {
-                s.attempt->ended();
+                s.attempt->on_connection_closed();
             } else if (how == 4) {
-                s.attempt->data("HTTP/1.1 503 no\r\nx-turned-away: 1\r\ncontent-length: 0\r\n\r\n");
+                s.attempt->on_data("HTTP/1.1 503 no\r\nx-turned-away: 1\r\ncontent-length: 0\r\n\r\n");
             } else if (s.address != "10.0.0.3:1") {
                 held.insert(txn(s));
-                s.attempt->data("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}");
+                s.attempt->on_data("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}");
             } else if (how == 3) {
-                s.attempt->data("noise");
+                s.attempt->on_data("noise");
             } else {
                 held.erase(txn(s));  // the write has taken it
                 if (how < 2)
-                    s.attempt->data(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
+                    s.attempt->on_data(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
                 else
-                    s.attempt->data(kStream + chunked("data: a\n\n") + "zz");
+                    s.attempt->on_data(kStream + chunked("data: a\n\n") + "zz");
             }
             return true;
         };
@@ -439,7 +440,7 @@
             } else if (what == 7 && !asked.empty()) {
                 auto it = std::next(asked.begin(), static_cast<std::ptrdiff_t>(below(asked.size())));
                 if (it->second.client.ended == 0 && !it->second.gone)
-                    it->second.gone = true, relay.client_gone(it->second.handle);
+                    it->second.gone = true, relay.on_client_disconnected(it->second.handle);
             } else if (what == 8 && below(3) == 0) {
                 drained = !drained;
                 drain_writer(drained);
@@ -448,7 +449,7 @@
             }
             look();
         }
-        if (below(2) == 0) relay.hand_back(relay.streams()), relay.shutdown();
+        if (below(2) == 0) relay.migrate_streams(relay.streams()), relay.shutdown();
         for (int i = 0; i < 40; ++i) {
             while (engine(true)) look();
             pass(400);
@@ -456,7 +457,7 @@
         for (const auto& [id, a] : asked) EXPECT_EQ(a.client.ended, a.gone ? 0 : 1) << id;
         EXPECT_TRUE(held.empty()) << *held.begin() << " is still held";
         EXPECT_EQ(relay.open(), 0u);
-        EXPECT_EQ(relay.attempts_out(), 0u);
+        EXPECT_EQ(relay.attempts_in_flight(), 0u);
         EXPECT_EQ(relay.releases(), 0u);
         if (drained) drain_writer(false);
         if (HasFailure()) FAIL() << "seed " << seed;
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -15,7 +15,7 @@
 namespace gorsenotch::test {
 namespace {
 
-using proxy::Upstream;
+using proxy::ConnectionPool;
 
 const std::string kAnswer = "HTTP/1.1 204 No Content\r\n\r\n";
 
@@ -60,11 +60,11 @@
 struct UpstreamTest : ::testing::Test {
     net::Loop loop;
     RawServer server;
-    Upstream upstream{loop, config()};
+    ConnectionPool upstream{loop, config()};
 
-    static Upstream::Config config() {
-        Upstream::Config c;
-        c.rested = c.learn = true;
+    static ConnectionPool::Config config() {
+        ConnectionPool::Config c;
+        c.cooldown = c.learn_reuse = true;
         return c;
     }
     void run(net::Millis ms) {
@@ -75,7 +75,7 @@
     std::shared_ptr<platform::UpstreamExchange> start(std::optional<platform::AttemptOutcome>& end) {
         auto call =
             std::make_shared<platform::UpstreamExchange>(platform::UpstreamExchange::Kind::lease_call);
-        call->on_over = [&end](const platform::AttemptOutcome& e) { end = e; };
+        call->on_ended = [&end](const platform::AttemptOutcome& e) { end = e; };
         upstream.start(server.address(), "DELETE /x HTTP/1.1\r\n\r\n", call);
         return call;
     }
@@ -90,7 +90,7 @@
         server.write(0, kAnswer);
         run(40);
         ASSERT_TRUE(end && end->status == 204);
-        ASSERT_TRUE(upstream.idle_at(server.address()));
+        ASSERT_TRUE(upstream.has_idle(server.address()));
     }
     // A request that must come on the second connection and be answered.
     void expect_on_another() {
