--- a/bench/cost.cpp
+++ b/bench/cost.cpp
@@ -23,12 +23,12 @@
 // The waits of some processes over time, sampled every other millisecond.
 class Watch {
 public:
-    Watch(net::Loop& loop, std::vector<int> pids)
+    Watch(net::EventLoop& loop, std::vector<int> pids)
         : pids_(std::move(pids)), last_(pids_.size()), timer_(loop, [this] { sample(); }) {
         for (std::size_t i = 0; i < pids_.size(); ++i) last_[i] = sched_of(pids_[i]).waited;
         from_ = last_;
         began_ = previous_ = net::now();
-        timer_.after(2);
+        timer_.fire_after(2);
     }
     // Whether one of them waited while a request that began at `at` waited for its first token.
     bool disturbed(const Taken& t) const {
@@ -62,7 +62,7 @@
         // The wait is told when it has ended: it lay before this sample, perhaps before the last one.
         if (worst > kDisturbed) spans_.push_back({previous_ - worst, now});
         previous_ = now;
-        timer_.after(2);
+        timer_.fire_after(2);
     }
     std::vector<int> pids_;
     std::vector<double> last_, from_;
@@ -107,7 +107,7 @@
     return longest;
 }
 
-Round play(net::Loop& loop, const Process& p, const Process& engine, Load& l, const CostOptions& o) {
+Round play(net::EventLoop& loop, const Process& p, const Process& engine, Load& l, const CostOptions& o) {
     l.run(o.rate, 1);
     l.times.clear();
     l.events = l.done = l.begun = l.failed = 0;
@@ -158,7 +158,7 @@
 }
 
 int run_cost(const CostOptions& o) {
-    net::Loop loop;
+    net::EventLoop loop;
     pin(2);
     Setup s(loop, o.self, o.program, o.events, o.pace);
     if (s.gateway->ready.empty()) return std::fprintf(stderr, "the gateway did not start\n"), 4;
@@ -178,7 +178,7 @@
     Load loads[2] = {{loop, s.relay, request("/v1/chat/completions"), "\"content\":"},
                      {loop, s.gate, request("/v1/messages"), "text_delta"}};
     std::vector<Round> rounds[2];
-    loop.on_slow_turn = [&](Millis took, const net::Loop::Parts&) {
+    loop.on_slow_turn = [&](Millis took, const net::EventLoop::Activities&) {
         ++own_turns, own_longest = std::max(own_longest, took);
     };
     // Alternating, so that what else the machine does falls on both.
--- a/bench/engine.h
+++ b/bench/engine.h
@@ -14,15 +14,15 @@
 
 struct BenchEngine {
     struct Link {
-        std::unique_ptr<net::Stream> stream;
+        std::unique_ptr<net::TcpStream> stream;
         std::unique_ptr<net::Timer> timer;
         std::unique_ptr<http::Parser> parser;
         bool read = false;
         int left = 0;
         std::list<std::unique_ptr<Link>>::iterator self;
     };
-    net::Loop loop;
-    net::Listener listener{loop};
+    net::EventLoop loop;
+    net::TcpListener listener{loop};
     net::Timer burier{loop, [this] { dead.clear(); }};
     std::list<std::unique_ptr<Link>> links, dead;
     int events, pace;
@@ -36,7 +36,7 @@
         event("[DONE]") + std::string(http::last_chunk);
 
     BenchEngine(int e, int p) : events(e), pace(p) {
-        listener.on_stream = [this](std::unique_ptr<net::Stream> s) {
+        listener.on_stream = [this](std::unique_ptr<net::TcpStream> s) {
             links.push_back(std::make_unique<Link>());
             Link* l = links.back().get();
             l->self = std::prev(links.end());
@@ -52,9 +52,9 @@
                 l->stream.reset();
                 l->timer->stop();
                 dead.splice(dead.end(), links, l->self);
-                burier.after(0);
+                burier.fire_after(0);
             };
-            l->stream->read(true);
+            l->stream->set_reading(true);
         };
     }
     void begin(Link& l) {
@@ -77,7 +77,7 @@
     void step(Link& l) {
         if (!l.stream) return;
         l.stream->write(l.left-- > 0 ? token : last);
-        if (l.left >= 0) l.timer->after(pace);
+        if (l.left >= 0) l.timer->fire_after(pace);
     }
 };
 
--- a/bench/load.h
+++ b/bench/load.h
@@ -21,13 +21,13 @@
 
 struct Load {
     struct Link {
-        std::unique_ptr<net::Stream> stream;
+        std::unique_ptr<net::TcpStream> stream;
         std::unique_ptr<http::Parser> parser;
         Millis sent = 0, first = 0;
         bool busy = false, open = false;
         long events = 0;
     };
-    net::Loop& loop;
+    net::EventLoop& loop;
     std::string address, request, mark;
     std::vector<std::unique_ptr<Link>> links;
     std::vector<Link*> idle;
@@ -35,7 +35,7 @@
     long begun = 0, done = 0, failed = 0, events = 0;
     std::function<void()> on_done;
 
-    Load(net::Loop& l, std::string a, std::string r, std::string m)
+    Load(net::EventLoop& l, std::string a, std::string r, std::string m)
         : loop(l), address(std::move(a)), request(std::move(r)), mark(std::move(m)) {}
 
     void ask() {
@@ -48,7 +48,7 @@
         }
         links.push_back(std::make_unique<Link>());
         l = links.back().get();
-        l->stream = std::make_unique<net::Stream>(loop);
+        l->stream = std::make_unique<net::TcpStream>(loop);
         l->parser = std::make_unique<http::Parser>(http::Parser::Kind::response, http::Limits{16384, 100, 0});
         l->parser->on_body = [this, l](std::string_view b) {
             for (std::size_t at = 0; (at = b.find(mark, at)) != std::string_view::npos; at += mark.size())
@@ -65,7 +65,7 @@
         l->stream->connect(address, "", [this, l](int e) {
             if (e != 0) return end(*l, false);
             l->open = true;
-            l->stream->read(true);
+            l->stream->set_reading(true);
             send(*l);
         });
     }
@@ -86,8 +86,8 @@
     void run(double rate, double seconds, long most = 1L << 40) {
         const Millis began = net::now();
         // Arms itself anew: one that fires as the loop begins its turn would leave it asleep for good.
-        net::Timer timer(loop, [&timer] { timer.after(1); });
-        timer.after(1);
+        net::Timer timer(loop, [&timer] { timer.fire_after(1); });
+        timer.fire_after(1);
         while (true) {
             const Millis t = net::now() - began;
             const long due = std::min(most, static_cast<long>(rate * std::min(t, seconds * 1000) / 1000));
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -36,7 +36,7 @@
         bench::BenchEngine e(whole("--events", "30"), whole("--pace", "10"));
         if (e.listener.listen(at, 8192) != 0) return 4;
         std::cout << "ready" << std::endl;
-        e.loop.on_slow_turn = [](net::Millis length, const net::Loop::Parts&) {
+        e.loop.on_slow_turn = [](net::Millis length, const net::EventLoop::Activities&) {
             std::fprintf(stderr, "slow_turn %.2f\n", length);
         };
         e.loop.run();
--- a/bench/memory.cpp
+++ b/bench/memory.cpp
@@ -8,7 +8,7 @@
 namespace gorsenotch::bench {
 
 int run_streams(const std::string& self, const std::string& program, int streams) {
-    net::Loop loop;
+    net::EventLoop loop;
     Setup s(loop, self, program, 20, 1000);
     const double before = s.gateway->rss();
     Load l(loop, s.gate, request("/v1/messages"), "text_delta");
@@ -19,9 +19,9 @@
         int streaming = 0;
         for (const auto& x : l.links) streaming += x->busy && x->first > 0;
         open_most = std::max(open_most, streaming);
-        watch.after(200);
+        watch.fire_after(200);
     });
-    watch.after(200);
+    watch.fire_after(200);
     l.run(streams / 8.0, 8, streams);
     std::printf(
         "streams at once %d, requests %ld, failed %ld, RSS %.0f MB at start, %.0f MB at most: %.1f KiB a "
@@ -31,7 +31,7 @@
 }
 
 int run_leak(const std::string& self, const std::string& program, long requests, double rate) {
-    net::Loop loop;
+    net::EventLoop loop;
     Setup s(loop, self, program, 2, 0);
     Load l(loop, s.gate, request("/v1/messages"), "text_delta");
     l.on_done = [&] {
--- a/bench/setup.h
+++ b/bench/setup.h
@@ -10,8 +10,8 @@
 
 namespace gorsenotch::bench {
 
-inline int port_of(net::Loop& loop, const std::string& host) {
-    net::Listener l(loop);
+inline int port_of(net::EventLoop& loop, const std::string& host) {
+    net::TcpListener l(loop);
     return l.listen(host + ":0") == 0 ? l.port() : 0;
 }
 
@@ -30,7 +30,7 @@
     std::string self, program, folder, reader, writer, relay, gate;
     std::unique_ptr<Process> read_engine, write_engine, relay_process, gateway;
 
-    Setup(net::Loop& loop, const std::string& s, const std::string& p, int events, int pace)
+    Setup(net::EventLoop& loop, const std::string& s, const std::string& p, int events, int pace)
         : self(s), program(p) {
         char name[] = "/tmp/gorsenotch-bench-XXXXXX";
         folder = mkdtemp(name);
--- a/src/cli/processes.cpp
+++ b/src/cli/processes.cpp
@@ -32,8 +32,8 @@
 // The three signals that ask a process to stop. Made before anything that takes time: one that comes while
 // the process starts is held by the kernel's handler and told in the loop's first turn.
 struct Stop {
-    net::Signal term, interrupt, hangup;
-    Stop(net::Loop& loop, const std::function<void()>& f)
+    net::SignalWatcher term, interrupt, hangup;
+    Stop(net::EventLoop& loop, const std::function<void()>& f)
         : term(loop, SIGTERM, f), interrupt(loop, SIGINT, f), hangup(loop, SIGHUP, f) {}
 };
 
@@ -48,11 +48,11 @@
 // A gateway in this process, from its start to the end of its drain.
 class Serving {
 public:
-    Serving(net::Loop& loop, settings::Program program, const gateway::ServeOptions& options)
+    Serving(net::EventLoop& loop, settings::Program program, const gateway::ServeOptions& options)
         : loop_(loop), listen_(program.listen), gate_(loop, std::move(program), options) {}
     bool start() {
         if (const int e = gate_.start()) {
-            std::cerr << listen_ << ": " << net::text(e) << '\n';
+            std::cerr << listen_ << ": " << net::error_text(e) << '\n';
             return false;
         }
         std::cout << "ready " << url(listen_, gate_.port()) << std::endl;
@@ -65,7 +65,7 @@
     }
 
 private:
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     const std::string listen_;
     gateway::Gateway gate_;
     bool draining_ = false;
@@ -93,7 +93,7 @@
 
 int run_gateway(settings::Program program, const gateway::ServeOptions& options) {
     const Logging logging(program.log_level);
-    net::Loop loop;
+    net::EventLoop loop;
     Serving serving(loop, std::move(program), options);
     Stop stop(loop, [&] { serving.stop(); });
     if (!serving.start()) return kSystem;
@@ -106,12 +106,12 @@
     if (!p) return kRefused;
     auto o = engine_options(*p, a);
     if (!o) return kRefused;
-    net::Loop loop;
+    net::EventLoop loop;
     Stop stop(loop, [&] { loop.stop(); });
     fake_engine::Engine engine(loop, std::move(*o));
     std::string at;
     if (const int e = engine.start(at)) {
-        std::cerr << at << ": " << net::text(e) << '\n';
+        std::cerr << at << ": " << net::error_text(e) << '\n';
         return kSystem;
     }
     std::cout << "ready " << url(a.address, engine.port()) << std::endl;
@@ -125,8 +125,8 @@
     if (!listen.empty()) p->listen = listen;
     const Logging logging(p->log_level);
     // The order matters: what is declared later is gone before the loop and before the processes are.
-    net::Loop loop;
-    std::vector<std::unique_ptr<net::Child>> engines;
+    net::EventLoop loop;
+    std::vector<std::unique_ptr<net::ChildProcess>> engines;
     std::unique_ptr<Serving> serving;
     int code = 0;
     std::size_t listening = 0;
@@ -145,10 +145,10 @@
         code = kSystem;
         loop.stop();
     });
-    late.after(kStartWithin);
+    late.fire_after(kStartWithin);
     const auto all = p->engines;
     for (const auto& e : all) {
-        engines.push_back(std::make_unique<net::Child>(loop, [&, e](int status, int signal) {
+        engines.push_back(std::make_unique<net::ChildProcess>(loop, [&, e](int status, int signal) {
             if (!serving) {
                 return fail(
                     e, signal ? "signal " + std::to_string(signal) : "exit code " + std::to_string(status));
@@ -169,7 +169,7 @@
              p->kinds[static_cast<std::size_t>(e.endpoint.kind)], "--address", e.address},
             "");
         if (error != 0) {
-            fail(e, net::text(error));
+            fail(e, net::error_text(error));
             break;
         }
     }
@@ -218,7 +218,7 @@
         o.gateways.push_back(gateways.substr(from, comma - from));
         from = comma + 1;
     }
-    net::Loop loop;
+    net::EventLoop loop;
     int code = 0;
     fault_scenario::Clients clients(loop, std::move(o));
     Stop stop(loop, [&] {
--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -15,13 +15,13 @@
 
 class Engine::Link {
 public:
-    Link(Engine& e, std::unique_ptr<net::Stream> s, bool control)
+    Link(Engine& e, std::unique_ptr<net::TcpStream> s, bool control)
         : engine(e), stream(std::move(s)), parser(http::Parser::Kind::request, {}), is_control(control) {
         peer = stream->peer();
         stream->on_data = [this](std::string_view b) { data(b); };
         stream->on_end = [this](int) { engine.closed(*this); };
         parser.on_body = [this](std::string_view b) { body.append(b); };
-        stream->read(true);
+        stream->set_reading(true);
     }
 
     void data(std::string_view bytes) {
@@ -63,12 +63,12 @@
         if (!load.empty()) h.emplace_back("endpoint-load-metrics", load);
         if (last) h.emplace_back("connection", "close");
         write(http::response_head(status, h) + text);
-        if (last && stream) stream->shut();
+        if (last && stream) stream->shutdown_write();
         busy = false;
     }
 
     Engine& engine;
-    std::unique_ptr<net::Stream> stream;
+    std::unique_ptr<net::TcpStream> stream;
     http::Parser parser;
     std::string peer, body, request_body, pending, held, ask;
     bool is_control, busy = false, cut = false, gone = false;
@@ -76,7 +76,7 @@
 };
 
 struct Engine::Take {
-    std::unique_ptr<net::Stream> stream;
+    std::unique_ptr<net::TcpStream> stream;
     std::unique_ptr<net::Timer> timer;
     http::Parser parser{http::Parser::Kind::response, {}};
     std::string id;
@@ -98,7 +98,7 @@
 
 }  // namespace
 
-Engine::Engine(net::Loop& loop, EngineOptions options)
+Engine::Engine(net::EventLoop& loop, EngineOptions options)
     : loop_(loop),
       o_(std::move(options)),
       recorder_(o_.record),
@@ -118,13 +118,13 @@
 
 int Engine::start(std::string& at) {
     at = o_.address;
-    listener_ = std::make_unique<net::Listener>(loop_);
-    listener_->on_stream = [this](std::unique_ptr<net::Stream> s) { accept(std::move(s), false); };
+    listener_ = std::make_unique<net::TcpListener>(loop_);
+    listener_->on_stream = [this](std::unique_ptr<net::TcpStream> s) { accept(std::move(s), false); };
     if (const int e = listener_->listen(o_.address)) return e;
     if (!o_.control.empty()) {
         at = o_.control;
-        control_ = std::make_unique<net::Listener>(loop_);
-        control_->on_stream = [this](std::unique_ptr<net::Stream> s) { accept(std::move(s), true); };
+        control_ = std::make_unique<net::TcpListener>(loop_);
+        control_->on_stream = [this](std::unique_ptr<net::TcpStream> s) { accept(std::move(s), true); };
         if (const int e = control_->listen(o_.control)) return e;
     }
     const Config& c = o_.config;
@@ -149,7 +149,7 @@
     if (reports_.empty() || now - reports_.back().first > 20)
         reports_.emplace_back(now, model_.memory_share());
     while (reports_.size() > 1 && reports_[1].first <= now - report_delay_) reports_.pop_front();
-    timer_.after(std::min(next - now, 1000.0));
+    timer_.fire_after(std::min(next - now, 1000.0));
 }
 
 std::string Engine::load_header() {
@@ -165,7 +165,7 @@
                        [&](const std::string& from) { return link.peer.rfind(from, 0) == 0; });
 }
 
-void Engine::accept(std::unique_ptr<net::Stream> s, bool control) {
+void Engine::accept(std::unique_ptr<net::TcpStream> s, bool control) {
     links_.push_back(std::make_unique<Link>(*this, std::move(s), control));
     links_.back()->self = std::prev(links_.end());
     links_.back()->cut = true;
@@ -373,7 +373,7 @@
     Take& t = *takes_.back();
     t.self = std::prev(takes_.end());
     t.id = id;
-    t.stream = std::make_unique<net::Stream>(loop_);
+    t.stream = std::make_unique<net::TcpStream>(loop_);
     t.timer = std::make_unique<net::Timer>(loop_, [this, &t] { fetch_over(t, false); });
     t.parser.on_complete = [this, &t] { fetch_over(t, t.parser.status == 200); };
     t.stream->on_data = [&t](std::string_view b) {
@@ -386,13 +386,13 @@
         if (e != 0) return fetch_over(t, false);
         const auto a = asks_.find(t.id);
         const std::string text = Json{{"rid", a == asks_.end() ? "" : a->second.remote}}.dump();
-        t.stream->read(true);
+        t.stream->set_reading(true);
         t.stream->write(
             http::request_head("POST", "/take",
                                {{"host", "peer"}, {"content-length", std::to_string(text.size())}}) +
             text);
     });
-    t.timer->after(error != 0 ? 0 : 2000);
+    t.timer->fire_after(error != 0 ? 0 : 2000);
 }
 
 void Engine::fetch_over(Take& t, bool ok) {
@@ -402,7 +402,7 @@
     t.timer->stop();
     const std::string id = t.id;
     dead_takes_.splice(dead_takes_.end(), takes_, t.self);
-    burier_.after(0);
+    burier_.fire_after(0);
     model_.fetched(net::now(), id, ok);
     if (!ok) {
         if (const auto it = asks_.find(id); it != asks_.end()) {
@@ -524,7 +524,7 @@
     link.gone = true;
     link.stream.reset();
     dead_.splice(dead_.end(), links_, link.self);
-    burier_.after(0);
+    burier_.fire_after(0);
 }
 
 }  // namespace gorsenotch::fake_engine
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -36,7 +36,7 @@
 
 class Engine {
 public:
-    Engine(net::Loop& loop, EngineOptions options);
+    Engine(net::EventLoop& loop, EngineOptions options);
     ~Engine();
     int start(std::string& at);  // 0, or a libuv error of listening and the address that it is about
     int port() const { return listener_->port(); }
@@ -55,7 +55,7 @@
     };
     struct Take;  // a fetch of a state from its reader
 
-    void accept(std::unique_ptr<net::Stream> s, bool control);
+    void accept(std::unique_ptr<net::TcpStream> s, bool control);
     void handle(Link& link);
     void complete(Link& link, const std::string& body);
     void abort(Link& link, const std::string& body);
@@ -75,11 +75,11 @@
     void record(const char* event, invariants::Json fields);
     void arm();
 
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     EngineOptions o_;
     invariants::Recorder recorder_;
     Model model_;
-    std::unique_ptr<net::Listener> listener_, control_;
+    std::unique_ptr<net::TcpListener> listener_, control_;
     std::list<std::unique_ptr<Link>> links_, dead_;
     std::list<std::unique_ptr<Take>> takes_, dead_takes_;
     std::unordered_map<std::string, Ask> asks_;
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -24,7 +24,7 @@
 struct Day::Server {
     settings::Engine engine;
     std::string control;
-    std::unique_ptr<net::Child> child;
+    std::unique_ptr<net::ChildProcess> child;
     bool up = false, wanted = true;
     int lives = 0;
 };
@@ -32,7 +32,7 @@
 struct Day::Gate {
     int number = 0, zone = 0;
     std::string address, source, fleet, state, name;
-    std::unique_ptr<net::Child> child;
+    std::unique_ptr<net::ChildProcess> child;
     bool stopped = false;   // by SIGSTOP
     bool frozen = false;    // its list is held back
     bool expected = false;  // its end was ordered
@@ -44,7 +44,7 @@
     // The addresses of a day are its own: the first octet that no other day on this machine has claimed.
     for (int i = 0; i < 200; ++i) {
         octet_ = 16 + static_cast<int>((static_cast<unsigned>(::getpid()) + static_cast<unsigned>(i)) % 200u);
-        claim_ = std::make_unique<net::Listener>(loop_);
+        claim_ = std::make_unique<net::TcpListener>(loop_);
         if (claim_->listen(place(254, 254) + ":47") == 0) return;
     }
     error_ = "no loopback addresses are free";
@@ -79,7 +79,7 @@
 
 void Day::later(Millis delay, std::function<void()> what) {
     timers_.push_back(std::make_unique<net::Timer>(loop_, std::move(what)));
-    timers_.back()->after(delay);
+    timers_.back()->fire_after(delay);
 }
 
 DayResult Day::run() {
@@ -126,7 +126,7 @@
         error_ = "stopped by a signal";
         end();
     };
-    net::Signal term(loop_, SIGTERM, interrupt), sigint(loop_, SIGINT, interrupt),
+    net::SignalWatcher term(loop_, SIGTERM, interrupt), sigint(loop_, SIGINT, interrupt),
         hangup(loop_, SIGHUP, interrupt);
     later(15000, [this] {
         if (playing_ || ended_) return;
@@ -193,7 +193,7 @@
     ++s.lives;
     s.up = true;
     const std::string log = o_.out + "/engine-" + id + ".log";
-    s.child = std::make_unique<net::Child>(loop_, [this, &s, id, log](int status, int signal) {
+    s.child = std::make_unique<net::ChildProcess>(loop_, [this, &s, id, log](int status, int signal) {
         recorder_->write(net::now(), "down", {{"server", s.engine.endpoint.id}});
         s.up = false;
         // A crash that was ordered is a kill; an engine that ends by itself is a fault of the day.
@@ -202,7 +202,7 @@
     });
     hear(*s.child);
     if (const int e = s.child->spawn(args, log))
-        error_ = "engine " + id + ": " + net::text(e), system_ = true, end();
+        error_ = "engine " + id + ": " + net::error_text(e), system_ = true, end();
 }
 
 void Day::start_gate(Gate& g) {
@@ -227,7 +227,7 @@
                                      std::to_string(seed_ * 1000 + static_cast<std::uint64_t>(g.number))};
     g.expected = false;
     const std::string log = o_.out + "/gateway-" + std::to_string(g.number) + ".log";
-    g.child = std::make_unique<net::Child>(loop_, [this, &g, log](int status, int signal) {
+    g.child = std::make_unique<net::ChildProcess>(loop_, [this, &g, log](int status, int signal) {
         if (ended_) return;  // killed by end(): that is no fault of its own, and the first one has been told
         if (!playing_) return could_not_start("gateway " + g.name, log, status, signal);
         if (!g.expected || (stopping_ && (status != 0 || signal != 0)))
@@ -239,12 +239,12 @@
     });
     hear(*g.child);
     if (const int e = g.child->spawn(args, log))
-        error_ = "gateway " + g.name + ": " + net::text(e), system_ = true, end();
+        error_ = "gateway " + g.name + ": " + net::error_text(e), system_ = true, end();
 }
 
 // A process says `ready` on its standard output when it listens. Guards against another program on the
 // address, which would answer a connection just as well.
-void Day::hear(net::Child& child) {
+void Day::hear(net::ChildProcess& child) {
     if (playing_) return;
     ++starting_;
     child.on_line = [this](const std::string& line) {
@@ -297,13 +297,13 @@
             "--record",        o_.out + "/records/client-" + std::to_string(i) + ".ndjson"};
         if (!l.stream) args.push_back("--whole");
         if (l.keyed) args.push_back("--keyed");
-        clients_.push_back(std::make_unique<net::Child>(loop_, [this](int status, int signal) {
+        clients_.push_back(std::make_unique<net::ChildProcess>(loop_, [this](int status, int signal) {
             if (status != 0 || signal != 0) error_ = "a client process failed";
             if (--clients_out_ == 0) clients_done();
         }));
         ++clients_out_;
         if (const int e = clients_.back()->spawn(args, o_.out + "/client-" + std::to_string(i) + ".log"))
-            error_ = "client: " + net::text(e);
+            error_ = "client: " + net::error_text(e);
     }
     for (std::size_t i = 0; i < plan_.troubles.size(); ++i)
         later(plan_.troubles[i].at, [this, i] { play(plan_.troubles[i], i); });
@@ -474,12 +474,12 @@
 
 void Day::order(const Server& s, invariants::Json order) {
     if (!s.up) return;
-    calls_.push_back(std::make_unique<net::Stream>(loop_));
-    net::Stream* call = calls_.back().get();
+    calls_.push_back(std::make_unique<net::TcpStream>(loop_));
+    net::TcpStream* call = calls_.back().get();
     const std::string body = order.dump();
     call->connect(s.control, "", [call, body](int e) {
         if (e != 0) return;
-        call->read(true);
+        call->set_reading(true);
         call->write(
             http::request_head("POST", "/control",
                                {{"host", "control"}, {"content-length", std::to_string(body.size())}}) +
--- a/src/fault_scenario/scenario.h
+++ b/src/fault_scenario/scenario.h
@@ -72,7 +72,7 @@
     void start_server(Server& s, bool cold);
     void start_gate(Gate& g);
     void start_clients();
-    void hear(net::Child& child);
+    void hear(net::ChildProcess& child);
     void could_not_start(const std::string& what, const std::string& log, int status, int signal);
     void play(const Trouble& t, std::size_t number);
     std::vector<Server*> struck(const Trouble& t, std::mt19937_64& random);
@@ -95,14 +95,14 @@
 
     Plan plan_;
     DayOptions o_;
-    net::Loop loop_;
-    std::unique_ptr<net::Listener> claim_;  // says that this day's addresses are taken
+    net::EventLoop loop_;
+    std::unique_ptr<net::TcpListener> claim_;  // says that this day's addresses are taken
     std::unique_ptr<invariants::Recorder> recorder_;
     std::vector<std::unique_ptr<Server>> servers_;
     std::vector<std::unique_ptr<Gate>> gates_;
-    std::vector<std::unique_ptr<net::Child>> clients_;
+    std::vector<std::unique_ptr<net::ChildProcess>> clients_;
     std::list<std::unique_ptr<net::Timer>> timers_;
-    std::list<std::unique_ptr<net::Stream>> calls_;
+    std::list<std::unique_ptr<net::TcpStream>> calls_;
     std::uint64_t seed_ = 1;
     int octet_ = 1, clients_out_ = 0, next_place_ = 0;
     std::size_t starting_ = 0;  // processes that do not listen yet, before the clients come
--- a/src/fault_scenario/scripted_clients.cpp
+++ b/src/fault_scenario/scripted_clients.cpp
@@ -14,7 +14,7 @@
 struct Clients::Ask {
     Turn* turn = nullptr;
     std::string name, request, text;
-    std::unique_ptr<net::Stream> stream;
+    std::unique_ptr<net::TcpStream> stream;
     std::unique_ptr<net::Timer> timer;
     http::Parser parser{http::Parser::Kind::response, {}};
     http::SseReader sse{1 << 20};
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-Clients::Clients(net::Loop& loop, ClientOptions options)
+Clients::Clients(net::EventLoop& loop, ClientOptions options)
     : loop_(loop),
       o_(std::move(options)),
       recorder_(o_.record),
@@ -68,7 +68,7 @@
 void Clients::start(std::function<void()> done) {
     done_ = std::move(done);
     began_ = net::now();
-    arrivals_.after(o_.load.from);
+    arrivals_.fire_after(o_.load.from);
 }
 
 void Clients::next_arrival() {
@@ -86,7 +86,7 @@
     begin(std::move(turn));
     // per_s counts questions: conversations come as often as their turns allow.
     const double rate = l.per_s / l.turns;
-    arrivals_.after(-std::log(1 - uniform()) * 1000 / std::max(1e-6, rate));
+    arrivals_.fire_after(-std::log(1 - uniform()) * 1000 / std::max(1e-6, rate));
 }
 
 void Clients::begin(std::unique_ptr<Turn> turn) {
@@ -103,7 +103,7 @@
 
 void Clients::ask(Turn& turn) {
     const Load& l = o_.load;
-    if (turn.ask) dead_asks_.push_back(std::move(turn.ask)), burier_.after(0);
+    if (turn.ask) dead_asks_.push_back(std::move(turn.ask)), burier_.fire_after(0);
     turn.ask = std::make_unique<Ask>();
     Ask& a = *turn.ask;
     a.turn = &turn;
@@ -157,18 +157,18 @@
         }
     };
     a.sse.on_event = [this, &a](std::string_view n, std::string_view d) { event(a, n, d); };
-    a.stream = std::make_unique<net::Stream>(loop_);
+    a.stream = std::make_unique<net::TcpStream>(loop_);
     a.stream->on_data = [this, &a](std::string_view b) { data(a, b); };
     a.stream->on_end = [this, &a](int e) { ended(a, e); };
     a.timer = std::make_unique<net::Timer>(loop_, [this, &a] { overdue(a); });
     const int error = a.stream->connect(gateway, "", [this, &a, request](int e) {
         if (e != 0) return ended(a, e);
         a.connected = true;
-        a.stream->read(true);
+        a.stream->set_reading(true);
         a.stream->write(request);
     });
-    if (error != 0) return a.timer->after(0);
-    a.timer->after(leave > 0 ? leave : patience + o_.overdue);
+    if (error != 0) return a.timer->fire_after(0);
+    a.timer->fire_after(leave > 0 ? leave : patience + o_.overdue);
 }
 
 void Clients::data(Ask& a, std::string_view bytes) {
@@ -204,7 +204,7 @@
         if (const auto* id = http::find(a.parser.headers, "request-id")) a.request = *id;
         recorder_.write(net::now(), "first", {{"c", a.name}, {"id", a.request}});
         // From here the answer may take as long as it takes; a silent stream is still an ending owed.
-        a.timer->after(60000);
+        a.timer->fire_after(60000);
     }
     if (name == "content_block_delta") {
         const Json j = Json::parse(data, nullptr, false);
@@ -239,7 +239,7 @@
         wait = std::min(5000.0, std::atof(ms->c_str()));
     // The connection is heard a little longer, for bytes that must not come.
     a.over = true;
-    a.timer->after(50);
+    a.timer->fire_after(50);
     Turn& turn = *a.turn;
     if (status == 200 && ending == "whole") return over(turn, true);
     if (retry && turn.tries <= o_.load.retries) return again(turn, wait);
@@ -274,7 +274,7 @@
     a.timer->stop();
 }
 
-void Clients::again(Turn& turn, Millis wait) { turn.timer->after(wait + 30 * uniform()); }
+void Clients::again(Turn& turn, Millis wait) { turn.timer->fire_after(wait + 30 * uniform()); }
 
 void Clients::over(Turn& turn, bool go_on) {
     const bool more = go_on && turn.number + 1 < turn.of && net::now() - began_ < o_.length;
@@ -290,18 +290,18 @@
         turn.timer = std::make_unique<net::Timer>(loop_, [this, waiting, &turn] {
             dead_asks_.push_back(std::move(turn.ask));
             dead_turns_.splice(dead_turns_.end(), turns_, turn.self);
-            burier_.after(0);
+            burier_.fire_after(0);
             begin(std::move(*waiting));
         });
-        return turn.timer->after(think);
+        return turn.timer->fire_after(think);
     }
     turn.timer = std::make_unique<net::Timer>(loop_, [this, &turn] {
         if (turn.ask) dead_asks_.push_back(std::move(turn.ask));
         dead_turns_.splice(dead_turns_.end(), turns_, turn.self);
-        burier_.after(0);
+        burier_.fire_after(0);
         finish_if_done();
     });
-    turn.timer->after(60);
+    turn.timer->fire_after(60);
 }
 
 void Clients::finish_if_done() {
--- a/src/fault_scenario/scripted_clients.h
+++ b/src/fault_scenario/scripted_clients.h
@@ -37,7 +37,7 @@
 
 class Clients {
 public:
-    Clients(net::Loop& loop, ClientOptions options);
+    Clients(net::EventLoop& loop, ClientOptions options);
     ~Clients();
     void start(std::function<void()> done);
 
@@ -59,7 +59,7 @@
     double uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
     std::string judge_text(const Turn& turn, const std::string& text, bool whole) const;
 
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     ClientOptions o_;
     invariants::Recorder recorder_;
     std::mt19937_64 random_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -15,13 +15,13 @@
 constexpr Millis kSaveAgain = 500;  // until a list is saved again whose save failed
 }  // namespace
 
-Gateway::Gateway(net::Loop& loop, settings::Program program, const ServeOptions& options)
+Gateway::Gateway(net::EventLoop& loop, settings::Program program, const ServeOptions& options)
     : loop_(loop),
       p_(std::move(program)),
       options_(options),
       wakeup_timer_(loop,
                     [this] {
-                        const net::Doing doing(loop_, "timers");
+                        const net::ActivityScope doing(loop_, "timers");
                         return lifecycle_->tick();
                     }),
       drainer_(loop, [this] { drain_step(); }),
@@ -36,9 +36,11 @@
                                             p_.limits.engine_idle});
     lifecycle_ = std::make_unique<RequestLifecycle>(p_, seed, *this, api::messages::error_body);
     lifecycle_->on_wake = [this] { wakeup_timer_.wake(); };
-    loop_.on_slow_turn = [this](Millis length, const net::Loop::Parts& parts) { slow_turn(length, parts); };
-    loop_.on_sleep = [this](Millis due) { lifecycle_->before_poll(due); };
-    loop_.on_look = [this] { lifecycle_->after_poll(loop_.looked()); };
+    loop_.on_slow_turn = [this](Millis length, const net::EventLoop::Activities& parts) {
+        slow_turn(length, parts);
+    };
+    loop_.before_poll = [this](Millis due) { lifecycle_->before_poll(due); };
+    loop_.after_poll = [this] { lifecycle_->after_poll(loop_.last_poll()); };
     if (!options_.journal.empty()) {
         journal_ = state::open_journal(options_.journal, seed, [this](const std::string& why) {
             log("error", "journal", {{"why", why}});
@@ -49,7 +51,7 @@
 }
 
 Gateway::~Gateway() {
-    loop_.on_sleep = nullptr, loop_.on_look = nullptr, loop_.on_slow_turn = nullptr;
+    loop_.before_poll = nullptr, loop_.after_poll = nullptr, loop_.on_slow_turn = nullptr;
     if (lifecycle_) lifecycle_->on_wake = nullptr;
     server_.reset();
     lifecycle_.reset();
@@ -78,7 +80,7 @@
 
 void Gateway::on_stall(Millis for_ms) {
     // Guards against sends by a list that was replaced meanwhile: drains are counted from then.
-    if (watch_) watch_->look();
+    if (watch_) watch_->check_now();
     if (for_ms >= 100) log("warn", "stood_still", {{"ms", std::round(for_ms)}});
 }
 
@@ -102,19 +104,19 @@
         lifecycle_->on_endpoint_list(p_.engines, !p_.fleet_file.empty());
     }
     if (!p_.fleet_file.empty())
-        watch_ = std::make_unique<net::FileWatch>(loop_, p_.fleet_file, 20, [this] { read_fleet(); });
+        watch_ = std::make_unique<net::FileWatcher>(loop_, p_.fleet_file, 20, [this] { read_fleet(); });
     wakeup_timer_.wake();
     return server_->listen();
 }
 
 void Gateway::read_fleet() {
-    const net::Doing doing(loop_, "list");
+    const net::ActivityScope doing(loop_, "list");
     std::string text, why;
     std::vector<settings::FileFault> faults;
     std::optional<std::vector<settings::Engine>> engines;
     if (!settings::read_file(p_.fleet_file, text, why)) {
         // Guards against a list missed for good, as the file has not changed when it can be read again.
-        if (watch_) watch_->look_again();
+        if (watch_) watch_->report_again();
         if (std::exchange(unreadable_, true)) return;
         faults.push_back({0, "", why + "; tried again"});
     } else {
@@ -135,7 +137,7 @@
     saving_ = true;
     const auto why = std::make_shared<std::string>();
     const auto list = std::make_shared<std::string>(*std::exchange(to_save_, std::nullopt));
-    net::work(
+    net::run_on_thread_pool(
         loop_, [saved = saved_, list, why] { saved->save(*list, *why); },
         [this, alive = std::weak_ptr<bool>(alive_), list, why] {
             if (alive.expired()) return;
@@ -145,7 +147,7 @@
                 if (!std::exchange(save_failed_, true))
                     log("warn", "saved_list", {{"why", *why + "; tried again"}});
                 if (!to_save_) to_save_ = std::move(*list);
-                return save_again_.after(kSaveAgain);
+                return save_again_.fire_after(kSaveAgain);
             }
             save_failed_ = false;
             if (to_save_) save_list(std::move(*to_save_));
@@ -153,7 +155,7 @@
 }
 
 // At most one line a second: a process that is short of a core should not write of it all the time.
-void Gateway::slow_turn(Millis length, const net::Loop::Parts& parts) {
+void Gateway::slow_turn(Millis length, const net::EventLoop::Activities& parts) {
     ++slow_turns_;
     if (net::now() < slow_told_ + 1000) return;
     slow_told_ = net::now();
@@ -173,12 +175,12 @@
 }
 
 void Gateway::drain_step() {
-    if (!ended_ && lifecycle_->open() > 0 && net::now() < drain_until_) return drainer_.after(20);
+    if (!ended_ && lifecycle_->open() > 0 && net::now() < drain_until_) return drainer_.fire_after(20);
     if (!ended_) {
         // The last answers and let-gos still have to leave.
         ended_ = true;
         lifecycle_->end_all();
-        return drainer_.after(200);
+        return drainer_.fire_after(200);
     }
     if (drained_) drained_();
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -19,7 +19,7 @@
 
 class Gateway : public Environment {
 public:
-    Gateway(net::Loop& loop, settings::Program program, const ServeOptions& options);
+    Gateway(net::EventLoop& loop, settings::Program program, const ServeOptions& options);
     ~Gateway() override;
 
     // 0 or a libuv error of listening. Then clients are served.
@@ -43,10 +43,10 @@
 
     void read_fleet();
     void save_list(std::string text);
-    void slow_turn(Millis length, const net::Loop::Parts& parts);
+    void slow_turn(Millis length, const net::EventLoop::Activities& parts);
     void drain_step();
 
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     const settings::Program p_;
     const ServeOptions options_;
     std::unique_ptr<state::DecisionObserver> journal_;
@@ -65,7 +65,7 @@
     bool ended_ = false;
     Millis drain_until_ = 0;
     std::function<void()> drained_;
-    std::unique_ptr<net::FileWatch> watch_;
+    std::unique_ptr<net::FileWatcher> watch_;
 };
 
 }  // namespace gorsenotch::gateway
--- a/src/gateway/http_server.cpp
+++ b/src/gateway/http_server.cpp
@@ -19,7 +19,7 @@
 // One connection: one request at a time, pipelined ones wait their turn.
 class HttpServer::Connection : public Client {
 public:
-    Connection(HttpServer& server, std::unique_ptr<net::Stream> stream)
+    Connection(HttpServer& server, std::unique_ptr<net::TcpStream> stream)
         : s_(server),
           stream_(std::move(stream)),
           parser_(http::Parser::Kind::request,
@@ -32,8 +32,8 @@
         parser_.on_body = [this](std::string_view b) {
             if (!early_) request_.body.append(b);
         };
-        timer_.after_look(s_.p_.limits.idle_ms);
-        stream_->read(true);
+        timer_.fire_after_poll(s_.p_.limits.idle_ms);
+        stream_->set_reading(true);
     }
 
     bool idle() const {
@@ -48,7 +48,7 @@
     }
     // Guards against a request that came before the drain and is lost with a reset: it is read and refused.
     void shut_idle() {
-        if (idle() && pending_.empty() && !stream_->unread()) close();
+        if (idle() && pending_.empty() && !stream_->has_unread_input()) close();
     }
     Connections::iterator self;
 
@@ -110,7 +110,7 @@
         if (unsent_) return;
         unsent_ = true;
         s_.unsent_.push_back(this);
-        s_.turn_.ask();
+        s_.turn_.schedule();
     }
 
 public:
@@ -119,18 +119,18 @@
         if (!stream_) return;
         stream_->write(std::exchange(out_, {}));
         s_.most_waiting_ = std::max(s_.most_waiting_, stream_->queued());
-        if (closing_ && stream_->queued() == 0) return stream_->shut();
+        if (closing_ && stream_->queued() == 0) return stream_->shutdown_write();
         // Back-pressure: the engine's socket is not read while this client is behind.
         if (begun_ && open_ && !congested_ && stream_->queued() > s_.p_.limits.stream_buffer) {
             congested_ = true;
-            timer_.after_look(s_.p_.limits.stream_idle_ms);
+            timer_.fire_after_poll(s_.p_.limits.stream_idle_ms);
             s_.lifecycle_.on_client_congested(id_, true);
         }
     }
 
 private:
     void drained() {
-        if (closing_) return out_.empty() ? stream_->shut() : flush();
+        if (closing_) return out_.empty() ? stream_->shutdown_write() : flush();
         if (!congested_) return;
         congested_ = false;
         timer_.stop();
@@ -138,12 +138,12 @@
     }
 
     void data(std::string_view bytes) {
-        const net::Doing doing(s_.loop_, "clients");
+        const net::ActivityScope doing(s_.loop_, "clients");
         if (closing_) return;
         if (busy_ || !pending_.empty()) {
             pending_.append(bytes);
             // Guards against memory taken by what waits behind an answer.
-            if (pending_.size() > s_.p_.limits.header_bytes) stream_->read(false);
+            if (pending_.size() > s_.p_.limits.header_bytes) stream_->set_reading(false);
             return;
         }
         feed(bytes);
@@ -152,7 +152,7 @@
     void feed(std::string_view bytes) {
         std::string rest;
         while (!bytes.empty() && stream_ && !closing_) {
-            if (!parser_.begun()) timer_.after_look(s_.p_.limits.header_ms);
+            if (!parser_.begun()) timer_.fire_after_poll(s_.p_.limits.header_ms);
             const std::size_t n = parser_.feed(bytes);
             bytes.remove_prefix(std::min(n, bytes.size()));
             if (parser_.fault() != http::Fault::none) return refuse_faulty();
@@ -163,7 +163,7 @@
             if (busy_ || !stream_ || closing_) return;
             rest = std::exchange(pending_, {});
             bytes = rest;
-            if (bytes.empty()) timer_.after_look(s_.p_.limits.idle_ms);
+            if (bytes.empty()) timer_.fire_after_poll(s_.p_.limits.idle_ms);
         }
     }
 
@@ -173,7 +173,7 @@
         begun_ = false;
         request_ = {parser_.method, parser_.target.substr(0, parser_.target.find('?')), parser_.headers, {}};
         early_ = precheck(s_.p_, request_, id_);
-        timer_.after_look(s_.p_.limits.body_ms);
+        timer_.fire_after_poll(s_.p_.limits.body_ms);
         const auto* expect = http::find(request_.headers, "expect");
         if (expect && !early_ && parser_.minor >= 1 && *expect == "100-continue")
             write("HTTP/1.1 100 Continue\r\n\r\n");
@@ -230,16 +230,16 @@
             closing_ = true;
             // What the client still sends is read and dropped: a close with unread bytes would reset the
             // connection and could take the answer with it.
-            stream_->read(true);
-            timer_.after(kLinger);
+            stream_->set_reading(true);
+            timer_.fire_after(kLinger);
             return;
         }
-        timer_.after_look(s_.p_.limits.idle_ms);
-        stream_->read(true);
+        timer_.fire_after_poll(s_.p_.limits.idle_ms);
+        stream_->set_reading(true);
         if (pending_.empty()) return;
         // The next request waits in the buffer; taken in a turn of its own, so that a long row of them does
         // not grow the stack.
-        timer_.after(0);
+        timer_.fire_after(0);
     }
 
     void overdue() {
@@ -272,7 +272,7 @@
     }
 
     HttpServer& s_;
-    std::unique_ptr<net::Stream> stream_;
+    std::unique_ptr<net::TcpStream> stream_;
     http::Parser parser_;
     net::Timer timer_;
     std::string id_, pending_, out_;
@@ -283,7 +283,7 @@
     bool unsent_ = false, away_ = false;
 };
 
-HttpServer::HttpServer(net::Loop& loop, const settings::Program& program, RequestLifecycle& core,
+HttpServer::HttpServer(net::EventLoop& loop, const settings::Program& program, RequestLifecycle& core,
                        Environment& ports, std::uint64_t instance)
     : loop_(loop),
       p_(program),
@@ -301,8 +301,8 @@
 HttpServer::~HttpServer() = default;
 
 int HttpServer::listen() {
-    listener_ = std::make_unique<net::Listener>(loop_);
-    listener_->on_stream = [this](std::unique_ptr<net::Stream> s) { accept(std::move(s)); };
+    listener_ = std::make_unique<net::TcpListener>(loop_);
+    listener_->on_stream = [this](std::unique_ptr<net::TcpStream> s) { accept(std::move(s)); };
     listener_->on_error = [this](int e) { accept_failed(e); };
     return listener_->listen(p_.listen);
 }
@@ -314,13 +314,13 @@
     const Millis now = net::now();
     if (now - accept_told_ < kBetweenLines) return;
     accept_told_ = now;
-    environment_.log("warn", "accept", {{"error", net::text(error)}, {"failures", accept_failures_}});
+    environment_.log("warn", "accept", {{"error", net::error_text(error)}, {"failures", accept_failures_}});
 }
 
 int HttpServer::port() const { return listener_ ? listener_->port() : 0; }
 
-void HttpServer::accept(std::unique_ptr<net::Stream> stream) {
-    const net::Doing doing(loop_, "accepts");
+void HttpServer::accept(std::unique_ptr<net::TcpStream> stream) {
+    const net::ActivityScope doing(loop_, "accepts");
     // Guards against descriptors running out, which would leave clients without any answer. Beyond the limit
     // a few at a time are still told so; a flood beyond these is closed.
     const bool over = all_.size() - turned_away_ >= most_;
@@ -331,7 +331,7 @@
 }
 
 void HttpServer::flush() {
-    const net::Doing doing(loop_, "writes");
+    const net::ActivityScope doing(loop_, "writes");
     const auto now = std::exchange(unsent_, {});
     for (auto* c : now) c->flush();
 }
@@ -339,7 +339,7 @@
 void HttpServer::remove(Connection& c) {
     std::erase(unsent_, &c);
     dead_.splice(dead_.end(), all_, c.self);
-    burier_.after(0);
+    burier_.fire_after(0);
 }
 
 std::string HttpServer::next_id() {
@@ -351,7 +351,7 @@
 void HttpServer::drain() {
     draining_ = true;
     // What waits to be accepted is answered too; it would be reset with the listener.
-    if (listener_) listener_->take_pending();
+    if (listener_) listener_->accept_all_pending();
     listener_.reset();
     std::vector<Connection*> now;
     for (auto& c : all_) now.push_back(c.get());
--- a/src/gateway/http_server.h
+++ b/src/gateway/http_server.h
@@ -12,8 +12,8 @@
 
 class HttpServer {
 public:
-    HttpServer(net::Loop& loop, const settings::Program& program, RequestLifecycle& core, Environment& ports,
-               std::uint64_t instance);
+    HttpServer(net::EventLoop& loop, const settings::Program& program, RequestLifecycle& core,
+               Environment& ports, std::uint64_t instance);
     ~HttpServer();
 
     int listen();  // on the settings' address; 0 or a libuv error
@@ -28,13 +28,13 @@
     friend class Connection;
     class Connection;
     using Connections = std::list<std::unique_ptr<Connection>>;
-    void accept(std::unique_ptr<net::Stream> stream);
+    void accept(std::unique_ptr<net::TcpStream> stream);
     void accept_failed(int error);
     void remove(Connection& c);
     std::string next_id();
     void flush();
 
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     const settings::Program& p_;
     RequestLifecycle& lifecycle_;
     Environment& environment_;
@@ -46,10 +46,10 @@
     bool draining_ = false;
     std::uint64_t accept_failures_ = 0;  // since the start
     Millis accept_told_ = -1e18;         // when the log last told of them
-    std::unique_ptr<net::Listener> listener_;
+    std::unique_ptr<net::TcpListener> listener_;
     Connections all_, dead_;
     std::vector<Connection*> unsent_;  // have written in this turn
-    net::Turn turn_;
+    net::DeferredCall turn_;
     net::Timer burier_;
 };
 
--- a/src/net/child_process.cpp
+++ b/src/net/child_process.cpp
@@ -21,11 +21,11 @@
 
 }  // namespace
 
-struct Child::Handle {
+struct ChildProcess::Handle {
     uv_process_t uv{};
     uv_pipe_t out{};
     uv_loop_t* loop = nullptr;
-    Child* owner = nullptr;
+    ChildProcess* owner = nullptr;
     Exited exited;
     bool running = false;
     int pid = 0, open = 0;
@@ -53,31 +53,31 @@
     }
 };
 
-Child::Child(Loop& loop, Exited exited) : h_(new Handle) {
-    h_->loop = loop.raw();
-    h_->exited = std::move(exited);
-    h_->owner = this;
+ChildProcess::ChildProcess(EventLoop& loop, Exited exited) : handle_(new Handle) {
+    handle_->loop = loop.raw();
+    handle_->exited = std::move(exited);
+    handle_->owner = this;
 }
 
-Child::~Child() {
-    h_->owner = nullptr;
-    if (h_->running) {
+ChildProcess::~ChildProcess() {
+    handle_->owner = nullptr;
+    if (handle_->running) {
         // Guards against a process that outlives its parent and keeps its ports: it is waited for here, since
         // the loop may not turn again. A killed process ends in about a millisecond; one that hangs in the
         // kernel (a dead disk) would hold the parent here as long.
-        ::kill(h_->pid, SIGKILL);
-        while (::waitpid(h_->pid, nullptr, 0) < 0 && errno == EINTR) {
+        ::kill(handle_->pid, SIGKILL);
+        while (::waitpid(handle_->pid, nullptr, 0) < 0 && errno == EINTR) {
         }
     }
-    if (h_->open == 0) {
-        delete h_;
+    if (handle_->open == 0) {
+        delete handle_;
         return;
     }
-    h_->close(reinterpret_cast<uv_handle_t*>(&h_->uv));
-    h_->close(reinterpret_cast<uv_handle_t*>(&h_->out));
+    handle_->close(reinterpret_cast<uv_handle_t*>(&handle_->uv));
+    handle_->close(reinterpret_cast<uv_handle_t*>(&handle_->out));
 }
 
-int Child::spawn(const std::vector<std::string>& args, const std::string& log) {
+int ChildProcess::spawn(const std::vector<std::string>& args, const std::string& log) {
     std::vector<char*> argv;
     for (const auto& a : args) argv.push_back(const_cast<char*>(a.c_str()));
     argv.push_back(nullptr);
@@ -89,12 +89,12 @@
     environment.push_back(const_cast<char*>(parent.c_str()));
     environment.push_back(nullptr);
     const int fd = log.empty() ? -1 : ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-    h_->uv.data = h_->out.data = h_;
-    uv_pipe_init(h_->loop, &h_->out, 0);
+    handle_->uv.data = handle_->out.data = handle_;
+    uv_pipe_init(handle_->loop, &handle_->out, 0);
     uv_stdio_container_t io[3];
     io[0].flags = UV_IGNORE;
     io[1].flags = static_cast<uv_stdio_flags>(UV_CREATE_PIPE | UV_WRITABLE_PIPE);
-    io[1].data.stream = reinterpret_cast<uv_stream_t*>(&h_->out);
+    io[1].data.stream = reinterpret_cast<uv_stream_t*>(&handle_->out);
     io[2].flags = log.empty() || fd >= 0 ? UV_INHERIT_FD : UV_IGNORE;
     io[2].data.fd = log.empty() ? 2 : fd;
     uv_process_options_t o{};
@@ -111,14 +111,14 @@
         const auto f = h->exited;
         if (f) f(static_cast<int>(status), signal);
     };
-    h_->open = 2;
-    const int e = uv_spawn(h_->loop, &h_->uv, &o);
+    handle_->open = 2;
+    const int e = uv_spawn(handle_->loop, &handle_->uv, &o);
     if (fd >= 0) ::close(fd);
     if (e != 0) return e;
-    h_->running = true;
-    h_->pid = h_->uv.pid;
+    handle_->running = true;
+    handle_->pid = handle_->uv.pid;
     return uv_read_start(
-        reinterpret_cast<uv_stream_t*>(&h_->out),
+        reinterpret_cast<uv_stream_t*>(&handle_->out),
         [](uv_handle_t* u, std::size_t, uv_buf_t* buf) {
             auto* h = static_cast<Handle*>(u->data);
             *buf = uv_buf_init(h->buffer, sizeof h->buffer);
@@ -130,12 +130,12 @@
         });
 }
 
-void Child::kill(int signal) {
-    if (h_->running) uv_process_kill(&h_->uv, signal);
+void ChildProcess::kill(int signal) {
+    if (handle_->running) uv_process_kill(&handle_->uv, signal);
 }
 
-bool Child::running() const { return h_->running; }
-int Child::pid() const { return h_->pid; }
+bool ChildProcess::running() const { return handle_->running; }
+int ChildProcess::pid() const { return handle_->pid; }
 
 bool die_with_parent() {
     const char* parent = std::getenv(kParent);
--- a/src/net/child_process.h
+++ b/src/net/child_process.h
@@ -15,16 +15,16 @@
 
 namespace gorsenotch::net {
 
-class Child {
+class ChildProcess {
 public:
     // With what the process ended: its exit status and the signal that ended it (0: none).
     using Exited = std::function<void(int status, int signal)>;
     std::function<void(const std::string& line)> on_line;  // of its standard output, without the line end
 
-    Child(Loop& loop, Exited exited);
-    ~Child();
-    Child(const Child&) = delete;
-    Child& operator=(const Child&) = delete;
+    ChildProcess(EventLoop& loop, Exited exited);
+    ~ChildProcess();
+    ChildProcess(const ChildProcess&) = delete;
+    ChildProcess& operator=(const ChildProcess&) = delete;
     // Standard error goes to the file `log` (appended), or where the parent's goes if that is empty; input is
     // empty. Lines of standard output longer than 4 KiB are cut.
     int spawn(const std::vector<std::string>& args, const std::string& log);
@@ -34,7 +34,7 @@
 
 private:
     struct Handle;
-    Handle* h_;
+    Handle* handle_;
 };
 
 // To be called first in a program that may have been started by a Child: from then on the process is killed
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -21,10 +21,10 @@
 
 namespace gorsenotch::net {
 
-std::string text(int code) { return code == 0 ? "closed by the peer" : uv_strerror(code); }
+std::string error_text(int code) { return code == 0 ? "closed by the peer" : uv_strerror(code); }
 Millis now() { return static_cast<Millis>(uv_hrtime()) / 1e6; }
 
-Loop::Loop() {
+EventLoop::EventLoop() {
     // A write to a connection that its peer has closed is an error of that write, not the process's end.
     std::signal(SIGPIPE, SIG_IGN);
     uv_loop_init(&loop_);
@@ -33,27 +33,27 @@
     uv_check_init(&loop_, &check_);
     prepare_.data = check_.data = this;
     uv_prepare_start(&prepare_, [](uv_prepare_t* p) {
-        auto* loop = static_cast<Loop*>(p->data);
+        auto* loop = static_cast<EventLoop*>(p->data);
         // What the timers took is not to be slept through once more.
         uv_update_time(&loop->loop_);
-        if (loop->on_slow_turn && loop->looked_ > 0) {
-            if (const Millis length = now() - loop->looked_; length >= loop->slow_turn)
-                loop->on_slow_turn(length, loop->parts_);
+        if (loop->on_slow_turn && loop->last_poll_ > 0) {
+            if (const Millis length = now() - loop->last_poll_; length >= loop->slow_turn)
+                loop->on_slow_turn(length, loop->activities_);
         }
-        loop->parts_.clear();
+        loop->activities_.clear();
         const int wait = uv_backend_timeout(&loop->loop_);
         const auto began = static_cast<Millis>(uv_now(&loop->loop_));
         // libuv also says 0 where sockets are still to be registered, whatever it will wait: that tells
         // nothing. One that takes no time is not interrupted.
         loop->interrupted_from_ = wait < 0 ? 1e300 : began + std::max(wait, 1);
-        if (loop->on_sleep) loop->on_sleep(wait <= 0 ? 1e300 : began + wait);
+        if (loop->before_poll) loop->before_poll(wait <= 0 ? 1e300 : began + wait);
     });
     uv_check_start(&check_, [](uv_check_t* c) {
-        auto* loop = static_cast<Loop*>(c->data);
-        if (!loop->has_looked()) return;
+        auto* loop = static_cast<EventLoop*>(c->data);
+        if (!loop->has_polled()) return;
         // The loop's time is that of the system call's return: nothing here moves it before the next turn.
-        loop->looked_ = static_cast<Millis>(uv_now(&loop->loop_));
-        if (loop->on_look) loop->on_look();
+        loop->last_poll_ = static_cast<Millis>(uv_now(&loop->loop_));
+        if (loop->after_poll) loop->after_poll();
     });
     uv_unref(reinterpret_cast<uv_handle_t*>(&prepare_));
     uv_unref(reinterpret_cast<uv_handle_t*>(&check_));
@@ -62,14 +62,14 @@
 // Guards against time-outs that are judged over what lies unread in a socket: a wait that a signal interrupts
 // (SIGCONT after a stop does) ends without a look where its time is over. One that ends sooner ended for what
 // it found. Costs a system call in turns that end for a timer; may do harm by a time-out judged a turn later.
-bool Loop::has_looked() {
+bool EventLoop::has_polled() {
     if (static_cast<Millis>(uv_now(&loop_)) < interrupted_from_) return true;
     epoll_event found{};
     // What is found stays found: libuv's descriptors are level-triggered.
     return ::epoll_wait(uv_backend_fd(&loop_), &found, 1, 0) == 0;
 }
 
-Loop::~Loop() {
+EventLoop::~EventLoop() {
     // Guards against owners that outlive their loop: what they close later would be memory of a loop that is
     // gone. Also catches a handle that nobody owns any more. Does harm only to a program that is wrong.
     const auto left = open_handles();
@@ -80,19 +80,19 @@
         std::abort();
     }
     // All are closing: their last callbacks free them.
-    on_sleep = nullptr, on_look = nullptr;
+    before_poll = nullptr, after_poll = nullptr;
     uv_close(reinterpret_cast<uv_handle_t*>(&prepare_), nullptr);
     uv_close(reinterpret_cast<uv_handle_t*>(&check_), nullptr);
     uv_run(&loop_, UV_RUN_DEFAULT);
     if (uv_loop_close(&loop_) != 0) std::abort();
 }
 
-std::vector<std::string> Loop::open_handles() const {
+std::vector<std::string> EventLoop::open_handles() const {
     std::vector<std::string> names;
     uv_walk(
         const_cast<uv_loop_t*>(&loop_),
         [](uv_handle_t* h, void* out) {
-            const auto* loop = static_cast<const Loop*>(h->loop->data);
+            const auto* loop = static_cast<const EventLoop*>(h->loop->data);
             if (uv_is_closing(h) || h == reinterpret_cast<const uv_handle_t*>(&loop->prepare_) ||
                 h == reinterpret_cast<const uv_handle_t*>(&loop->check_))
                 return;
@@ -103,22 +103,22 @@
     return names;
 }
 
-Doing::Doing(Loop& loop, const char* what) : what_(what) {
-    if (loop.doing_ || !loop.on_slow_turn) return;
+ActivityScope::ActivityScope(EventLoop& loop, const char* what) : what_(what) {
+    if (loop.in_activity_ || !loop.on_slow_turn) return;
     loop_ = &loop;
-    loop.doing_ = true;
+    loop.in_activity_ = true;
     began_ = now();
 }
 
-Doing::~Doing() {
+ActivityScope::~ActivityScope() {
     if (!loop_) return;
-    loop_->doing_ = false;
-    for (auto& [what, sum] : loop_->parts_) {
+    loop_->in_activity_ = false;
+    for (auto& [what, sum] : loop_->activities_) {
         if (what != what_) continue;
         sum += now() - began_;
         return;
     }
-    loop_->parts_.emplace_back(what_, now() - began_);
+    loop_->activities_.emplace_back(what_, now() - began_);
 }
 
 std::size_t reserve_descriptors(std::size_t most) {
@@ -139,7 +139,7 @@
     return all;
 }
 
-void work(Loop& loop, std::function<void()> job, std::function<void()> done) {
+void run_on_thread_pool(EventLoop& loop, std::function<void()> job, std::function<void()> done) {
     struct Request {
         uv_work_t uv{};
         std::function<void()> job, done;
@@ -158,14 +158,14 @@
     own->done();
 }
 
-void Loop::run() { uv_run(&loop_, UV_RUN_DEFAULT); }
-void Loop::stop() { uv_stop(&loop_); }
+void EventLoop::run() { uv_run(&loop_, UV_RUN_DEFAULT); }
+void EventLoop::stop() { uv_stop(&loop_); }
 
 // ---- Timer ----------------------------------------------------------------------------------------------
 
 struct Timer::Handle {
     uv_timer_t uv{};
-    Loop* loop = nullptr;
+    EventLoop* loop = nullptr;
     std::function<void()> fire;
     Millis due = 0;  // above 0: not before the sockets have been looked at since
     void start(Millis delay) {
@@ -176,39 +176,39 @@
             delay <= 0 ? 0 : static_cast<std::uint64_t>(wait + 0.999), 0);
     }
     void due_now() {
-        if (due > loop->looked()) return start(1);  // 0 would fire again before the look
+        if (due > loop->last_poll()) return start(1);  // 0 would fire again before the look
         fire();
     }
 };
 
-Timer::Timer(Loop& loop, std::function<void()> fire) : h_(new Handle) {
-    h_->fire = std::move(fire);
-    h_->loop = &loop;
-    uv_timer_init(loop.raw(), &h_->uv);
-    h_->uv.data = h_;
+Timer::Timer(EventLoop& loop, std::function<void()> fire) : handle_(new Handle) {
+    handle_->fire = std::move(fire);
+    handle_->loop = &loop;
+    uv_timer_init(loop.raw(), &handle_->uv);
+    handle_->uv.data = handle_;
 }
 
 Timer::~Timer() {
-    uv_timer_stop(&h_->uv);
-    uv_close(reinterpret_cast<uv_handle_t*>(&h_->uv),
+    uv_timer_stop(&handle_->uv);
+    uv_close(reinterpret_cast<uv_handle_t*>(&handle_->uv),
              [](uv_handle_t* u) { delete static_cast<Handle*>(u->data); });
 }
 
-void Timer::after(Millis delay) {
-    h_->due = 0;
-    h_->start(delay);
+void Timer::fire_after(Millis delay) {
+    handle_->due = 0;
+    handle_->start(delay);
 }
 
-void Timer::after_look(Millis delay) {
-    h_->due = std::floor(now() + std::max(0.0, delay));  // as coarse as the loop's time
-    h_->start(delay);
+void Timer::fire_after_poll(Millis delay) {
+    handle_->due = std::floor(now() + std::max(0.0, delay));  // as coarse as the loop's time
+    handle_->start(delay);
 }
 
-void Timer::stop() { uv_timer_stop(&h_->uv); }
+void Timer::stop() { uv_timer_stop(&handle_->uv); }
 
 // ---- Turn -----------------------------------------------------------------------------------------------
 
-struct Turn::Handle {
+struct DeferredCall::Handle {
     uv_check_t check{};      // after the sockets of this turn
     uv_prepare_t prepare{};  // after its timers, before it sleeps
     std::function<void()> end;
@@ -223,28 +223,28 @@
     }
 };
 
-Turn::Turn(Loop& loop, std::function<void()> end) : h_(new Handle) {
-    h_->end = std::move(end);
-    uv_check_init(loop.raw(), &h_->check);
-    uv_prepare_init(loop.raw(), &h_->prepare);
-    h_->check.data = h_->prepare.data = h_;
+DeferredCall::DeferredCall(EventLoop& loop, std::function<void()> end) : handle_(new Handle) {
+    handle_->end = std::move(end);
+    uv_check_init(loop.raw(), &handle_->check);
+    uv_prepare_init(loop.raw(), &handle_->prepare);
+    handle_->check.data = handle_->prepare.data = handle_;
 }
 
-Turn::~Turn() {
-    h_->owned = false;
+DeferredCall::~DeferredCall() {
+    handle_->owned = false;
     const auto closed = [](uv_handle_t* u) {
         auto* h = static_cast<Handle*>(u->data);
         if (--h->open == 0) delete h;
     };
-    uv_close(reinterpret_cast<uv_handle_t*>(&h_->check), closed);
-    uv_close(reinterpret_cast<uv_handle_t*>(&h_->prepare), closed);
+    uv_close(reinterpret_cast<uv_handle_t*>(&handle_->check), closed);
+    uv_close(reinterpret_cast<uv_handle_t*>(&handle_->prepare), closed);
 }
 
-void Turn::ask() {
-    if (h_->due) return;
-    h_->due = true;
-    uv_check_start(&h_->check, [](uv_check_t* c) { static_cast<Handle*>(c->data)->call(); });
-    uv_prepare_start(&h_->prepare, [](uv_prepare_t* p) { static_cast<Handle*>(p->data)->call(); });
+void DeferredCall::schedule() {
+    if (handle_->due) return;
+    handle_->due = true;
+    uv_check_start(&handle_->check, [](uv_check_t* c) { static_cast<Handle*>(c->data)->call(); });
+    uv_prepare_start(&handle_->prepare, [](uv_prepare_t* p) { static_cast<Handle*>(p->data)->call(); });
 }
 
 // ---- addresses ------------------------------------------------------------------------------------------
@@ -267,9 +267,9 @@
 
 // ---- Stream ---------------------------------------------------------------------------------------------
 
-struct Stream::Handle {
+struct TcpStream::Handle {
     uv_tcp_t uv{};
-    Stream* owner = nullptr;
+    TcpStream* owner = nullptr;
     bool closing = false, wrote = false, reading = false, ended = false;
     std::size_t in_flight = 0;
     std::function<void(int)> connected;
@@ -303,26 +303,26 @@
 char read_buffer[16384];
 }  // namespace
 
-Stream::Stream(Loop& loop) : h_(new Handle) {
-    uv_tcp_init(loop.raw(), &h_->uv);
-    h_->uv.data = h_;
-    h_->owner = this;
+TcpStream::TcpStream(EventLoop& loop) : handle_(new Handle) {
+    uv_tcp_init(loop.raw(), &handle_->uv);
+    handle_->uv.data = handle_;
+    handle_->owner = this;
 }
 
-Stream::~Stream() {
-    if (h_) h_->close();
+TcpStream::~TcpStream() {
+    if (handle_) handle_->close();
 }
 
-int Stream::connect(const std::string& address, const std::string& from, std::function<void(int)> done) {
+int TcpStream::connect(const std::string& address, const std::string& from, std::function<void(int)> done) {
     sockaddr_storage to{}, local{};
     if (!parse_address(address, to)) return UV_EINVAL;
     if (!from.empty()) {
         if (!parse_address(from + ":0", local)) return UV_EINVAL;
-        if (const int e = uv_tcp_bind(&h_->uv, reinterpret_cast<sockaddr*>(&local), 0)) return e;
+        if (const int e = uv_tcp_bind(&handle_->uv, reinterpret_cast<sockaddr*>(&local), 0)) return e;
     }
-    h_->connected = std::move(done);
-    h_->connect_req.data = h_;
-    return uv_tcp_connect(&h_->connect_req, &h_->uv, reinterpret_cast<sockaddr*>(&to),
+    handle_->connected = std::move(done);
+    handle_->connect_req.data = handle_;
+    return uv_tcp_connect(&handle_->connect_req, &handle_->uv, reinterpret_cast<sockaddr*>(&to),
                           [](uv_connect_t* req, int status) {
                               auto* h = static_cast<Handle*>(req->data);
                               if (!h->owner) return;
@@ -331,15 +331,15 @@
                           });
 }
 
-void Stream::read(bool on) {
-    if (h_->ended || on == h_->reading) return;
-    h_->reading = on;
+void TcpStream::set_reading(bool on) {
+    if (handle_->ended || on == handle_->reading) return;
+    handle_->reading = on;
     if (!on) {
-        uv_read_stop(h_->stream());
+        uv_read_stop(handle_->stream());
         return;
     }
     const int e = uv_read_start(
-        h_->stream(),
+        handle_->stream(),
         [](uv_handle_t*, std::size_t, uv_buf_t* buf) { *buf = uv_buf_init(read_buffer, sizeof read_buffer); },
         [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
             auto* h = static_cast<Handle*>(s->data);
@@ -349,16 +349,16 @@
             const auto f = h->owner->on_data;
             if (f) f(std::string_view(buf->base, static_cast<std::size_t>(n)));
         });
-    if (e != 0) h_->reading = false;
+    if (e != 0) handle_->reading = false;
 }
 
-void Stream::write(std::string bytes) {
-    if (h_->closing || bytes.empty()) return;
-    if (h_->in_flight == 0) {
+void TcpStream::write(std::string bytes) {
+    if (handle_->closing || bytes.empty()) return;
+    if (handle_->in_flight == 0) {
         uv_buf_t buf = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
-        const int n = uv_try_write(h_->stream(), &buf, 1);
+        const int n = uv_try_write(handle_->stream(), &buf, 1);
         if (n > 0) {
-            h_->wrote = true;
+            handle_->wrote = true;
             if (static_cast<std::size_t>(n) == bytes.size()) return;
             bytes.erase(0, static_cast<std::size_t>(n));
         }
@@ -367,8 +367,8 @@
     w->bytes = std::move(bytes);
     w->req.data = w;
     uv_buf_t buf = uv_buf_init(w->bytes.data(), static_cast<unsigned>(w->bytes.size()));
-    h_->in_flight += w->bytes.size();
-    const int e = uv_write(&w->req, h_->stream(), &buf, 1, [](uv_write_t* req, int status) {
+    handle_->in_flight += w->bytes.size();
+    const int e = uv_write(&w->req, handle_->stream(), &buf, 1, [](uv_write_t* req, int status) {
         auto* done = static_cast<WriteReq*>(req->data);
         auto* h = static_cast<Handle*>(req->handle->data);
         h->in_flight -= done->bytes.size();
@@ -380,16 +380,16 @@
         if (h->in_flight == 0 && f) f();
     });
     if (e != 0) {
-        h_->in_flight -= w->bytes.size();
+        handle_->in_flight -= w->bytes.size();
         delete w;
         break_off();
     }
 }
 
-void Stream::shut() {
-    if (h_->closing) return;
+void TcpStream::shutdown_write() {
+    if (handle_->closing) return;
     auto* req = new uv_shutdown_t;
-    if (uv_shutdown(req, h_->stream(), [](uv_shutdown_t* r, int) { delete r; }) == 0) return;
+    if (uv_shutdown(req, handle_->stream(), [](uv_shutdown_t* r, int) { delete r; }) == 0) return;
     delete req;
     break_off();
 }
@@ -397,28 +397,29 @@
 // Guards against bytes or a FIN that the system refused at once and nobody is told of: the connection is over
 // for both sides, and its reader hears of that in the loop's next turn. Does nothing where it is over
 // already.
-void Stream::break_off() {
+void TcpStream::break_off() {
     uv_os_fd_t fd = -1;
-    if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&h_->uv), &fd) == 0) ::shutdown(fd, SHUT_RDWR);
+    if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) == 0) ::shutdown(fd, SHUT_RDWR);
 }
 
-void Stream::reset() {
-    if (h_->closing) return;
-    h_->ended = true;
-    Handle* h = h_;
+void TcpStream::reset() {
+    if (handle_->closing) return;
+    handle_->ended = true;
+    Handle* h = handle_;
     h->closing = true;
     h->owner = nullptr;
     const auto freed = [](uv_handle_t* u) { delete static_cast<Handle*>(u->data); };
     if (uv_tcp_close_reset(&h->uv, freed) != 0) uv_close(reinterpret_cast<uv_handle_t*>(&h->uv), freed);
-    h_ = nullptr;
+    handle_ = nullptr;
 }
 
-std::size_t Stream::queued() const { return h_ ? h_->in_flight : 0; }
-bool Stream::wrote() const { return h_ && (h_->wrote || h_->in_flight > 0); }
+std::size_t TcpStream::queued() const { return handle_ ? handle_->in_flight : 0; }
+bool TcpStream::has_written() const { return handle_ && (handle_->wrote || handle_->in_flight > 0); }
 
-bool Stream::polled(short events, bool unknown) const {
+bool TcpStream::poll_now(short events, bool unknown) const {
     uv_os_fd_t fd = -1;
-    if (!h_ || h_->ended || uv_fileno(reinterpret_cast<const uv_handle_t*>(&h_->uv), &fd) != 0) return true;
+    if (!handle_ || handle_->ended || uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) != 0)
+        return true;
     // Guards against a poll that is interrupted and taken for "nothing there": a request would go out for a
     // client that has left, or an unread one would be closed over. Linux documents no lasting failure of it
     // for one good descriptor; `unknown` is what the caller can do no harm by.
@@ -431,23 +432,23 @@
     return unknown;
 }
 
-bool Stream::peer_closed() const { return polled(POLLRDHUP, false); }
-bool Stream::unread() const { return polled(POLLIN | POLLRDHUP, true); }
+bool TcpStream::peer_closed() const { return poll_now(POLLRDHUP, false); }
+bool TcpStream::has_unread_input() const { return poll_now(POLLIN | POLLRDHUP, true); }
 
-Millis Stream::age() const {
+Millis TcpStream::age() const {
     uv_os_fd_t fd = -1;
-    if (!h_ || uv_fileno(reinterpret_cast<const uv_handle_t*>(&h_->uv), &fd) != 0) return 0;
+    if (!handle_ || uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) != 0) return 0;
     tcp_info info{};
     socklen_t size = sizeof info;
     if (::getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
     return info.tcpi_last_data_recv;
 }
 
-std::string Stream::peer() const {
+std::string TcpStream::peer() const {
     sockaddr_storage a{};
     int size = sizeof a;
     char name[64] = "";
-    if (!h_ || uv_tcp_getpeername(&h_->uv, reinterpret_cast<sockaddr*>(&a), &size) != 0) return "";
+    if (!handle_ || uv_tcp_getpeername(&handle_->uv, reinterpret_cast<sockaddr*>(&a), &size) != 0) return "";
     if (a.ss_family == AF_INET) uv_ip4_name(reinterpret_cast<sockaddr_in*>(&a), name, sizeof name);
     if (a.ss_family == AF_INET6) uv_ip6_name(reinterpret_cast<sockaddr_in6*>(&a), name, sizeof name);
     return name;
@@ -457,12 +458,12 @@
 
 // Accepts by itself: libuv's listener closes a spare descriptor and then what waits, unread, where accept
 // fails for want of one.
-struct Listener::Handle {
+struct TcpListener::Handle {
     uv_tcp_t uv{};  // holds the socket
     uv_poll_t poll{};
     uv_timer_t retry{};
-    Listener* owner = nullptr;
-    Loop* loop = nullptr;
+    TcpListener* owner = nullptr;
+    EventLoop* loop = nullptr;
     int fd = -1;  // of the socket, once it listens
     int open_handles = 1;
 
@@ -496,19 +497,19 @@
     static constexpr std::uint64_t kAcceptPause = 10;  // ms until accept is tried again
 };
 
-Listener::Listener(Loop& loop) : h_(new Handle) {
-    uv_tcp_init(loop.raw(), &h_->uv);
-    h_->uv.data = h_->poll.data = h_->retry.data = h_;
-    h_->owner = this;
-    h_->loop = &loop;
+TcpListener::TcpListener(EventLoop& loop) : handle_(new Handle) {
+    uv_tcp_init(loop.raw(), &handle_->uv);
+    handle_->uv.data = handle_->poll.data = handle_->retry.data = handle_;
+    handle_->owner = this;
+    handle_->loop = &loop;
 }
 
-Listener::~Listener() { h_->close(); }
+TcpListener::~TcpListener() { handle_->close(); }
 
-int Listener::listen(const std::string& address, int backlog) {
+int TcpListener::listen(const std::string& address, int backlog) {
     sockaddr_storage a{};
     if (!parse_address(address, a)) return UV_EINVAL;
-    if (h_->fd >= 0) return UV_EALREADY;
+    if (handle_->fd >= 0) return UV_EALREADY;
     const int fd = ::socket(a.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) return -errno;
     const int on = 1;
@@ -518,22 +519,22 @@
         ::bind(fd, reinterpret_cast<sockaddr*>(&a), size) != 0 || ::listen(fd, backlog) != 0) {
         code = -errno;
     } else {
-        code = uv_tcp_open(&h_->uv, fd);
+        code = uv_tcp_open(&handle_->uv, fd);
     }
     if (code != 0) {
         ::close(fd);
         return code;
     }
-    if (const int e = uv_poll_init(h_->loop->raw(), &h_->poll, fd)) return e;
-    uv_timer_init(h_->loop->raw(), &h_->retry);
-    h_->open_handles = 3;
-    h_->fd = fd;
-    h_->watch();
+    if (const int e = uv_poll_init(handle_->loop->raw(), &handle_->poll, fd)) return e;
+    uv_timer_init(handle_->loop->raw(), &handle_->retry);
+    handle_->open_handles = 3;
+    handle_->fd = fd;
+    handle_->watch();
     return 0;
 }
 
-bool Listener::accept_pending(int most) {
-    Handle* handle = h_;
+bool TcpListener::accept_pending(int most) {
+    Handle* handle = handle_;
     for (int taken = 0, failed = 0; taken + failed < most;) {
         const int fd = ::accept4(handle->fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         const int code = fd < 0 ? -errno : 0;
@@ -551,71 +552,74 @@
                 return false;
         }
         ++taken;
-        auto stream = std::make_unique<Stream>(*handle->loop);
-        if (uv_tcp_open(&stream->h_->uv, fd) != 0) {
+        auto stream = std::make_unique<TcpStream>(*handle->loop);
+        if (uv_tcp_open(&stream->handle_->uv, fd) != 0) {
             ::close(fd);
             continue;
         }
-        uv_tcp_nodelay(&stream->h_->uv, 1);
+        uv_tcp_nodelay(&stream->handle_->uv, 1);
         if (on_stream) on_stream(std::move(stream));
         if (!handle->owner) return true;  // destroyed in the callback
     }
     return false;
 }
 
-bool Listener::take_pending() {
+bool TcpListener::accept_all_pending() {
     constexpr int kMostPending = 4096;
-    return h_->fd < 0 || accept_pending(kMostPending);
+    return handle_->fd < 0 || accept_pending(kMostPending);
 }
 
-int Listener::port() const {
+int TcpListener::port() const {
     sockaddr_storage a{};
     socklen_t size = sizeof a;
-    if (h_->fd < 0 || ::getsockname(h_->fd, reinterpret_cast<sockaddr*>(&a), &size) != 0) return 0;
+    if (handle_->fd < 0 || ::getsockname(handle_->fd, reinterpret_cast<sockaddr*>(&a), &size) != 0) return 0;
     return ntohs(a.ss_family == AF_INET6 ? reinterpret_cast<sockaddr_in6*>(&a)->sin6_port
                                          : reinterpret_cast<sockaddr_in*>(&a)->sin_port);
 }
 
 // ---- Signal ---------------------------------------------------------------------------------------------
 
-struct Signal::Handle {
+struct SignalWatcher::Handle {
     uv_signal_t uv{};
     std::function<void()> fire;
 };
 
-Signal::Signal(Loop& loop, int number, std::function<void()> fire) : h_(new Handle) {
-    h_->fire = std::move(fire);
-    uv_signal_init(loop.raw(), &h_->uv);
-    h_->uv.data = h_;
+SignalWatcher::SignalWatcher(EventLoop& loop, int number, std::function<void()> fire) : handle_(new Handle) {
+    handle_->fire = std::move(fire);
+    uv_signal_init(loop.raw(), &handle_->uv);
+    handle_->uv.data = handle_;
     uv_signal_start(
-        &h_->uv, [](uv_signal_t* u, int) { static_cast<Handle*>(u->data)->fire(); }, number);
-    uv_unref(reinterpret_cast<uv_handle_t*>(&h_->uv));
+        &handle_->uv, [](uv_signal_t* u, int) { static_cast<Handle*>(u->data)->fire(); }, number);
+    uv_unref(reinterpret_cast<uv_handle_t*>(&handle_->uv));
 }
 
-Signal::~Signal() {
-    uv_close(reinterpret_cast<uv_handle_t*>(&h_->uv),
+SignalWatcher::~SignalWatcher() {
+    uv_close(reinterpret_cast<uv_handle_t*>(&handle_->uv),
              [](uv_handle_t* u) { delete static_cast<Handle*>(u->data); });
 }
 
-// ---- FileWatch ------------------------------------------------------------------------------------------
+// ---- FileWatcher ------------------------------------------------------------------------------------------
 
-FileWatch::FileWatch(Loop& loop, std::string file, Millis every, std::function<void()> changed)
-    : file_(std::move(file)), every_(every), changed_(std::move(changed)), timer_(loop, [this] { look(); }) {
-    timer_.after(0);
+FileWatcher::FileWatcher(EventLoop& loop, std::string file, Millis every, std::function<void()> changed)
+    : file_(std::move(file)),
+      interval_(every),
+      changed_(std::move(changed)),
+      timer_(loop, [this] { check_now(); }) {
+    timer_.fire_after(0);
 }
 
-void FileWatch::look_again() { seen_.clear(); }
+void FileWatcher::report_again() { last_text_.clear(); }
 
-void FileWatch::look() {
+void FileWatcher::check_now() {
     struct stat s {};
     std::string mark;
     if (::stat(file_.c_str(), &s) == 0) {
         mark = std::to_string(s.st_ino) + ":" + std::to_string(s.st_size) + ":" +
                std::to_string(s.st_mtim.tv_sec) + ":" + std::to_string(s.st_mtim.tv_nsec);
     }
-    timer_.after(every_);
-    if (mark == seen_) return;
-    seen_ = mark;
+    timer_.fire_after(interval_);
+    if (mark == last_text_) return;
+    last_text_ = mark;
     if (!mark.empty()) changed_();
 }
 
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -20,58 +20,58 @@
 
 using Millis = double;
 
-std::string text(int code);
+std::string error_text(int code);
 Millis now();  // monotonic, ms; no loop is needed
 
-class Loop {
+class EventLoop {
 public:
-    Loop();
-    ~Loop();  // aborts if anything made on it is still open
-    Loop(const Loop&) = delete;
-    Loop& operator=(const Loop&) = delete;
+    EventLoop();
+    ~EventLoop();  // aborts if anything made on it is still open
+    EventLoop(const EventLoop&) = delete;
+    EventLoop& operator=(const EventLoop&) = delete;
     void run();
     void stop();
     uv_loop_t* raw() { return &loop_; }
     // When the sockets were last looked at: all that had come to them by then has been handed on, or will be
     // before the next timer.
-    Millis looked() const { return looked_; }
+    Millis last_poll() const { return last_poll_; }
     // Called before the loop waits, with the time until which it will wait at most (far ahead where libuv
     // does not say: owners know their own timers), and after it has waited and handed on what came.
-    std::function<void(Millis due)> on_sleep;
-    std::function<void()> on_look;
+    std::function<void(Millis due)> before_poll;
+    std::function<void()> after_poll;
     // Told of each turn that took `slow_turn` ms or longer, from the sockets' look to the next wait: its
     // length and what was done in it, as marked by Doing, in ms. The rest is the system's, or time without a
     // core.
-    using Parts = std::vector<std::pair<const char*, Millis>>;
-    std::function<void(Millis length, const Parts& parts)> on_slow_turn;
+    using Activities = std::vector<std::pair<const char*, Millis>>;
+    std::function<void(Millis length, const Activities& parts)> on_slow_turn;
     Millis slow_turn = 5;
     // The kinds of those handles that are neither closed nor closing, e.g. "tcp", "timer", "process".
     std::vector<std::string> open_handles() const;
 
 private:
     uv_loop_t loop_;
-    friend class Doing;
+    friend class ActivityScope;
     uv_prepare_t prepare_;
     uv_check_t check_;
-    bool has_looked();  // since the wait began that has just ended
-    Millis looked_ = 0;
+    bool has_polled();  // since the wait began that has just ended
+    Millis last_poll_ = 0;
     // From then on the wait under way may end for an interruption, with nothing looked at.
     Millis interrupted_from_ = 0;
-    Parts parts_;
-    bool doing_ = false;
+    Activities activities_;
+    bool in_activity_ = false;
 };
 
 // Marks what the loop's thread does while this object lives, for on_slow_turn. `what` must be a literal. One
 // within another counts as part of the outer one.
-class Doing {
+class ActivityScope {
 public:
-    Doing(Loop& loop, const char* what);
-    ~Doing();
-    Doing(const Doing&) = delete;
-    Doing& operator=(const Doing&) = delete;
+    ActivityScope(EventLoop& loop, const char* what);
+    ~ActivityScope();
+    ActivityScope(const ActivityScope&) = delete;
+    ActivityScope& operator=(const ActivityScope&) = delete;
 
 private:
-    Loop* loop_ = nullptr;
+    EventLoop* loop_ = nullptr;
     const char* what_;
     Millis began_ = 0;
 };
@@ -83,123 +83,124 @@
 
 // Work off the loop: `job` runs on a thread of libuv's pool, `done` on the loop's thread after it. `job` may
 // touch nothing that the loop's thread touches meanwhile. The loop waits for it when it is destroyed.
-void work(Loop& loop, std::function<void()> job, std::function<void()> done);
+void run_on_thread_pool(EventLoop& loop, std::function<void()> job, std::function<void()> done);
 
 class Timer {
 public:
-    Timer(Loop& loop, std::function<void()> fire);
+    Timer(EventLoop& loop, std::function<void()> fire);
     ~Timer();
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
-    void after(Millis delay);  // once; replaces what was set. Fires not earlier, at most 1 ms later
+    void fire_after(Millis delay);  // once; replaces what was set. Fires not earlier, at most 1 ms later
     // As after(), but not before the loop has looked at its sockets since it was due. For time-outs: guards
     // against a peer cut off for this process's own delay, while its bytes wait here. May come late by the
     // time that one turn of the loop takes.
-    void after_look(Millis delay);
+    void fire_after_poll(Millis delay);
     void stop();
 
 private:
     struct Handle;
-    Handle* h_;
+    Handle* handle_;
 };
 
 // Calls back once before the loop next sleeps, after it was asked to: to gather what several callbacks of one
 // turn have to say. Asking costs nothing while one call is due.
-class Turn {
+class DeferredCall {
 public:
-    Turn(Loop& loop, std::function<void()> end);
-    ~Turn();
-    Turn(const Turn&) = delete;
-    Turn& operator=(const Turn&) = delete;
-    void ask();
+    DeferredCall(EventLoop& loop, std::function<void()> end);
+    ~DeferredCall();
+    DeferredCall(const DeferredCall&) = delete;
+    DeferredCall& operator=(const DeferredCall&) = delete;
+    void schedule();
 
 private:
     struct Handle;
-    Handle* h_;
+    Handle* handle_;
 };
 
 // An address: "127.0.0.1:80" or "[::1]:80". False if it is neither.
 bool parse_address(const std::string& address, sockaddr_storage& out);
 
-class Stream {
+class TcpStream {
 public:
     std::function<void(std::string_view)> on_data;  // the view is gone after the call
     std::function<void(int)> on_end;                // once: 0 at the peer's FIN, else the error
     std::function<void()> on_drain;                 // all written bytes are in the kernel's hands
 
-    explicit Stream(Loop& loop);
-    ~Stream();  // closes at once; unread input makes the kernel send a reset
-    Stream(const Stream&) = delete;
-    Stream& operator=(const Stream&) = delete;
+    explicit TcpStream(EventLoop& loop);
+    ~TcpStream();  // closes at once; unread input makes the kernel send a reset
+    TcpStream(const TcpStream&) = delete;
+    TcpStream& operator=(const TcpStream&) = delete;
 
     // `done` gets 0 or the error. `from`: local address to send from, without a port; empty for any.
     int connect(const std::string& address, const std::string& from, std::function<void(int)> done);
-    void read(bool on);  // starts or stops on_data
+    void set_reading(bool on);  // starts or stops on_data
     void write(std::string bytes);
-    void shut();                 // FIN after what was written
+    void shutdown_write();       // FIN after what was written
     void reset();                // closes with RST where the system can
     std::size_t queued() const;  // bytes written but not yet in the kernel's hands
-    bool wrote() const;          // whether any byte was handed to the kernel
+    bool has_written() const;    // whether any byte was handed to the kernel
     bool peer_closed() const;    // its FIN or reset has come, read or not; also once the stream has ended
-    bool unread() const;         // bytes, an end or an error wait to be read; also once the stream has ended
-    Millis age() const;          // ms since the kernel last took bytes from the peer; 0 if it can't tell
-    std::string peer() const;    // numeric address without the port
+    bool has_unread_input()
+        const;                 // bytes, an end or an error wait to be read; also once the stream has ended
+    Millis age() const;        // ms since the kernel last took bytes from the peer; 0 if it can't tell
+    std::string peer() const;  // numeric address without the port
 
 private:
-    friend class Listener;
+    friend class TcpListener;
     struct Handle;
     // Whether one of these, a hang-up or an error is there now; `unknown` where the system does not say.
-    bool polled(short events, bool unknown) const;
+    bool poll_now(short events, bool unknown) const;
     void break_off();
-    Handle* h_;
+    Handle* handle_;
 };
 
-class Listener {
+class TcpListener {
 public:
-    std::function<void(std::unique_ptr<Stream>)> on_stream;
+    std::function<void(std::unique_ptr<TcpStream>)> on_stream;
     // Accepting failed for want of descriptors or memory. What waits stays where it is and accept is tried
     // again soon; the owner may make room.
     std::function<void(int)> on_error;
 
-    explicit Listener(Loop& loop);
-    ~Listener();
-    Listener(const Listener&) = delete;
-    Listener& operator=(const Listener&) = delete;
+    explicit TcpListener(EventLoop& loop);
+    ~TcpListener();
+    TcpListener(const TcpListener&) = delete;
+    TcpListener& operator=(const TcpListener&) = delete;
     int listen(const std::string& address, int backlog = 1024);
     // Hands on the connections that the system has accepted and nobody has taken yet: before it is destroyed,
     // as that would reset them. False: some may be left, as accepting failed for now.
-    bool take_pending();
+    bool accept_all_pending();
     int port() const;
 
 private:
     struct Handle;
     bool accept_pending(int most);  // whether none is left
-    Handle* h_;
+    Handle* handle_;
 };
 
-class Signal {
+class SignalWatcher {
 public:
-    Signal(Loop& loop, int number, std::function<void()> fire);
-    ~Signal();
-    Signal(const Signal&) = delete;
-    Signal& operator=(const Signal&) = delete;
+    SignalWatcher(EventLoop& loop, int number, std::function<void()> fire);
+    ~SignalWatcher();
+    SignalWatcher(const SignalWatcher&) = delete;
+    SignalWatcher& operator=(const SignalWatcher&) = delete;
 
 private:
     struct Handle;
-    Handle* h_;
+    Handle* handle_;
 };
 
 // Tells of each change of a file (its text replaced, the file renamed over, made or gone), by looking every
 // `every` ms; once at the start if the file is there.
-class FileWatch {
+class FileWatcher {
 public:
-    FileWatch(Loop& loop, std::string file, Millis every, std::function<void()> changed);
-    void look();        // now, and again after `every`
-    void look_again();  // the next look tells of the file as if it had changed
+    FileWatcher(EventLoop& loop, std::string file, Millis every, std::function<void()> changed);
+    void check_now();     // now, and again after `every`
+    void report_again();  // the next look tells of the file as if it had changed
 
 private:
-    std::string file_, seen_;
-    Millis every_;
+    std::string file_, last_text_;
+    Millis interval_;
     std::function<void()> changed_;
     Timer timer_;
 };
--- a/src/platform/client_connections.cpp
+++ b/src/platform/client_connections.cpp
@@ -18,7 +18,7 @@
 struct ClientConnections::Connection : Client {
     enum class State { reading, open, ending };  // ending: nothing more is read but the close
     ClientConnections& of;
-    std::unique_ptr<net::Stream> stream;
+    std::unique_ptr<net::TcpStream> stream;
     http::Parser parser;
     State state = State::reading;
     std::optional<Inbound> in;
@@ -31,7 +31,7 @@
     bool fresh = true, gone = false, dirty = false, paused = false;
     Connections::iterator self;
 
-    Connection(ClientConnections& owner, std::unique_ptr<net::Stream> s)
+    Connection(ClientConnections& owner, std::unique_ptr<net::TcpStream> s)
         : of(owner),
           stream(std::move(s)),
           parser(http::Parser::Kind::request, http::Limits{16 * 1024, 64, kMaxBody}) {}
@@ -39,7 +39,7 @@
     // No request has begun on it: it may be ended.
     bool resting() const { return state == State::reading && began == 0 && ahead.empty(); }
     // Nothing that has come waits for the end of the present answer.
-    bool nothing_behind() const { return ahead.empty() && !stream->unread(); }
+    bool nothing_behind() const { return ahead.empty() && !stream->has_unread_input(); }
     // The answer that begins now is the connection's last.
     bool last_answer() const { return !parser.keep_alive || (of.stopped_accepting_ && nothing_behind()); }
 
@@ -82,8 +82,8 @@
     }
 };
 
-ClientConnections::ClientConnections(net::Loop& loop, const settings::Named& named, RequestLifecycle& relay,
-                                     Config config)
+ClientConnections::ClientConnections(net::EventLoop& loop, const settings::Named& named,
+                                     RequestLifecycle& relay, Config config)
     : loop_(loop),
       named_(named),
       lifecycle_(relay),
@@ -94,10 +94,10 @@
 ClientConnections::~ClientConnections() = default;
 
 int ClientConnections::listen() {
-    listener_ = std::make_unique<net::Listener>(loop_);
-    listener_->on_stream = [this](std::unique_ptr<net::Stream> s) { accept(std::move(s)); };
+    listener_ = std::make_unique<net::TcpListener>(loop_);
+    listener_->on_stream = [this](std::unique_ptr<net::TcpStream> s) { accept(std::move(s)); };
     listener_->on_error = [this](int) { accept_failed(); };
-    sweeper_.after(kSweep);
+    sweeper_.fire_after(kSweep);
     return listener_->listen(config_.listen);
 }
 
@@ -114,7 +114,7 @@
 void ClientConnections::stop_accepting() {
     draining_ = stopped_accepting_ = true;
     // Where accepting fails for a moment what waits is taken by the next call.
-    if (listener_ && listener_->take_pending()) listener_.reset();
+    if (listener_ && listener_->accept_all_pending()) listener_.reset();
     for (auto it = all_.begin(); it != all_.end();) {
         Connection& c = **it++;
         if (c.resting()) retire(c, EndReason::departing);
@@ -138,7 +138,7 @@
     for (const auto& c : all_) {
         if (!c->resting() || now - c->since < (c->fresh ? kLeastSilent : config_.least_idle)) continue;
         Connection*& longest = c->fresh ? silent : idle;
-        if ((!longest || c->since < longest->since) && !c->stream->unread()) longest = c.get();
+        if ((!longest || c->since < longest->since) && !c->stream->has_unread_input()) longest = c.get();
     }
     return silent ? silent : idle;
 }
@@ -153,7 +153,7 @@
     return retire(*resting, EndReason::evicted);
 }
 
-void ClientConnections::accept(std::unique_ptr<net::Stream> stream) {
+void ClientConnections::accept(std::unique_ptr<net::TcpStream> stream) {
     ++counters_.accepted;
     const bool room = make_room();
     Connection& c = adopt(std::move(stream));
@@ -163,7 +163,7 @@
     end(c, EndReason::no_room);
 }
 
-ClientConnections::Connection& ClientConnections::adopt(std::unique_ptr<net::Stream> stream) {
+ClientConnections::Connection& ClientConnections::adopt(std::unique_ptr<net::TcpStream> stream) {
     all_.push_back(std::make_unique<Connection>(*this, std::move(stream)));
     Connection& c = *all_.back();
     c.self = std::prev(all_.end());
@@ -182,7 +182,7 @@
         if (!std::exchange(c.paused, false)) return;
         if (c.handle) lifecycle_.on_client_congested(c.handle, false);
     };
-    c.stream->read(true);
+    c.stream->set_reading(true);
     return c;
 }
 
@@ -310,13 +310,13 @@
     c.since = net::now();
     c.ahead = std::string(), c.in.reset();
     release(c);
-    c.stream->shut();
+    c.stream->shutdown_write();
 }
 
 // Guards against a request that is lost because its connection is ended in the moment in which it comes: a
 // request that has come already is served. One that comes later finds the FIN, and its client sends it again.
 bool ClientConnections::retire(Connection& c, EndReason reason) {
-    if (const auto denial = control::check_close({!c.resting(), c.stream->unread()})) {
+    if (const auto denial = control::check_close({!c.resting(), c.stream->has_unread_input()})) {
         ++counters_.close_denials[static_cast<std::size_t>(*denial)];
         return false;
     }
@@ -333,7 +333,7 @@
     c.stream.reset();
     c.ahead = std::string(), c.out = std::string();
     dead_.splice(dead_.end(), all_, c.self);
-    cleanup_.after(0);
+    cleanup_.fire_after(0);
 }
 
 void ClientConnections::lose(Connection& c) {
@@ -361,7 +361,7 @@
     if (c.dirty) return;
     c.dirty = true;
     dirty_.push_back(&c);
-    turn_.ask();
+    turn_.schedule();
 }
 
 void ClientConnections::flush() {
@@ -378,7 +378,7 @@
 
 void ClientConnections::sweep() {
     const Millis now = net::now();
-    sweeper_.after(kSweep);
+    sweeper_.fire_after(kSweep);
     const bool crowded = 2 * all_.size() > config_.most;
     for (auto it = all_.begin(); it != all_.end();) {
         Connection& c = **it++;
--- a/src/platform/client_connections.h
+++ b/src/platform/client_connections.h
@@ -49,7 +49,8 @@
         Millis least_idle = 2000;           // before an idle connection may be closed
         Millis most_idle = 10000;
     };
-    ClientConnections(net::Loop& loop, const settings::Named& named, RequestLifecycle& relay, Config config);
+    ClientConnections(net::EventLoop& loop, const settings::Named& named, RequestLifecycle& relay,
+                      Config config);
     ~ClientConnections();
 
     int listen();  // 0 or a libuv code
@@ -72,14 +73,14 @@
 private:
     struct Connection;
     using Connections = std::list<std::unique_ptr<Connection>>;
-    void accept(std::unique_ptr<net::Stream> stream);
+    void accept(std::unique_ptr<net::TcpStream> stream);
     void data(Connection& c, std::string_view bytes);
     void read(Connection& c, std::string_view bytes);
     void headers(Connection& c);
     void complete(Connection& c);
     void answer(Connection& c, int status, std::string_view why, Millis pause, bool close);
     void next(Connection& c);
-    Connection& adopt(std::unique_ptr<net::Stream> stream);
+    Connection& adopt(std::unique_ptr<net::TcpStream> stream);
     // A FIN after what was written; what comes is thrown away, then it is gone.
     void end(Connection& c, EndReason reason);
     // Ends one that rests; false: something lies unread on it, which is read first.
@@ -96,15 +97,15 @@
     Connection* longest_ending();
     Connection* longest_resting();
 
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     const settings::Named& named_;
     RequestLifecycle& lifecycle_;
     const Config config_;
-    std::unique_ptr<net::Listener> listener_;
+    std::unique_ptr<net::TcpListener> listener_;
     Connections all_, dead_;  // dead: closed in a callback of their own, freed by the next turn
     std::vector<Connection*> dirty_;
     net::Timer sweeper_, cleanup_;
-    net::Turn turn_;
+    net::DeferredCall turn_;
     bool draining_ = false, stopped_accepting_ = false;
     std::size_t bytes_ = 0;
     std::size_t ending_ = 0;  // connections that end: they count to all_, not to Config::most
--- a/src/platform/endpoint_watcher.cpp
+++ b/src/platform/endpoint_watcher.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-EndpointWatcher::EndpointWatcher(net::Loop& loop, std::uint64_t seed, Config config)
+EndpointWatcher::EndpointWatcher(net::EventLoop& loop, std::uint64_t seed, Config config)
     : loop_(loop),
       config_(config),
       random_(seed),
@@ -53,25 +53,25 @@
     Call& c = *successor_;
     c.address = address_;
     c.began = net::now();
-    c.stream = std::make_unique<net::Stream>(loop_);
+    c.stream = std::make_unique<net::TcpStream>(loop_);
     c.parser =
         std::make_unique<http::Parser>(http::Parser::Kind::response, http::Limits{16 * 1024, 100, kMost});
     c.parser->on_body = [&c](std::string_view b) { c.body.append(b); };
     c.stream->on_data = [this, &c](std::string_view b) { on_data(c, b); };
-    c.stream->on_end = [this, &c](int code) { on_call_failed(c, net::text(code)); };
-    retry_timer_.after_look(config_.connect_timeout);
+    c.stream->on_end = [this, &c](int code) { on_call_failed(c, net::error_text(code)); };
+    retry_timer_.fire_after_poll(config_.connect_timeout);
     const int e = c.stream->connect(c.address, "", [this, &c](int code) {
-        if (code != 0) return on_call_failed(c, net::text(code));
-        c.stream->read(true);
-        retry_timer_.after_look(config_.full_list_timeout);
+        if (code != 0) return on_call_failed(c, net::error_text(code));
+        c.stream->set_reading(true);
+        retry_timer_.fire_after_poll(config_.full_list_timeout);
         send_poll(c, true);
     });
-    if (e != 0) on_call_failed(c, net::text(e));
+    if (e != 0) on_call_failed(c, net::error_text(e));
 }
 
 void EndpointWatcher::start_call_after_pause() {
     const double jitter = 0.5 + static_cast<double>(random_() >> 11) * 0x1p-53;
-    retry_timer_.after(config_.retry_backoff * jitter);
+    retry_timer_.fire_after(config_.retry_backoff * jitter);
 }
 
 void EndpointWatcher::send_poll(Call& call, bool whole) {
@@ -99,7 +99,7 @@
 // no list would ever be taken. May do harm by one that trickles, up to `slowest` each time.
 void EndpointWatcher::on_progress(Call& call) {
     if (&call == successor_.get() && net::now() - call.began < config_.slow_list_timeout)
-        retry_timer_.after_look(config_.full_list_timeout);
+        retry_timer_.fire_after_poll(config_.full_list_timeout);
 }
 
 void EndpointWatcher::on_response(Call& call) {
@@ -123,7 +123,7 @@
         retry_timer_.stop();
     }
     if (!call.parser->keep_alive) return on_call_failed(call, "");
-    overdue_timer_.after_look(config_.poll_hold + config_.overdue_slack);
+    overdue_timer_.fire_after_poll(config_.poll_hold + config_.overdue_slack);
     send_poll(call, false);
 }
 
@@ -149,7 +149,7 @@
     if (!call) return;
     call->stream.reset();
     closed_calls_.push_back(std::move(call));
-    cleanup_timer_.after(0);
+    cleanup_timer_.fire_after(0);
 }
 
 }  // namespace gorsenotch::platform
--- a/src/platform/endpoint_watcher.h
+++ b/src/platform/endpoint_watcher.h
@@ -42,14 +42,14 @@
     std::function<std::optional<std::uint64_t>(const std::string&, bool moved)> on_list;
     std::function<void(const std::string&)> on_fault;  // once for a row of faults, with the reason
 
-    EndpointWatcher(net::Loop& loop, std::uint64_t seed, Config config);
-    EndpointWatcher(net::Loop& loop, std::uint64_t seed) : EndpointWatcher(loop, seed, Config()) {}
+    EndpointWatcher(net::EventLoop& loop, std::uint64_t seed, Config config);
+    EndpointWatcher(net::EventLoop& loop, std::uint64_t seed) : EndpointWatcher(loop, seed, Config()) {}
     // Starts, or moves to another address; the same one again changes nothing.
     void watch_address(const std::string& address);
 
 private:
     struct Call {
-        std::unique_ptr<net::Stream> stream;
+        std::unique_ptr<net::TcpStream> stream;
         std::unique_ptr<http::Parser> parser;
         std::string address, body;
         net::Millis began = 0;
@@ -65,7 +65,7 @@
     void report_fault(const std::string& why);
     void discard(std::unique_ptr<Call>& call);
 
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     const Config config_;
     std::mt19937_64 random_;
     std::string address_, last_answered_address_;  // where to ask; where the last good answer came from
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-Node::Node(net::Loop& loop, Config config, std::string file)
+Node::Node(net::EventLoop& loop, Config config, std::string file)
     : loop_(loop),
       config_(std::move(config)),
       file_(std::move(file)),
@@ -87,8 +87,8 @@
       reloader_(loop, [this] { try_reload(); }),
       status_(loop, [this] { status(); }) {
     lifecycle_.on_wake() = [this] { wakeup_timer_.wake(); };
-    loop_.on_sleep = [this](Millis due) { lifecycle_.before_poll(due); };
-    loop_.on_look = [this] { lifecycle_.after_poll(loop_.looked()); };
+    loop_.before_poll = [this](Millis due) { lifecycle_.before_poll(due); };
+    loop_.after_poll = [this] { lifecycle_.after_poll(loop_.last_poll()); };
     watch_.on_list = [this](const std::string& text, bool moved) -> std::optional<std::uint64_t> {
         std::string why;
         auto e = endpoints_.take(
@@ -100,7 +100,7 @@
         }
         if (!e->endpoints.empty() || e->kind == EndpointUpdate::Kind::full)
             lifecycle_.on_endpoint_update(std::move(*e));
-        if (!open_) opener_.after(0);
+        if (!open_) opener_.fire_after(0);
         return endpoints_.version();
     };
     watch_.on_fault = [this](const std::string& why) {
@@ -111,7 +111,7 @@
     };
 }
 
-Node::~Node() { loop_.on_sleep = nullptr, loop_.on_look = nullptr; }
+Node::~Node() { loop_.before_poll = nullptr, loop_.after_poll = nullptr; }
 
 void Node::start() {
     started_ = net::now();
@@ -127,8 +127,8 @@
     // Guards against sends by a known list that is out of date: what discovery has counts as told from this
     // process's first moment. While discovery is down the known list has to do.
     watch_.watch_address(config_.discovery);
-    opener_.after(kFirstList);
-    status_.after(kState);
+    opener_.fire_after(kFirstList);
+    status_.fire_after(kState);
 }
 
 void Node::open() {
@@ -144,8 +144,8 @@
         // the one before it. May do harm by telling of a wrong address 5 s late.
         open_ = false;
         if (!std::exchange(listen_failed_, true))
-            log("warn", "listen_failed", net::text(code) + "; tried again");
-        return opener_.after(kListenRetry);
+            log("warn", "listen_failed", net::error_text(code) + "; tried again");
+        return opener_.fire_after(kListenRetry);
     }
     if (code != 0) return on_refused(code);
     log("info", "ready", config_.listen);
@@ -172,7 +172,7 @@
             log("error", "reload_refused", std::string(e.what()) + "; tried again");
         const Millis passed = net::now() - reload_asked_;
         if (passed < kReloadGivenUp)
-            return reloader_.after(passed < kReloadSoon ? kReloadRetry : kReloadLateRetry);
+            return reloader_.fire_after(passed < kReloadSoon ? kReloadRetry : kReloadLateRetry);
         log("error", "reload_given_up", e.what());
     }
 }
@@ -189,11 +189,11 @@
     for (const auto& c : config_.named.settings.classes) longest = std::max(longest, c.deadline);
     drain_schedule_.emplace(stopped_, stopped_ + std::min(longest, 3000.0) + 700,
                             config_.named.settings.stream_migration);
-    drainer_.after(20);
+    drainer_.fire_after(20);
 }
 
 void Node::drain_step() {
-    drainer_.after(20);
+    drainer_.fire_after(20);
     const Millis now = net::now();
     // With nothing open it may go once new connections have ceased to come.
     const bool quiet =
@@ -225,7 +225,7 @@
 }
 
 void Node::status() {
-    status_.after(kState);
+    status_.fire_after(kState);
     rusage use{};
     getrusage(RUSAGE_SELF, &use);
     const double cpu = static_cast<double>(use.ru_utime.tv_sec + use.ru_stime.tv_sec) * 1000 +
@@ -307,13 +307,13 @@
     int code = 0;
     {
         net::reserve_descriptors(sockets(config));
-        net::Loop loop;
+        net::EventLoop loop;
         Node node(loop, std::move(config), file);
         const auto stop = [&] { node.stop([&] { loop.stop(); }); };
-        net::Signal term(loop, SIGTERM, stop), interrupt(loop, SIGINT, stop);
-        net::Signal hup(loop, SIGHUP, [&] { node.reload(); });
+        net::SignalWatcher term(loop, SIGTERM, stop), interrupt(loop, SIGINT, stop);
+        net::SignalWatcher hup(loop, SIGHUP, [&] { node.reload(); });
         node.on_refused = [&](int e) {
-            std::cerr << "GW_LISTEN: " << net::text(e) << '\n';
+            std::cerr << "GW_LISTEN: " << net::error_text(e) << '\n';
             code = 4;
             loop.stop();
         };
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -21,7 +21,7 @@
 class Node : Environment {
 public:
     // `file`: of the configuration, read again by reload().
-    Node(net::Loop& loop, Config config, std::string file);
+    Node(net::EventLoop& loop, Config config, std::string file);
     ~Node();
     // Listens as soon as the list has come, or after a moment without it.
     void start();
@@ -46,7 +46,7 @@
     void drain_step();
     void status();
 
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     const Config config_;
     const std::string file_;
     EndpointList endpoints_;
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 struct ConnectionPool::Connection {
-    std::unique_ptr<net::Stream> stream;
+    std::unique_ptr<net::TcpStream> stream;
     std::unique_ptr<net::Timer> dial;
     std::string address, request;
     std::shared_ptr<UpstreamCall> carried;
@@ -25,7 +25,7 @@
 
 // A call that nobody waits for, on a connection of its own.
 struct ConnectionPool::DetachedCall {
-    std::unique_ptr<net::Stream> stream;
+    std::unique_ptr<net::TcpStream> stream;
     std::unique_ptr<net::Timer> timer;
     std::string address, request;
     Millis until = 0;
@@ -33,7 +33,7 @@
     std::list<std::unique_ptr<DetachedCall>>::iterator self;
 };
 
-ConnectionPool::ConnectionPool(net::Loop& loop, Config config)
+ConnectionPool::ConnectionPool(net::EventLoop& loop, Config config)
     : loop_(loop),
       config_(std::move(config)),
       idle_timer_(loop, [this] { close_idle(); }),
@@ -56,12 +56,12 @@
     const double draw = std::uniform_real_distribution<double>()(random_);  // one for all that are at hand
     for (std::size_t i = it->second.size(); i-- > 0;) {
         Connection* link = it->second[i];
-        if (config_.cooldown && link->idle_since > loop_.looked()) continue;
+        if (config_.cooldown && link->idle_since > loop_.last_poll()) continue;
         const Millis idle = net::now() - link->idle_since;
         if (config_.learn_reuse && !reuse_policy_.should_reuse(idle, draw)) continue;
         // Guards against a request written to a connection that the server has closed, or has sent something
         // on, which has not been read yet. Costs one system call a request.
-        if (link->stream->unread()) continue;
+        if (link->stream->has_unread_input()) continue;
         link->idle_for = idle, link->heard = false;
         it->second.erase(it->second.begin() + static_cast<std::ptrdiff_t>(i));
         return link;
@@ -105,7 +105,7 @@
     by_call_[link.carried.get()] = &link;
     if (!room) {
         link.dial = std::make_unique<net::Timer>(loop_, [this, &link] { on_connected(link, UV_EMFILE); });
-        return link.dial->after(0);
+        return link.dial->fire_after(0);
     }
     link.dial_until = net::now() + config_.connect_timeout;
     connect(link);
@@ -114,7 +114,7 @@
 // Opens the link's connection. Whatever the outcome, it is told by the loop's next turn: callers of start()
 // may not be called back from here.
 void ConnectionPool::connect(Connection& link) {
-    link.stream = std::make_unique<net::Stream>(loop_);
+    link.stream = std::make_unique<net::TcpStream>(loop_);
     link.stream->on_data = [this, &link](std::string_view b) { on_data(link, b); };
     link.stream->on_end = [this, &link](int) { on_connection_closed(link); };
     const int error =
@@ -122,9 +122,9 @@
     link.dial = std::make_unique<net::Timer>(
         loop_, [this, &link, error] { on_connected(link, error != 0 ? error : UV_ETIMEDOUT); });
     if (error != 0) {
-        link.dial->after(0);
+        link.dial->fire_after(0);
     } else {
-        link.dial->after_look(std::max(0.0, link.dial_until - net::now()));
+        link.dial->fire_after_poll(std::max(0.0, link.dial_until - net::now()));
     }
 }
 
@@ -139,7 +139,7 @@
             link.dial = std::make_unique<net::Timer>(loop_, [this, &link] {
                 if (!link.gone) connect(link);
             });
-            return link.dial->after(kDialPause);
+            return link.dial->fire_after(kDialPause);
         }
         const auto carried = link.carried;
         erase_connection(link, ConnectionEnd::connect_failed);
@@ -156,13 +156,13 @@
         // Nothing has been written: the connection stays good.
         by_call_.erase(carried.get());
         link.carried.reset();
-        link.stream->read(true);
+        link.stream->set_reading(true);
         keep_idle(link);
         return carried->on_not_sent();
     }
     carried->stamp_request(request);
     carried->on_first_byte_sent();
-    link.stream->read(true);
+    link.stream->set_reading(true);
     link.stream->on_drain = [&link] {
         link.stream->on_drain = nullptr;
         if (link.carried) link.carried->on_request_written();
@@ -181,7 +181,7 @@
 
 void ConnectionPool::on_data(Connection& link, std::string_view bytes) {
     if (link.gone) return;
-    const net::Doing doing(loop_, "engines");
+    const net::ActivityScope doing(loop_, "engines");
     if (link.idle || !link.carried) return erase_connection(link, ConnectionEnd::unexpected_bytes);
     const auto carried = link.carried;
     if (!std::exchange(link.heard, true)) record_use(link, false);
@@ -210,9 +210,9 @@
 void ConnectionPool::keep_idle(Connection& link) {
     link.idle = true;
     link.idle_since = net::now();
-    if (link.paused) link.paused = false, link.stream->read(true);
+    if (link.paused) link.paused = false, link.stream->set_reading(true);
     idle_by_address_[link.address].push_back(&link);
-    if (!idle_timer_set_) idle_timer_set_ = true, idle_timer_.after(config_.idle_timeout);
+    if (!idle_timer_set_) idle_timer_set_ = true, idle_timer_.fire_after(config_.idle_timeout);
 }
 
 void ConnectionPool::erase_connection(Connection& link, ConnectionEnd why) {
@@ -224,7 +224,7 @@
     link.carried.reset();
     link.stream.reset();
     closed_connections_.splice(closed_connections_.end(), connections_, link.self);
-    cleanup_timer_.after(0);
+    cleanup_timer_.fire_after(0);
 }
 
 void ConnectionPool::cleanup() {
@@ -244,14 +244,14 @@
     }
     std::erase_if(idle_by_address_, [](const auto& of) { return of.second.empty(); });
     idle_timer_set_ = left;
-    if (left) idle_timer_.after(config_.idle_timeout / 4);
+    if (left) idle_timer_.fire_after(config_.idle_timeout / 4);
 }
 
 void ConnectionPool::pause(const UpstreamCall& carried, bool on) {
     const auto it = by_call_.find(&carried);
     if (it == by_call_.end() || it->second->gone || !it->second->connected) return;
     it->second->paused = on;
-    it->second->stream->read(!on);
+    it->second->stream->set_reading(!on);
 }
 
 void ConnectionPool::close(const UpstreamCall& carried) {
@@ -275,23 +275,23 @@
 
 // A let-go may be sent twice without harm, so until one connection takes it others are tried.
 void ConnectionPool::try_detached(DetachedCall& a) {
-    a.stream = std::make_unique<net::Stream>(loop_);
+    a.stream = std::make_unique<net::TcpStream>(loop_);
     a.stream->on_end = [this, &a](int) { end_detached(a); };
     const int error = a.stream->connect(a.address, config_.source, [this, &a](int e) {
-        if (e != 0) return a.timer->after(50);
+        if (e != 0) return a.timer->fire_after(50);
         a.sent = true;
-        a.stream->read(true);
+        a.stream->set_reading(true);
         a.stream->write(a.request);
-        a.timer->after_look(std::max(1000.0, a.until - net::now()));
+        a.timer->fire_after_poll(std::max(1000.0, a.until - net::now()));
     });
-    a.timer->after_look(error != 0 ? 50 : config_.connect_timeout);
+    a.timer->fire_after_poll(error != 0 ? 50 : config_.connect_timeout);
 }
 
 void ConnectionPool::end_detached(DetachedCall& a) {
     a.stream.reset();
     a.timer->stop();
     ended_detached_calls_.splice(ended_detached_calls_.end(), detached_calls_, a.self);
-    cleanup_timer_.after(0);
+    cleanup_timer_.fire_after(0);
 }
 
 }  // namespace gorsenotch::proxy
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -44,7 +44,7 @@
         bool learn_reuse =
             false;  // whether kept connections are worth using: see control/connection_reuse_policy
     };
-    ConnectionPool(net::Loop& loop, Config config);
+    ConnectionPool(net::EventLoop& loop, Config config);
     ~ConnectionPool();
 
     // `request`: its bytes, head and body. Calls into `carried` may come from within start().
@@ -84,7 +84,7 @@
     void try_detached(DetachedCall& aside);
     void end_detached(DetachedCall& aside);
 
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     const Config config_;
     Connections connections_;
     Connections closed_connections_;  // closed in a callback of their own; freed by the next turn
--- a/src/proxy/wakeup_timer.h
+++ b/src/proxy/wakeup_timer.h
@@ -11,13 +11,13 @@
 class WakeupTimer {
 public:
     // `tick` does what is due and returns when it wants to be called next.
-    WakeupTimer(net::Loop& loop, std::function<net::Millis()> tick)
+    WakeupTimer(net::EventLoop& loop, std::function<net::Millis()> tick)
         : tick_(std::move(tick)), timer_(loop, [this] { fire(); }) {}
 
     void wake() {  // in the next turn
         if (waking_) return;
         waking_ = true;
-        timer_.after(0);
+        timer_.fire_after(0);
     }
 
 private:
@@ -26,7 +26,7 @@
         waking_ = true;
         const net::Millis next = tick_();
         waking_ = false;
-        timer_.after(std::max(0.0, next - net::now()));
+        timer_.fire_after(std::max(0.0, next - net::now()));
     }
 
     std::function<net::Millis()> tick_;
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -15,7 +15,7 @@
 class RawEngine {
 public:
     struct Link {
-        std::unique_ptr<net::Stream> stream;
+        std::unique_ptr<net::TcpStream> stream;
         std::unique_ptr<http::Parser> parser;
         std::string body;
         int requests = 0;
@@ -26,8 +26,8 @@
     std::vector<std::string> aborted;
     int accepted = 0, requests = 0;
 
-    explicit RawEngine(net::Loop& loop) : listener_(loop) {
-        listener_.on_stream = [this](std::unique_ptr<net::Stream> s) { accept(std::move(s)); };
+    explicit RawEngine(net::EventLoop& loop) : listener_(loop) {
+        listener_.on_stream = [this](std::unique_ptr<net::TcpStream> s) { accept(std::move(s)); };
         EXPECT_EQ(listener_.listen("127.0.0.1:0"), 0);
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
@@ -36,7 +36,7 @@
     }
 
 private:
-    void accept(std::unique_ptr<net::Stream> s) {
+    void accept(std::unique_ptr<net::TcpStream> s) {
         ++accepted;
         links.push_back(std::make_unique<Link>());
         Link* l = links.back().get();
@@ -58,22 +58,22 @@
             }
         };
         l->stream->on_end = [l](int) { l->ended = true; };
-        l->stream->read(true);
+        l->stream->set_reading(true);
     }
-    net::Listener listener_;
+    net::TcpListener listener_;
 };
 
 struct RawClient {
-    std::unique_ptr<net::Stream> stream;
+    std::unique_ptr<net::TcpStream> stream;
     std::string got;
     bool ended = false;
-    RawClient(net::Loop& loop, const std::string& address, std::string bytes, bool read = true) {
-        stream = std::make_unique<net::Stream>(loop);
+    RawClient(net::EventLoop& loop, const std::string& address, std::string bytes, bool read = true) {
+        stream = std::make_unique<net::TcpStream>(loop);
         stream->on_data = [this](std::string_view b) { got += b; };
         stream->on_end = [this](int) { ended = true; };
         stream->connect(address, "", [this, bytes, read](int e) {
             EXPECT_EQ(e, 0);
-            if (read) stream->read(true);
+            if (read) stream->set_reading(true);
             stream->write(bytes);
         });
     }
@@ -94,7 +94,7 @@
 }
 
 struct GatewayTest : ::testing::Test {
-    net::Loop loop;
+    net::EventLoop loop;
     RawEngine reader{loop}, writer{loop};
     settings::Program p = program();
     std::unique_ptr<gateway::Gateway> gate;
@@ -123,8 +123,8 @@
     template <class F>
     bool until(F so) {
         const Millis end = net::now() + 10000;
-        net::Timer tick(loop, [&tick] { tick.after(1); });
-        tick.after(1);
+        net::Timer tick(loop, [&tick] { tick.fire_after(1); });
+        tick.fire_after(1);
         while (!so() && net::now() < end) {
             uv_run(loop.raw(), UV_RUN_ONCE);
         }
@@ -323,7 +323,7 @@
     ASSERT_TRUE(until([&] { return other.count("message_stop") > 0; }));
     EXPECT_LT(net::now() - began, 1000);
     // Once it reads, all comes.
-    slow.stream->read(true);
+    slow.stream->set_reading(true);
     ASSERT_TRUE(until([&] { return slow.got.size() > stuck; }));
     flood->stream->on_drain = nullptr;
 }
@@ -380,7 +380,7 @@
     bool done = false;
     gate->drain([&] { done = true; });
     ASSERT_TRUE(until([&] { return idle.ended; }));
-    auto refused = std::make_unique<net::Stream>(loop);
+    auto refused = std::make_unique<net::TcpStream>(loop);
     int error = 0;
     refused->connect(where, "", [&](int e) { error = e; });
     ASSERT_TRUE(until([&] { return error != 0; }));
@@ -438,9 +438,9 @@
     // The gateway raises its soft limit; so it is held down after the start, as an operator's limit would.
     begin();
     setrlimit(RLIMIT_NOFILE, &few);
-    std::vector<std::unique_ptr<net::Stream>> hogs;
+    std::vector<std::unique_ptr<net::TcpStream>> hogs;
     for (int i = 0; i < 250; ++i) {
-        hogs.push_back(std::make_unique<net::Stream>(loop));
+        hogs.push_back(std::make_unique<net::TcpStream>(loop));
         hogs.back()->connect(address(), "", [](int) {});
     }
     pass(100);
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -22,25 +22,25 @@
 
 TEST(Loop, NamesWhatOutlivesIt) {
     const auto outlived = [] {
-        auto loop = std::make_unique<Loop>();
+        auto loop = std::make_unique<EventLoop>();
         auto timer = std::make_unique<Timer>(*loop, [] {});
-        auto listener = std::make_unique<Listener>(*loop);
+        auto listener = std::make_unique<TcpListener>(*loop);
         loop.reset();
     };
     EXPECT_DEATH(outlived(), "destroyed before what was made on it: (timer tcp|tcp timer)");
 }
 
 TEST(Loop, FreesWhatIsClosingWithoutATurn) {
-    Loop loop;
+    EventLoop loop;
     {
         Timer timer(loop, [] {});
-        timer.after(1000);
-        Turn turn(loop, [] {});
-        turn.ask();
-        Signal signal(loop, SIGUSR2, [] {});
-        Listener listener(loop);
+        timer.fire_after(1000);
+        DeferredCall turn(loop, [] {});
+        turn.schedule();
+        SignalWatcher signal(loop, SIGUSR2, [] {});
+        TcpListener listener(loop);
         ASSERT_EQ(listener.listen("127.0.0.1:0"), 0);
-        Stream a(loop), b(loop);
+        TcpStream a(loop), b(loop);
         ASSERT_EQ(a.connect("127.0.0.1:" + std::to_string(listener.port()), "", [](int) { FAIL(); }), 0);
         // Two timers, a turn's two handles, a signal, a listener's socket and poll, two streams.
         EXPECT_EQ(loop.open_handles().size(), 9u);
@@ -57,9 +57,9 @@
     EXPECT_EQ(::pipe(port), 0);
     const pid_t child = ::fork();
     if (child == 0) {
-        Loop loop;
-        Listener listener(loop);
-        std::unique_ptr<Stream> stream;
+        EventLoop loop;
+        TcpListener listener(loop);
+        std::unique_ptr<TcpStream> stream;
         const auto tell = [&](char what) {
             if (::write(told[1], &what, 1) != 1) ::_exit(2);
             ::_exit(0);
@@ -67,18 +67,18 @@
         Timer overdue(loop, [&] { tell('t'); });
         Timer busy(loop, [&] {
             if (registers && stream) {
-                stream->read(false);
-                stream->read(true);
+                stream->set_reading(false);
+                stream->set_reading(true);
             }
-            busy.after(20);
+            busy.fire_after(20);
         });
-        listener.on_stream = [&](std::unique_ptr<Stream> accepted) {
+        listener.on_stream = [&](std::unique_ptr<TcpStream> accepted) {
             stream = std::move(accepted);
             stream->on_data = [&](std::string_view) { tell('d'); };
             stream->on_end = [](int) {};
-            stream->read(true);
-            overdue.after_look(400);
-            busy.after(20);
+            stream->set_reading(true);
+            overdue.fire_after_poll(400);
+            busy.fire_after(20);
         };
         const int number = listener.listen("127.0.0.1:0") == 0 ? listener.port() : 0;
         if (::write(port[1], &number, sizeof number) != sizeof number) ::_exit(2);
@@ -117,7 +117,7 @@
 // Guards against two processes, or two listeners of one, that are given the same port: a day whose engine got
 // one port for its calls and its control did not start (about one day of ten engines in 660).
 TEST(Ports, OfOneAddressAreAllDifferent) {
-    Loop loop;
+    EventLoop loop;
     constexpr std::size_t kCount =
         512;  // of some 7000 that the system picks from: two alike but once in 10^8
     const std::vector<int> ports = free_ports(loop, "127.254.3.7", kCount);
@@ -126,10 +126,10 @@
 }
 
 TEST(Child, TellsItsLinesAndItsEnd) {
-    Loop loop;
+    EventLoop loop;
     std::vector<std::string> lines;
     int status = -1, signal = -1;
-    Child child(loop, [&](int st, int si) { status = st, signal = si; });
+    ChildProcess child(loop, [&](int st, int si) { status = st, signal = si; });
     child.on_line = [&](const std::string& l) { lines.push_back(l); };
     ASSERT_EQ(child.spawn({"/bin/sh", "-c", "echo one; printf 'two\nhalf'; exit 7"}, "/dev/null"), 0);
     loop.run();
@@ -140,12 +140,12 @@
 }
 
 TEST(Child, ALongLineIsCutAndAProgramThatIsNotThereIsAnError) {
-    Loop loop;
+    EventLoop loop;
     std::size_t size = 0;
-    Child child(loop, [](int, int) {});
+    ChildProcess child(loop, [](int, int) {});
     child.on_line = [&](const std::string& l) { size = l.size(); };
     ASSERT_EQ(child.spawn({"/bin/sh", "-c", "head -c 100000 /dev/zero | tr '\\0' x; echo"}, "/dev/null"), 0);
-    Child none(loop, [](int, int) { FAIL(); });
+    ChildProcess none(loop, [](int, int) { FAIL(); });
     EXPECT_EQ(none.spawn({"/nowhere/at/all"}, "/dev/null"), UV_ENOENT);
     EXPECT_FALSE(none.running());
     loop.run();
@@ -153,26 +153,26 @@
 }
 
 TEST(Child, IsGoneWhenItsOwnerIs) {
-    Loop loop;
+    EventLoop loop;
     int pid = 0;
     {
-        Child child(loop, [](int, int) { FAIL() << "told of an end that its owner made"; });
+        ChildProcess child(loop, [](int, int) { FAIL() << "told of an end that its owner made"; });
         ASSERT_EQ(child.spawn({"/bin/sleep", "60"}, "/dev/null"), 0);
         pid = child.pid();
         ASSERT_TRUE(alive(pid));
     }
     EXPECT_FALSE(alive(pid));
-    Child never(loop, [](int, int) {});  // never started
+    ChildProcess never(loop, [](int, int) {});  // never started
 }
 
 TEST(Child, MayBeDestroyedByItsOwnCallbacks) {
-    Loop loop;
-    auto child = std::make_unique<Child>(loop, [](int, int) {});
+    EventLoop loop;
+    auto child = std::make_unique<ChildProcess>(loop, [](int, int) {});
     child->on_line = [&](const std::string&) { child.reset(); };
     ASSERT_EQ(child->spawn({"/bin/sh", "-c", "echo a; echo b; sleep 60"}, "/dev/null"), 0);
     loop.run();
     EXPECT_EQ(child, nullptr);
-    child = std::make_unique<Child>(loop, [&](int, int) { child.reset(); });
+    child = std::make_unique<ChildProcess>(loop, [&](int, int) { child.reset(); });
     ASSERT_EQ(child->spawn({"/bin/true"}, "/dev/null"), 0);
     loop.run();
     EXPECT_EQ(child, nullptr);
--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -18,7 +18,7 @@
 }
 
 struct ClientsTest : ::testing::Test {
-    net::Loop loop;
+    net::EventLoop loop;
     platform::Config config = parse_config(kConfig, "", "");
     PlatformWorld world;
     EndpointList hosts{config.named, 0};
@@ -37,7 +37,7 @@
     void SetUp() override { start(ClientConnections::Config()); }
     void run(Millis ms) {
         net::Timer end(loop, [this] { loop.stop(); });
-        end.after(ms);
+        end.fire_after(ms);
         loop.run();
     }
     // Runs the loop until `holds`, two seconds at most.
--- a/tests/platform/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoint_watcher_test.cpp
@@ -17,8 +17,8 @@
 // Discovery: answers each call as told, or holds those that wait until change().
 class Discovery {
 public:
-    explicit Discovery(Loop& loop) : loop_(loop), listener_(loop) {
-        listener_.on_stream = [this](std::unique_ptr<Stream> s) {
+    explicit Discovery(EventLoop& loop) : loop_(loop), listener_(loop) {
+        listener_.on_stream = [this](std::unique_ptr<TcpStream> s) {
             if (refuses) return;
             conns_.emplace_back();
             Conn& c = conns_.back();
@@ -30,11 +30,11 @@
             c.trickle = std::make_unique<Timer>(loop_, [this, &c] {
                 c.stream->write(c.rest.substr(0, 1));
                 c.rest.erase(0, 1);
-                if (!c.rest.empty()) c.trickle->after(between_pieces);
+                if (!c.rest.empty()) c.trickle->fire_after(between_pieces);
             });
             c.stream->on_data = [this, &c](std::string_view b) { data(c, b); };
             c.stream->on_end = [](int) {};
-            c.stream->read(true);
+            c.stream->set_reading(true);
         };
         EXPECT_EQ(listener_.listen("127.0.0.1:0"), 0);
     }
@@ -58,7 +58,7 @@
 
 private:
     struct Conn {
-        std::unique_ptr<Stream> stream;
+        std::unique_ptr<TcpStream> stream;
         std::unique_ptr<Timer> hold, trickle, late;
         std::string text, rest;
         bool waits = false, mute = false;
@@ -69,13 +69,13 @@
         const auto from = c.text.find("from=");
         c.waits = from != std::string::npos && std::stoi(c.text.substr(from + 5)) >= version;
         const auto hold = c.text.find("hold_ms=");
-        if (c.waits && hold != std::string::npos) c.hold->after(std::stoi(c.text.substr(hold + 8)));
+        if (c.waits && hold != std::string::npos) c.hold->fire_after(std::stoi(c.text.substr(hold + 8)));
         c.text.clear();
         ++calls;
         if (silent || c.waits) return;
         if (delay <= 0) return answer(c);
         c.late = std::make_unique<Timer>(loop_, [this, &c] { answer(c); });
-        c.late->after(delay);
+        c.late->fire_after(delay);
     }
     void answer(Conn& c) {
         if (c.mute) return;
@@ -86,18 +86,18 @@
         if (half) return c.stream->write(all.substr(0, all.size() / 2));
         if (trickles) {
             c.rest = all;
-            return c.trickle->after(2);
+            return c.trickle->fire_after(2);
         }
         if (!pieces) return c.stream->write(all);
         for (const char byte : all) c.stream->write(std::string(1, byte));
     }
-    Loop& loop_;
-    Listener listener_;
+    EventLoop& loop_;
+    TcpListener listener_;
     std::list<Conn> conns_;
 };
 
 struct WatchTest : ::testing::Test {
-    Loop loop;
+    EventLoop loop;
     Discovery discovery{loop};
     EndpointWatcher watch{loop, 1, kConfig};
     int seen = 0, faults = 0, moves = 0;
@@ -116,7 +116,7 @@
     }
     void run(Millis ms) {
         Timer end(loop, [this] { loop.stop(); });
-        end.after(ms);
+        end.fire_after(ms);
         loop.run();
     }
 };
@@ -326,22 +326,22 @@
 
 // A connection whose peer has sent and closed says so before the bytes are read.
 TEST(Stream, ACloseIsSeenBehindBytesThatAreNotReadYet) {
-    Loop loop;
-    Listener listener(loop);
-    std::unique_ptr<Stream> taken;
-    listener.on_stream = [&](std::unique_ptr<Stream> s) { taken = std::move(s); };
+    EventLoop loop;
+    TcpListener listener(loop);
+    std::unique_ptr<TcpStream> taken;
+    listener.on_stream = [&](std::unique_ptr<TcpStream> s) { taken = std::move(s); };
     ASSERT_EQ(listener.listen("127.0.0.1:0"), 0);
-    auto client = std::make_unique<Stream>(loop);
+    auto client = std::make_unique<TcpStream>(loop);
     ASSERT_EQ(client->connect("127.0.0.1:" + std::to_string(listener.port()), "",
                               [&](int) { client->write("half a request"); }),
               0);
     Timer stop(loop, [&] { loop.stop(); });
-    stop.after(30);
+    stop.fire_after(30);
     loop.run();
     ASSERT_TRUE(taken);
     EXPECT_FALSE(taken->peer_closed());
     client.reset();
-    stop.after(30);
+    stop.fire_after(30);
     loop.run();
     EXPECT_TRUE(taken->peer_closed());
 }
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -58,7 +58,7 @@
 };
 
 struct UpstreamTest : ::testing::Test {
-    net::Loop loop;
+    net::EventLoop loop;
     RawServer server;
     ConnectionPool upstream{loop, config()};
 
@@ -69,7 +69,7 @@
     }
     void run(net::Millis ms) {
         net::Timer end(loop, [this] { loop.stop(); });
-        end.after(ms);
+        end.fire_after(ms);
         loop.run();
     }
     std::shared_ptr<platform::UpstreamExchange> start(std::optional<platform::AttemptOutcome>& end) {
