--- a/src/api/chat.cpp
+++ b/src/api/chat.cpp
@@ -35,32 +35,32 @@
     return Json(Json::value_t::discarded);
 }
 
-std::string Answer::begin() {
+std::string ResponseWriter::begin() {
     if (begun_ || ended_) return ++ignored_, std::string();
     begun_ = true;
     return on_begin();
 }
 
-std::string Answer::text(std::string_view piece) {
+std::string ResponseWriter::text(std::string_view piece) {
     if (ended_) return ++ignored_, std::string();
     std::string out = begun_ ? std::string() : begin();
     return out + on_text(piece);
 }
 
-std::string Answer::finish(Stop stop, const Usage& usage, const std::string& sequence) {
+std::string ResponseWriter::finish(StopReason stop, const Usage& usage, const std::string& sequence) {
     if (ended_) return ++ignored_, std::string();
     std::string out = begun_ ? std::string() : begin();
     ended_ = true;
     return out + on_finish(stop, usage, sequence);
 }
 
-std::string Answer::fail(const ApiError& error) {
+std::string ResponseWriter::fail(const ApiError& error) {
     if (ended_) return ++ignored_, std::string();
     ended_ = true;
     return on_fail(error);
 }
 
-std::string Answer::ping() {
+std::string ResponseWriter::ping() {
     if (!begun_ || ended_) return ++ignored_, std::string();
     return on_ping();
 }
--- a/src/api/chat.h
+++ b/src/api/chat.h
@@ -13,14 +13,14 @@
 
 using Json = nlohmann::json;
 
-struct Turn {
+struct Message {
     std::string role;  // "system", "user" or "assistant"
     std::string text;
 };
 
 struct ChatRequest {
     std::string model;
-    std::vector<Turn> turns;  // the first of them is a system turn where there is a shared instruction
+    std::vector<Message> messages;  // the first of them is a system turn where there is a shared instruction
     long max_tokens = 0;
     std::vector<std::string> stop;
     std::optional<double> temperature, top_p;
@@ -52,7 +52,7 @@
 Json parse_json(std::string_view text, std::string& why, int max_depth = 64);
 
 // How an engine ended its answer.
-enum class Stop { end, length, sequence, refused };
+enum class StopReason { end, length, sequence, refused };
 
 struct Usage {
     long input = 0, cached = 0, output = 0;  // tokens, by the engine
@@ -60,14 +60,14 @@
 
 // An answer on its way to a client. Legal order: any number of text(), then exactly one of finish() and
 // fail(); begin() before the first text. Everything after the end is ignored and counted.
-class Answer {
+class ResponseWriter {
 public:
-    virtual ~Answer() = default;
+    virtual ~ResponseWriter() = default;
     // Each returns the bytes of the body to send now (empty: nothing yet).
     std::string begin();
     std::string text(std::string_view piece);
     // `sequence`: of Stop::sequence, the string at which the engine stopped.
-    std::string finish(Stop stop, const Usage& usage, const std::string& sequence = {});
+    std::string finish(StopReason stop, const Usage& usage, const std::string& sequence = {});
     std::string fail(const ApiError& error);
     std::string ping();
     bool begun() const { return begun_; }
@@ -77,7 +77,7 @@
 protected:
     virtual std::string on_begin() = 0;
     virtual std::string on_text(std::string_view piece) = 0;
-    virtual std::string on_finish(Stop stop, const Usage& usage, const std::string& sequence) = 0;
+    virtual std::string on_finish(StopReason stop, const Usage& usage, const std::string& sequence) = 0;
     virtual std::string on_fail(const ApiError& error) = 0;
     virtual std::string on_ping() = 0;
 
--- a/src/api/messages.cpp
+++ b/src/api/messages.cpp
@@ -62,7 +62,7 @@
     return std::nullopt;
 }
 
-std::optional<ApiError> read_turns(const Json& body, const Version& version, ChatRequest& r) {
+std::optional<ApiError> read_messages(const Json& body, const Version& version, ChatRequest& r) {
     const auto list = body.find("messages");
     if (list == body.end()) return bad("messages", "Field required");
     if (!list->is_array()) return bad("messages", "Input should be a valid list");
@@ -86,19 +86,19 @@
         }
         const auto content = m.find("content");
         if (content == m.end()) return bad(at + ".content", "Field required");
-        Turn turn{role->get<std::string>(), {}};
+        Message turn{role->get<std::string>(), {}};
         if (auto e = text_of(*content, at + ".content", turn.text)) return e;
         if (turn.text.empty()) return bad(at + ".content", "text content must not be empty");
         // The specification joins consecutive turns of one role.
-        if (!r.turns.empty() && r.turns.back().role == turn.role) {
-            r.turns.back().text += "\n" + turn.text;
+        if (!r.messages.empty() && r.messages.back().role == turn.role) {
+            r.messages.back().text += "\n" + turn.text;
         } else {
-            r.turns.push_back(std::move(turn));
+            r.messages.push_back(std::move(turn));
         }
     }
-    const auto first =
-        std::find_if(r.turns.begin(), r.turns.end(), [](const Turn& t) { return t.role != "system"; });
-    if (first == r.turns.end()) return bad("messages", "at least one message of the user's is required");
+    const auto first = std::find_if(r.messages.begin(), r.messages.end(),
+                                    [](const Message& t) { return t.role != "system"; });
+    if (first == r.messages.end()) return bad("messages", "at least one message of the user's is required");
     if (first->role != "user") return bad("messages.0.role", "the first message must be a user's");
     return std::nullopt;
 }
@@ -126,14 +126,14 @@
     } else if (!count_only) {
         return bad("max_tokens", "Field required");
     }
-    if (auto e = read_turns(body, version, r)) return e;
+    if (auto e = read_messages(body, version, r)) return e;
     if (const auto it = body.find("system"); it != body.end()) {
-        Turn system{"system", {}};
+        Message system{"system", {}};
         if (auto e = text_of(*it, "system", system.text)) return e;
-        if (!system.text.empty() && r.turns.front().role == "system") {
-            r.turns.front().text = system.text + "\n" + r.turns.front().text;
+        if (!system.text.empty() && r.messages.front().role == "system") {
+            r.messages.front().text = system.text + "\n" + r.messages.front().text;
         } else if (!system.text.empty()) {
-            r.turns.insert(r.turns.begin(), std::move(system));
+            r.messages.insert(r.messages.begin(), std::move(system));
         }
     }
     if (const auto it = body.find("stream"); it != body.end()) {
@@ -171,14 +171,14 @@
 }
 
 void derive(ChatRequest& r) {
-    for (const Turn& t : r.turns) r.prompt_tokens += estimate_tokens(t.text) + 4;
-    const bool system = r.turns.front().role == "system";
+    for (const Message& t : r.messages) r.prompt_tokens += estimate_tokens(t.text) + 4;
+    const bool system = r.messages.front().role == "system";
     if (system) {
-        r.prefix = hash(r.turns.front().text) | 1;
-        r.prefix_tokens = estimate_tokens(r.turns.front().text);
+        r.prefix = hash(r.messages.front().text) | 1;
+        r.prefix_tokens = estimate_tokens(r.messages.front().text);
     }
     // Every turn of a conversation carries its first user message, so this stays through it.
-    const Turn& first = r.turns[system && r.turns.size() > 1 ? 1 : 0];
+    const Message& first = r.messages[system && r.messages.size() > 1 ? 1 : 0];
     r.session = hash(first.text, hash(r.user, r.prefix));
 }
 
@@ -205,21 +205,21 @@
     return http::sse_event(name, data.dump(-1, ' ', false, Out::error_handler_t::replace));
 }
 
-const char* stop_reason(Stop s) {
+const char* stop_reason(StopReason s) {
     switch (s) {
-        case Stop::length:
+        case StopReason::length:
             return "max_tokens";
-        case Stop::sequence:
+        case StopReason::sequence:
             return "stop_sequence";
-        case Stop::refused:
+        case StopReason::refused:
             return "refusal";
         default:
             return "end_turn";
     }
 }
 
-Out sequence_json(Stop s, const std::string& sequence) {
-    return s == Stop::sequence ? Out(sequence) : Out(nullptr);
+Out sequence_json(StopReason s, const std::string& sequence) {
+    return s == StopReason::sequence ? Out(sequence) : Out(nullptr);
 }
 
 Out usage_json(const Usage& u) {
@@ -229,9 +229,9 @@
             {"output_tokens", u.output}};
 }
 
-class StreamAnswer : public Answer {
+class StreamedResponse : public ResponseWriter {
 public:
-    StreamAnswer(std::string id, std::string model, long input, std::string request_id)
+    StreamedResponse(std::string id, std::string model, long input, std::string request_id)
         : id_(std::move(id)), model_(std::move(model)), request_(std::move(request_id)), input_(input) {}
 
 protected:
@@ -263,7 +263,7 @@
         escape(piece, out);
         return out.append("\"}}\n\n");
     }
-    std::string on_finish(Stop stop, const Usage& usage, const std::string& sequence) override {
+    std::string on_finish(StopReason stop, const Usage& usage, const std::string& sequence) override {
         const Out delta = {
             {"type", "message_delta"},
             {"delta", {{"stop_reason", stop_reason(stop)}, {"stop_sequence", sequence_json(stop, sequence)}}},
@@ -281,9 +281,9 @@
     long input_;
 };
 
-class WholeAnswer : public Answer {
+class CompleteResponse : public ResponseWriter {
 public:
-    WholeAnswer(std::string id, std::string model, std::string request_id, std::size_t max)
+    CompleteResponse(std::string id, std::string model, std::string request_id, std::size_t max)
         : id_(std::move(id)), model_(std::move(model)), request_(std::move(request_id)), max_(max) {}
 
 protected:
@@ -295,7 +295,7 @@
         text_.append(piece);
         return {};
     }
-    std::string on_finish(Stop stop, const Usage& usage, const std::string& sequence) override {
+    std::string on_finish(StopReason stop, const Usage& usage, const std::string& sequence) override {
         const Out whole = {{"id", id_},
                            {"type", "message"},
                            {"role", "assistant"},
@@ -351,15 +351,16 @@
 
 std::string model_body(const std::string& model) { return model_json(model).dump(); }
 
-std::unique_ptr<Answer> stream_answer(std::string id, std::string model, long input_tokens,
-                                      std::string request_id) {
-    return std::make_unique<StreamAnswer>(std::move(id), std::move(model), input_tokens,
-                                          std::move(request_id));
+std::unique_ptr<ResponseWriter> streamed_response(std::string id, std::string model, long input_tokens,
+                                                  std::string request_id) {
+    return std::make_unique<StreamedResponse>(std::move(id), std::move(model), input_tokens,
+                                              std::move(request_id));
 }
 
-std::unique_ptr<Answer> whole_answer(std::string id, std::string model, std::string request_id,
-                                     std::size_t max_bytes) {
-    return std::make_unique<WholeAnswer>(std::move(id), std::move(model), std::move(request_id), max_bytes);
+std::unique_ptr<ResponseWriter> complete_response(std::string id, std::string model, std::string request_id,
+                                                  std::size_t max_bytes) {
+    return std::make_unique<CompleteResponse>(std::move(id), std::move(model), std::move(request_id),
+                                              max_bytes);
 }
 
 }  // namespace gorsenotch::api::messages
--- a/src/api/messages.h
+++ b/src/api/messages.h
@@ -24,10 +24,10 @@
 std::string model_body(const std::string& model);
 
 // `id` as "msg_..."; input tokens are the estimate until the engine reports.
-std::unique_ptr<Answer> stream_answer(std::string id, std::string model, long input_tokens,
-                                      std::string request_id);
+std::unique_ptr<ResponseWriter> streamed_response(std::string id, std::string model, long input_tokens,
+                                                  std::string request_id);
 // Gathers the text and gives the whole body at the end; text past `max_bytes` ends it as an error.
-std::unique_ptr<Answer> whole_answer(std::string id, std::string model, std::string request_id,
-                                     std::size_t max_bytes);
+std::unique_ptr<ResponseWriter> complete_response(std::string id, std::string model, std::string request_id,
+                                                  std::size_t max_bytes);
 
 }  // namespace gorsenotch::api::messages
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -33,11 +33,11 @@
         if (!listen.empty()) p.listen = listen;
         if (!source.empty()) p.source = source;
         if (!fleet.empty()) p.fleet_file = fleet;
-        if (gateways > 0) p.module.gateways = gateways;
+        if (gateways > 0) p.router.gateways = gateways;
         if (has_seed) p.seed = seed;
         if (zone.empty()) return true;
-        p.module.own_zone = index_of(p.zones, zone);
-        if (p.module.own_zone >= 0) return true;
+        p.router.own_zone = index_of(p.zones, zone);
+        if (p.router.own_zone >= 0) return true;
         std::cerr << "--zone: the settings have no '" << zone << "'\n";
         return false;
     }
@@ -52,7 +52,7 @@
         return kRefused;
     }
     try {
-        const auto r = state::replay(in, p->module);
+        const auto r = state::replay(in, p->router);
         std::cout << r.events << " events, " << r.actions
                   << " actions: " << (r.difference.empty() ? "the same" : "DIFFERENT, " + r.difference)
                   << '\n';
@@ -101,7 +101,7 @@
     auto* check_cmd = app.add_subcommand("check", "check a settings file; all faults at once");
     check_cmd->add_option("settings", check_file)->required();
 
-    StandinArgs standin;
+    FakeEngineArgs standin;
     auto* standin_cmd = app.add_subcommand("standin", "run one stand-in engine");
     standin_cmd->add_option("settings", standin.file)->required();
     standin_cmd->add_option("--kind", standin.kind, "kind, as in the settings")->required();
@@ -119,7 +119,7 @@
     up_cmd->add_option("--listen", up_listen, "address, in place of the settings'");
 
     std::string day_file;
-    fault_scenario::DayOptions day_options;
+    fault_scenario::ScenarioOptions day_options;
     day_options.out = (std::filesystem::temp_directory_path() / "gorsenotch-day").string();
     std::uint64_t day_seed = 0;
     int day_seeds = 1;
@@ -182,7 +182,7 @@
     }
     if (*standin_cmd) {
         standin.args.assign(argv, argv + argc);
-        return run_standin(standin);
+        return run_fake_engine(standin);
     }
     if (*up_cmd) return run_up(up_file, up_listen);
     if (*replay_cmd) return run_replay(replay_settings, replay_journal, serve);
@@ -192,5 +192,5 @@
     }
     day_options.self = self();
     if (*seed_option) day_options.seed = day_seed;
-    return run_day(day_file, day_options, day_seeds);
+    return run_scenario(day_file, day_options, day_seeds);
 }
--- a/src/cli/processes.cpp
+++ b/src/cli/processes.cpp
@@ -71,10 +71,11 @@
     bool draining_ = false;
 };
 
-std::optional<fake_engine::EngineOptions> engine_options(const settings::Program& p, const StandinArgs& a) {
+std::optional<fake_engine::EngineOptions> engine_options(const settings::Program& p,
+                                                         const FakeEngineArgs& a) {
     const auto it = std::find(p.kinds.begin(), p.kinds.end(), a.kind);
     const int kind = it == p.kinds.end() ? -1 : static_cast<int>(it - p.kinds.begin());
-    if (kind < 0 || !p.standins.count(kind)) {
+    if (kind < 0 || !p.fake_engines.count(kind)) {
         std::cerr << "--kind: the settings have no stand-in of kind '" << a.kind << "'\n";
         return std::nullopt;
     }
@@ -82,10 +83,11 @@
     o.address = a.address, o.control = a.control, o.record = a.record, o.keys = a.keys;
     o.server = a.server, o.cold = a.cold, o.args = a.args;
     o.model_name = p.models.front();
-    const auto& k = p.module.kinds[static_cast<std::size_t>(kind)];
-    o.config.role = k.role, o.config.memory_tokens = k.memory_tokens, o.config.pace = p.standins.at(kind);
-    o.config.start_capacity = p.module.initial_capacity, o.config.warm = p.module.slow_start_duration;
-    o.config.local_read = p.module.local_prefill;
+    const auto& k = p.router.kinds[static_cast<std::size_t>(kind)];
+    o.config.role = k.role, o.config.memory_tokens = k.memory_tokens, o.config.pace = p.fake_engines.at(kind);
+    o.config.initial_capacity = p.router.initial_capacity,
+    o.config.slow_start_duration = p.router.slow_start_duration;
+    o.config.local_prefill = p.router.local_prefill;
     return o;
 }
 
@@ -101,7 +103,7 @@
     return 0;
 }
 
-int run_standin(const StandinArgs& a) {
+int run_fake_engine(const FakeEngineArgs& a) {
     const auto p = load(a.file);
     if (!p) return kRefused;
     auto o = engine_options(*p, a);
@@ -181,7 +183,7 @@
     return code;
 }
 
-int run_day(const std::string& file, fault_scenario::DayOptions options, int seeds) {
+int run_scenario(const std::string& file, fault_scenario::ScenarioOptions options, int seeds) {
     std::string faults;
     const auto plan = fault_scenario::load_plan(file, faults);
     if (!plan) {
@@ -194,14 +196,14 @@
     for (int i = 0; i < seeds; ++i) {
         options.seed = first + static_cast<std::uint64_t>(i);
         if (seeds > 1) options.out = out + "/" + std::to_string(*options.seed);
-        const auto result = fault_scenario::Day(*plan, options).run();
+        const auto result = fault_scenario::Scenario(*plan, options).run();
         if (result.interrupted || result.system) {
             std::cerr << "day " << plan->name << ": " << result.error << '\n';
             return result.interrupted ? kInterrupted : kSystem;
         }
         std::printf("day %s, seed %llu, %.1f s, records in %s\n%s", plan->name.c_str(),
                     static_cast<unsigned long long>(*options.seed), result.seconds, options.out.c_str(),
-                    invariants::table(result.verdict).c_str());
+                    invariants::format_verdict(result.verdict).c_str());
         if (!result.error.empty()) std::printf("not played through: %s\n", result.error.c_str());
         if (!result.verdict.kept() || !result.error.empty()) code = kBroken;
         std::printf("%s\n", !result.error.empty()   ? "NOT PLAYED"
@@ -220,7 +222,7 @@
     }
     net::EventLoop loop;
     int code = 0;
-    fault_scenario::Clients clients(loop, std::move(o));
+    fault_scenario::ScriptedClients clients(loop, std::move(o));
     Stop stop(loop, [&] {
         code = kInterrupted;
         loop.stop();
--- a/src/cli/processes.h
+++ b/src/cli/processes.h
@@ -23,18 +23,18 @@
 // Prints `ready http://ADDRESS` when it listens; drains when told to stop, ends at once when told twice.
 int run_gateway(settings::Program program, const gateway::ServeOptions& options);
 
-struct StandinArgs {
+struct FakeEngineArgs {
     std::string file, kind, address, control, record, keys;
     EndpointId server = 0;
     bool cold = false;
     std::vector<std::string> args;  // of this process, to start it anew
 };
-int run_standin(const StandinArgs& args);
+int run_fake_engine(const FakeEngineArgs& args);
 
 // Every engine of the settings as a stand-in process, and the gateway in this one, ready when all listen.
 int run_up(const std::string& file, const std::string& listen);
 
-int run_day(const std::string& file, fault_scenario::DayOptions options, int seeds);
+int run_scenario(const std::string& file, fault_scenario::ScenarioOptions options, int seeds);
 int run_client(fault_scenario::ClientOptions options, const std::string& gateways);
 
 }  // namespace gorsenotch::cli
--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -14,7 +14,7 @@
 
 namespace gorsenotch::engine {
 
-struct Wanted {  // an HTTP request to an engine, but for Host and Connection
+struct UpstreamRequest {  // an HTTP request to an engine, but for Host and Connection
     std::string method, target;
     http::Headers headers;
     std::string body;
@@ -29,36 +29,36 @@
     double budget = 0;  // ms until nobody waits for the answer any more; 0: unknown
 };
 
-struct Verdict {  // what a whole answer, or its head, means
+struct ParsedResponse {  // what a whole answer, or its head, means
     AttemptResult result = AttemptResult::error;
     double note = 0;         // as Outcome::note
     std::string parameters;  // prefill_done: to hand to the write, as the engine gave them
     std::string why;         // for the log where result is not good
 };
 
-struct Piece {  // what one event of a stream means
+struct StreamPiece {  // what one event of a stream means
     enum class Kind { none, text, stop, usage, done, broken } kind = Kind::none;
     std::string text;  // of a stop: the stop string that matched, where the engine names it
-    api::Stop stop = api::Stop::end;
+    api::StopReason stop = api::StopReason::end;
     api::Usage usage;
 };
 
 class Dialect {
 public:
     virtual ~Dialect() = default;
-    virtual Wanted prefill_request(const api::ChatRequest& r, const AttemptInfo& a) const = 0;
+    virtual UpstreamRequest prefill_request(const api::ChatRequest& r, const AttemptInfo& a) const = 0;
     // `parameters` of the read; empty: the engine reads the prompt itself.
-    virtual Wanted decode_request(const api::ChatRequest& r, const AttemptInfo& a,
-                                  const std::string& parameters) const = 0;
+    virtual UpstreamRequest decode_request(const api::ChatRequest& r, const AttemptInfo& a,
+                                           const std::string& parameters) const = 0;
     // Lets go of the state that the attempt `id` (a read) left or will leave, and stops the read if it runs.
-    virtual Wanted release_request(const std::string& id) const = 0;
-    virtual Verdict judge_prefill(int status, const std::string& body) const = 0;
+    virtual UpstreamRequest release_request(const std::string& id) const = 0;
+    virtual ParsedResponse judge_prefill(int status, const std::string& body) const = 0;
     // An answer to a write that is not a stream.
-    virtual Verdict judge_refusal(int status, const std::string& body) const = 0;
+    virtual ParsedResponse parse_rejection(int status, const std::string& body) const = 0;
     // One event's meanings, in order, in place of what `pieces` held; at most one text, one stop and one
     // usage.
-    virtual void judge_event(std::string_view data, std::vector<Piece>& pieces) const = 0;
-    virtual LoadReport report(const http::Headers& headers) const = 0;
+    virtual void parse_event(std::string_view data, std::vector<StreamPiece>& pieces) const = 0;
+    virtual LoadReport load_report(const http::Headers& headers) const = 0;
 };
 
 // vLLM's OpenAI-compatible server with a KV connector, per its public documentation.
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -14,7 +14,7 @@
 
 Json body_of(const api::ChatRequest& r) {
     Json messages = Json::array();
-    for (const auto& t : r.turns) messages.push_back({{"role", t.role}, {"content", t.text}});
+    for (const auto& t : r.messages) messages.push_back({{"role", t.role}, {"content", t.text}});
     Json body = {{"model", r.model}, {"messages", std::move(messages)}};
     if (!r.stop.empty()) body["stop"] = r.stop;
     if (r.temperature) body["temperature"] = *r.temperature;
@@ -24,8 +24,9 @@
     return body;
 }
 
-Wanted post(std::string target, const Json& body, const AttemptInfo& a) {
-    Wanted w{"POST", std::move(target), {{"content-type", "application/json"}, {"x-request-id", a.id}}, {}};
+UpstreamRequest post(std::string target, const Json& body, const AttemptInfo& a) {
+    UpstreamRequest w{
+        "POST", std::move(target), {{"content-type", "application/json"}, {"x-request-id", a.id}}, {}};
     if (!a.key.empty()) w.headers.emplace_back("idempotency-key", a.key);
     if (!a.cls.empty()) w.headers.emplace_back("x-class", a.cls);
     w.body = body.dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -62,10 +63,10 @@
     return e.contains("type") && e["type"].is_string() ? e["type"].get<std::string>() : std::string();
 }
 
-Verdict refusal(int status, const std::string& body) {
+ParsedResponse refusal(int status, const std::string& body) {
     std::string why;
     const Json json = api::parse_json(body, why);
-    Verdict v;
+    ParsedResponse v;
     v.why = "status " + std::to_string(status) + ": " + error_text(json);
     // Only what states that nothing ran counts as not run: 429 at admission, and a state that is gone.
     if (status == 429) v.result = AttemptResult::rejected;
@@ -187,7 +188,7 @@
 
 class Vllm : public Dialect {
 public:
-    Wanted prefill_request(const api::ChatRequest& r, const AttemptInfo& a) const override {
+    UpstreamRequest prefill_request(const api::ChatRequest& r, const AttemptInfo& a) const override {
         Json body = body_of(r);
         body["max_tokens"] = 1;
         body["stream"] = false;
@@ -197,8 +198,8 @@
         return post("/v1/chat/completions", body, a);
     }
 
-    Wanted decode_request(const api::ChatRequest& r, const AttemptInfo& a,
-                          const std::string& parameters) const override {
+    UpstreamRequest decode_request(const api::ChatRequest& r, const AttemptInfo& a,
+                                   const std::string& parameters) const override {
         Json body = body_of(r);
         body["max_tokens"] = r.max_tokens;
         body["stream"] = true;
@@ -207,13 +208,13 @@
         return post("/v1/chat/completions", body, a);
     }
 
-    Wanted release_request(const std::string& id) const override {
+    UpstreamRequest release_request(const std::string& id) const override {
         return post("/abort_request", Json{{"rid", id}}, {id, {}, {}, 0});
     }
 
-    Verdict judge_prefill(int status, const std::string& body) const override {
+    ParsedResponse judge_prefill(int status, const std::string& body) const override {
         if (status != 200) return refusal(status, body);
-        Verdict v;
+        ParsedResponse v;
         const Json json = api::parse_json(body, v.why);
         const auto params = json.is_object() ? json.find("kv_transfer_params") : json.end();
         // A read whose state can't be named can't be written from: the next attempt reads anew.
@@ -229,42 +230,42 @@
         return v;
     }
 
-    Verdict judge_refusal(int status, const std::string& body) const override {
-        Verdict v = refusal(status, body);
+    ParsedResponse parse_rejection(int status, const std::string& body) const override {
+        ParsedResponse v = refusal(status, body);
         if (status == 200) v.why = "the answer is not an event stream";
         return v;
     }
 
-    void judge_event(std::string_view data, std::vector<Piece>& pieces) const override {
+    void parse_event(std::string_view data, std::vector<StreamPiece>& pieces) const override {
         pieces.clear();
         if (data == "[DONE]") {
-            pieces.push_back({Piece::Kind::done, {}, {}, {}});
+            pieces.push_back({StreamPiece::Kind::done, {}, {}, {}});
             return;
         }
         ChunkReader chunk;
         const bool whole = Json::sax_parse(data, &chunk);
         if (!whole || !chunk.object || chunk.error) {
             const std::string why = chunk.error ? chunk.error_text : "an event that is not a JSON object";
-            pieces.push_back({Piece::Kind::broken, why.substr(0, 200), {}, {}});
+            pieces.push_back({StreamPiece::Kind::broken, why.substr(0, 200), {}, {}});
             return;
         }
-        if (!chunk.text.empty()) pieces.push_back({Piece::Kind::text, std::move(chunk.text), {}, {}});
+        if (!chunk.text.empty()) pieces.push_back({StreamPiece::Kind::text, std::move(chunk.text), {}, {}});
         if (!chunk.finish.empty()) {
-            Piece p{Piece::Kind::stop, {}, api::Stop::end, {}};
-            if (chunk.finish == "length") p.stop = api::Stop::length;
-            if (chunk.finish == "content_filter") p.stop = api::Stop::refused;
+            StreamPiece p{StreamPiece::Kind::stop, {}, api::StopReason::end, {}};
+            if (chunk.finish == "length") p.stop = api::StopReason::length;
+            if (chunk.finish == "content_filter") p.stop = api::StopReason::refused;
             // vLLM names the stop string that matched.
             if (chunk.finish == "stop" && !chunk.stop_string.empty())
-                p.stop = api::Stop::sequence, p.text = std::move(chunk.stop_string);
+                p.stop = api::StopReason::sequence, p.text = std::move(chunk.stop_string);
             pieces.push_back(std::move(p));
         }
         if (chunk.has_usage) {
             chunk.usage.cached = std::min(chunk.usage.cached, chunk.usage.input);
-            pieces.push_back({Piece::Kind::usage, {}, {}, chunk.usage});
+            pieces.push_back({StreamPiece::Kind::usage, {}, {}, chunk.usage});
         }
     }
 
-    LoadReport report(const http::Headers& headers) const override {
+    LoadReport load_report(const http::Headers& headers) const override {
         LoadReport r;
         const std::string* text = http::find(headers, "endpoint-load-metrics");
         if (!text) return r;
--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -13,9 +13,9 @@
 
 using invariants::Json;
 
-class Engine::Link {
+class Engine::Connection {
 public:
-    Link(Engine& e, std::unique_ptr<net::TcpStream> s, bool control)
+    Connection(Engine& e, std::unique_ptr<net::TcpStream> s, bool control)
         : engine(e), stream(std::move(s)), parser(http::Parser::Kind::request, {}), is_control(control) {
         peer = stream->peer();
         stream->on_data = [this](std::string_view b) { data(b); };
@@ -72,23 +72,23 @@
     http::Parser parser;
     std::string peer, body, request_body, pending, held, ask;
     bool is_control, busy = false, cut = false, gone = false;
-    std::list<std::unique_ptr<Link>>::iterator self;
+    std::list<std::unique_ptr<Connection>>::iterator self;
 };
 
-struct Engine::Take {
+struct Engine::StateFetch {
     std::unique_ptr<net::TcpStream> stream;
     std::unique_ptr<net::Timer> timer;
     http::Parser parser{http::Parser::Kind::response, {}};
     std::string id;
     bool over = false;
-    std::list<std::unique_ptr<Take>>::iterator self;
+    std::list<std::unique_ptr<StateFetch>>::iterator self;
 };
 
 namespace {
 
-Config cold_config(const EngineOptions& o) {
-    Config c = o.config;
-    if (!o.cold) c.warm = 0;
+EngineConfig cold_config(const EngineOptions& o) {
+    EngineConfig c = o.config;
+    if (!o.cold) c.slow_start_duration = 0;
     return c;
 }
 
@@ -100,9 +100,9 @@
 
 Engine::Engine(net::EventLoop& loop, EngineOptions options)
     : loop_(loop),
-      o_(std::move(options)),
-      recorder_(o_.record),
-      model_(cold_config(o_), net::now(),
+      options_(std::move(options)),
+      recorder_(options_.record),
+      model_(cold_config(options_), net::now(),
              {[this](const std::string& id, double kept) { read_done(id, kept); },
               [this](const std::string& id) { fetch(id); }, [this](const std::string& id) { running(id); },
               [this](const std::string& id, const std::string& t, bool last, bool cut) {
@@ -112,34 +112,34 @@
                   record("lease", {{"id", id}});
               }}),
       timer_(loop, [this] { arm(); }),
-      burier_(loop, [this] { dead_.clear(), dead_takes_.clear(); }) {}
+      burier_(loop, [this] { closed_connections_.clear(), ended_fetches_.clear(); }) {}
 
 Engine::~Engine() = default;
 
 int Engine::start(std::string& at) {
-    at = o_.address;
+    at = options_.address;
     listener_ = std::make_unique<net::TcpListener>(loop_);
     listener_->on_stream = [this](std::unique_ptr<net::TcpStream> s) { accept(std::move(s), false); };
-    if (const int e = listener_->listen(o_.address)) return e;
-    if (!o_.control.empty()) {
-        at = o_.control;
+    if (const int e = listener_->listen(options_.address)) return e;
+    if (!options_.control.empty()) {
+        at = options_.control;
         control_ = std::make_unique<net::TcpListener>(loop_);
         control_->on_stream = [this](std::unique_ptr<net::TcpStream> s) { accept(std::move(s), true); };
-        if (const int e = control_->listen(o_.control)) return e;
+        if (const int e = control_->listen(options_.control)) return e;
     }
-    const Config& c = o_.config;
+    const EngineConfig& c = options_.config;
     record("up", {{"role", c.role == Role::prefill  ? "read"
                            : c.role == Role::decode ? "write"
                                                     : "both"},
-                  {"cold", o_.cold},
-                  {"start", c.start_capacity},
-                  {"warm", c.warm}});
+                  {"cold", options_.cold},
+                  {"start", c.initial_capacity},
+                  {"warm", c.slow_start_duration}});
     arm();
     return 0;
 }
 
 void Engine::record(const char* event, Json fields) {
-    fields["server"] = o_.server;
+    fields["server"] = options_.server;
     recorder_.write(net::now(), event, std::move(fields));
 }
 
@@ -159,19 +159,19 @@
            ", named_metrics.waiting_ktokens=" + std::to_string(model_.waiting_ktokens());
 }
 
-bool Engine::is_cut(const Link& link) const {
+bool Engine::is_cut(const Connection& link) const {
     if (link.is_control) return false;
     return std::any_of(cut_from_.begin(), cut_from_.end(),
                        [&](const std::string& from) { return link.peer.rfind(from, 0) == 0; });
 }
 
 void Engine::accept(std::unique_ptr<net::TcpStream> s, bool control) {
-    links_.push_back(std::make_unique<Link>(*this, std::move(s), control));
-    links_.back()->self = std::prev(links_.end());
-    links_.back()->cut = true;
+    connections_.push_back(std::make_unique<Connection>(*this, std::move(s), control));
+    connections_.back()->self = std::prev(connections_.end());
+    connections_.back()->cut = true;
 }
 
-void Engine::handle(Link& link) {
+void Engine::handle(Connection& link) {
     const std::string body = std::exchange(link.request_body, {});
     const std::string path = link.parser.target;
     if (link.is_control) return order(link, body);
@@ -181,12 +181,12 @@
     link.answer(404, error_json("not_found", "no such path"), "");
 }
 
-void Engine::complete(Link& link, const std::string& body) {
+void Engine::complete(Connection& link, const std::string& body) {
     std::string why;
     const Json j = api::parse_json(body, why);
     if (!j.is_object() || !j.contains("messages"))
         return link.answer(400, error_json("invalid_request_error", "bad body"), load_header());
-    Ask ask;
+    ActiveRequest ask;
     ask.link = &link;
     const auto header = [&](const char* name) {
         const auto* v = http::find(link.parser.headers, name);
@@ -208,7 +208,7 @@
         for (const auto& s : j["stop"]) {
             if (s.is_string() && !s.get_ref<const std::string&>().empty()) strings.push_back(s);
         }
-        ask.stops = Stops(std::move(strings));
+        ask.stops = StopSequences(std::move(strings));
     }
     const Json kv = j.contains("kv_transfer_params") && j["kv_transfer_params"].is_object()
                         ? j["kv_transfer_params"]
@@ -230,34 +230,34 @@
         record("end", {{"id", id}, {"how", how}});
         link.answer(status, error_json(type, how), load_header());
     };
-    if (id.empty() || asks_.count(id)) return refuse(400, "invalid_request_error", "doubled");
+    if (id.empty() || active_requests_.count(id)) return refuse(400, "invalid_request_error", "doubled");
     if (error_classes_.count("") || error_classes_.count(ask.job.cls))
         return refuse(500, "internal_error", "error");
     if (draining_) return refuse(429, "overloaded", "full");
     link.ask = id;
     if (silent_classes_.count("") || silent_classes_.count(ask.job.cls)) {
         ask.silent = true;
-        asks_[id] = std::move(ask);
+        active_requests_[id] = std::move(ask);
         return;
     }
     ask.muted = mute_classes_.count("") || mute_classes_.count(ask.job.cls);
     const bool read = ask.read;
     const Job job = ask.job;
-    asks_[id] = std::move(ask);
+    active_requests_[id] = std::move(ask);
     const auto admit = read ? model_.read(net::now(), job) : model_.write(net::now(), job);
-    if (admit == Model::Admit::taken) return arm();
-    asks_.erase(id);
+    if (admit == Model::Admission::taken) return arm();
+    active_requests_.erase(id);
     link.ask.clear();
-    if (admit == Model::Admit::no_state) return refuse(424, "kv_transfer_error", "no_state");
+    if (admit == Model::Admission::no_state) return refuse(424, "kv_transfer_error", "no_state");
     refuse(429, "overloaded", "full");
 }
 
-void Engine::abort(Link& link, const std::string& body) {
+void Engine::abort(Connection& link, const std::string& body) {
     const Json j = Json::parse(body, nullptr, false);
     const std::string id = j.is_object() ? j.value("rid", "") : "";
     record("let_go", {{"id", id}, {"found", model_.abort(net::now(), id)}});
-    if (const auto it = asks_.find(id); it != asks_.end()) {
-        Link* waiting = it->second.link;
+    if (const auto it = active_requests_.find(id); it != active_requests_.end()) {
+        Connection* waiting = it->second.link;
         end(id, "cancelled");
         if (waiting) waiting->answer(499, error_json("aborted", "aborted"), load_header());
     }
@@ -265,7 +265,7 @@
     arm();
 }
 
-void Engine::take(Link& link, const std::string& body) {
+void Engine::take(Connection& link, const std::string& body) {
     const Json j = Json::parse(body, nullptr, false);
     const std::string id = j.is_object() ? j.value("rid", "") : "";
     double tokens = 0;
@@ -275,7 +275,7 @@
     arm();
 }
 
-void Engine::order(Link& link, const std::string& body) {
+void Engine::order(Connection& link, const std::string& body) {
     const Json j = Json::parse(body, nullptr, false);
     const std::string word = j.is_object() ? j.value("order", "") : "";
     const bool on = j.is_object() && j.value("on", true);
@@ -289,12 +289,13 @@
     };
     bool known = true;
     if (word == "crash") _exit(3);
-    if (word == "restart" && !o_.args.empty()) {
+    if (word == "restart" && !options_.args.empty()) {
         record("down", Json::object());
         // Every socket closes on the way: what was out breaks, as at a crash.
         std::vector<char*> argv;
-        if (std::find(o_.args.begin(), o_.args.end(), "--cold") == o_.args.end()) o_.args.push_back("--cold");
-        for (auto& a : o_.args) argv.push_back(a.data());
+        if (std::find(options_.args.begin(), options_.args.end(), "--cold") == options_.args.end())
+            options_.args.push_back("--cold");
+        for (auto& a : options_.args) argv.push_back(a.data());
         argv.push_back(nullptr);
         execv("/proc/self/exe", argv.data());
         _exit(3);
@@ -312,8 +313,8 @@
     } else if (word == "cut") {
         set(cut_from_, j.value("from", ""));
         if (!on) {
-            std::vector<Link*> all;
-            for (auto& l : links_) all.push_back(l.get());
+            std::vector<Connection*> all;
+            for (auto& l : connections_) all.push_back(l.get());
             for (auto* l : all) {
                 if (!l->gone) l->write(""), l->go_on();
             }
@@ -333,19 +334,20 @@
 // ---- what the model tells -------------------------------------------------------------------------------
 
 void Engine::read_done(const std::string& id, double kept) {
-    const auto it = asks_.find(id);
-    const double all = it == asks_.end() ? kept : it->second.job.prompt;
-    record("held", {{"id", id}, {"did", (all - kept) / o_.config.pace.read_per_s}});
-    if (it == asks_.end()) return;  // its asker has gone and the kind does not cancel: the state stays
+    const auto it = active_requests_.find(id);
+    const double all = it == active_requests_.end() ? kept : it->second.job.prompt;
+    record("held", {{"id", id}, {"did", (all - kept) / options_.config.pace.read_per_s}});
+    if (it == active_requests_.end())
+        return;  // its asker has gone and the kind does not cancel: the state stays
     if (it->second.muted && it->second.link) return;  // nobody is told: out until its asker closes
-    Link* link = it->second.link;
+    Connection* link = it->second.link;
     const double prompt = it->second.job.prompt;
     end(id, "done");
     if (!link) return;
     link->answer(200,
                  {{"id", "cmpl-" + id},
                   {"object", "chat.completion"},
-                  {"model", o_.model_name},
+                  {"model", options_.model_name},
                   {"choices", Json::array({{{"index", 0},
                                             {"message", {{"role", "assistant"}, {"content", "x"}}},
                                             {"finish_reason", "length"}}})},
@@ -357,21 +359,21 @@
                   {"kv_transfer_params",
                    {{"do_remote_prefill", true},
                     {"do_remote_decode", false},
-                    {"remote_engine_id", std::to_string(o_.server)},
+                    {"remote_engine_id", std::to_string(options_.server)},
                     {"remote_block_ids", Json::array({1})},
                     {"remote_request_id", id},
                     {"cached_tokens", static_cast<long>(kept)},
-                    {"remote_host", o_.address.substr(0, o_.address.rfind(':'))},
+                    {"remote_host", options_.address.substr(0, options_.address.rfind(':'))},
                     {"remote_port", port()}}}},
                  load_header());
     link->go_on();
 }
 
 void Engine::fetch(const std::string& id) {
-    const auto it = asks_.find(id);
-    takes_.push_back(std::make_unique<Take>());
-    Take& t = *takes_.back();
-    t.self = std::prev(takes_.end());
+    const auto it = active_requests_.find(id);
+    fetches_.push_back(std::make_unique<StateFetch>());
+    StateFetch& t = *fetches_.back();
+    t.self = std::prev(fetches_.end());
     t.id = id;
     t.stream = std::make_unique<net::TcpStream>(loop_);
     t.timer = std::make_unique<net::Timer>(loop_, [this, &t] { fetch_over(t, false); });
@@ -380,12 +382,13 @@
         if (!t.over) t.parser.feed(b);
     };
     t.stream->on_end = [this, &t](int) { fetch_over(t, false); };
-    const std::string from = o_.address.substr(0, o_.address.rfind(':'));
-    const std::string to = it == asks_.end() ? "" : it->second.host + ":" + std::to_string(it->second.port);
+    const std::string from = options_.address.substr(0, options_.address.rfind(':'));
+    const std::string to =
+        it == active_requests_.end() ? "" : it->second.host + ":" + std::to_string(it->second.port);
     const int error = t.stream->connect(to, from, [this, &t](int e) {
         if (e != 0) return fetch_over(t, false);
-        const auto a = asks_.find(t.id);
-        const std::string text = Json{{"rid", a == asks_.end() ? "" : a->second.remote}}.dump();
+        const auto a = active_requests_.find(t.id);
+        const std::string text = Json{{"rid", a == active_requests_.end() ? "" : a->second.remote}}.dump();
         t.stream->set_reading(true);
         t.stream->write(
             http::request_head("POST", "/take",
@@ -395,18 +398,18 @@
     t.timer->fire_after(error != 0 ? 0 : 2000);
 }
 
-void Engine::fetch_over(Take& t, bool ok) {
+void Engine::fetch_over(StateFetch& t, bool ok) {
     if (t.over) return;
     t.over = true;
     t.stream.reset();
     t.timer->stop();
     const std::string id = t.id;
-    dead_takes_.splice(dead_takes_.end(), takes_, t.self);
+    ended_fetches_.splice(ended_fetches_.end(), fetches_, t.self);
     burier_.fire_after(0);
     model_.fetched(net::now(), id, ok);
     if (!ok) {
-        if (const auto it = asks_.find(id); it != asks_.end()) {
-            Link* link = it->second.link;
+        if (const auto it = active_requests_.find(id); it != active_requests_.end()) {
+            Connection* link = it->second.link;
             end(id, "no_state");
             if (link) link->answer(424, error_json("kv_transfer_error", "the state is gone"), load_header());
             if (link) link->go_on();
@@ -418,24 +421,24 @@
 // The first of all engines that share a folder to run a key has its effect; the others answer alike without.
 bool Engine::first_effect(const std::string& key) {
     if (key.empty()) return true;
-    if (o_.keys.empty()) return own_keys_.insert(key).second;
-    const std::string file = o_.keys + "/" + std::to_string(api::hash(key));
+    if (options_.keys.empty()) return own_keys_.insert(key).second;
+    const std::string file = options_.keys + "/" + std::to_string(api::hash(key));
     const int fd = ::open(file.c_str(), O_CREAT | O_EXCL | O_WRONLY | O_CLOEXEC, 0644);
     if (fd >= 0) ::close(fd);
     return fd >= 0;
 }
 
 void Engine::running(const std::string& id) {
-    const auto it = asks_.find(id);
-    if (it == asks_.end()) return;
+    const auto it = active_requests_.find(id);
+    if (it == active_requests_.end()) return;
     const bool first = first_effect(it->second.job.key);
     record(first ? "run" : "repeat", {{"id", id}, {"key", it->second.job.key}, {"cls", it->second.job.cls}});
 }
 
 void Engine::token(const std::string& id, const std::string& made, bool last, bool cut) {
-    const auto it = asks_.find(id);
-    if (it == asks_.end()) return;
-    Ask& a = it->second;
+    const auto it = active_requests_.find(id);
+    if (it == active_requests_.end()) return;
+    ActiveRequest& a = it->second;
     ++a.made;
     std::string text = a.stops.feed(made);
     const std::string stop = a.stops.matched();
@@ -453,7 +456,7 @@
                                             {"endpoint-load-metrics", load_header()}});
         }
         const Json base = {
-            {"id", "chatcmpl-" + id}, {"object", "chat.completion.chunk"}, {"model", o_.model_name}};
+            {"id", "chatcmpl-" + id}, {"object", "chat.completion.chunk"}, {"model", options_.model_name}};
         const auto event = [&](Json choices, const Json* usage) {
             Json e = base;
             e["choices"] = std::move(choices);
@@ -487,7 +490,7 @@
     }
     a.begun = true;
     if (!last) return;
-    Link* link = a.muted ? nullptr : a.link;
+    Connection* link = a.muted ? nullptr : a.link;
     if (a.muted && a.link) return;  // done, and nobody is told: out until its asker closes
     end(id, "done");
     if (!link) return;
@@ -496,19 +499,19 @@
 }
 
 void Engine::end(const std::string& id, const char* how) {
-    const auto it = asks_.find(id);
-    if (it == asks_.end()) return;
+    const auto it = active_requests_.find(id);
+    if (it == active_requests_.end()) return;
     record("end", {{"id", id}, {"how", how}, {"tokens", it->second.made}});
     if (it->second.link) it->second.link->ask.clear();
-    asks_.erase(it);
+    active_requests_.erase(it);
 }
 
-void Engine::closed(Link& link) {
+void Engine::closed(Connection& link) {
     if (link.gone) return;
     const std::string id = link.ask;
-    if (const auto it = asks_.find(id); !id.empty() && it != asks_.end()) {
+    if (const auto it = active_requests_.find(id); !id.empty() && it != active_requests_.end()) {
         // Where the kind cancels, a closed connection ends the work; else it goes on for nobody.
-        if (o_.config.pace.cancels || it->second.silent) {
+        if (options_.config.pace.cancels || it->second.silent) {
             if (!it->second.silent) model_.abort(net::now(), id);
             end(id, "cancelled");
         } else {
@@ -520,10 +523,10 @@
     arm();
 }
 
-void Engine::remove(Link& link) {
+void Engine::remove(Connection& link) {
     link.gone = true;
     link.stream.reset();
-    dead_.splice(dead_.end(), links_, link.self);
+    closed_connections_.splice(closed_connections_.end(), connections_, link.self);
     burier_.fire_after(0);
 }
 
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -29,7 +29,7 @@
     std::string keys;  // folder shared by the engines that drop each other's repeats; empty: own memory
     EndpointId server = 0;
     std::string model_name = "local-model";
-    Config config;
+    EngineConfig config;
     bool cold = false;
     std::vector<std::string> args;  // of this process, to start it anew
 };
@@ -43,46 +43,46 @@
     int control_port() const { return control_ ? control_->port() : 0; }
 
 private:
-    class Link;
-    struct Ask {  // a request to this engine that is not answered yet
-        Link* link = nullptr;
+    class Connection;
+    struct ActiveRequest {  // a request to this engine that is not answered yet
+        Connection* link = nullptr;
         Job job;
         bool read = false, begun = false, repeat = false, silent = false, muted = false;
-        Stops stops;
+        StopSequences stops;
         std::string host, remote;  // of the state: where, and under which read's id
         int port = 0, made = 0;
         long cached = 0;
     };
-    struct Take;  // a fetch of a state from its reader
+    struct StateFetch;  // a fetch of a state from its reader
 
     void accept(std::unique_ptr<net::TcpStream> s, bool control);
-    void handle(Link& link);
-    void complete(Link& link, const std::string& body);
-    void abort(Link& link, const std::string& body);
-    void take(Link& link, const std::string& body);
-    void order(Link& link, const std::string& body);
-    void closed(Link& link);
-    void remove(Link& link);
+    void handle(Connection& link);
+    void complete(Connection& link, const std::string& body);
+    void abort(Connection& link, const std::string& body);
+    void take(Connection& link, const std::string& body);
+    void order(Connection& link, const std::string& body);
+    void closed(Connection& link);
+    void remove(Connection& link);
     void read_done(const std::string& id, double kept);
     void fetch(const std::string& id);
-    void fetch_over(Take& take, bool ok);
+    void fetch_over(StateFetch& take, bool ok);
     void running(const std::string& id);
     void token(const std::string& id, const std::string& made, bool last, bool cut);
     void end(const std::string& id, const char* how);
     bool first_effect(const std::string& key);
     std::string load_header();
-    bool is_cut(const Link& link) const;
+    bool is_cut(const Connection& link) const;
     void record(const char* event, invariants::Json fields);
     void arm();
 
     net::EventLoop& loop_;
-    EngineOptions o_;
+    EngineOptions options_;
     invariants::Recorder recorder_;
     Model model_;
     std::unique_ptr<net::TcpListener> listener_, control_;
-    std::list<std::unique_ptr<Link>> links_, dead_;
-    std::list<std::unique_ptr<Take>> takes_, dead_takes_;
-    std::unordered_map<std::string, Ask> asks_;
+    std::list<std::unique_ptr<Connection>> connections_, closed_connections_;
+    std::list<std::unique_ptr<StateFetch>> fetches_, ended_fetches_;
+    std::unordered_map<std::string, ActiveRequest> active_requests_;
     std::set<std::string> own_keys_;
     std::set<std::string> error_classes_, silent_classes_, mute_classes_, cut_from_;
     std::deque<std::pair<Millis, double>> reports_;  // memory share by time, for late reports
--- a/src/fake_engine/model.cpp
+++ b/src/fake_engine/model.cpp
@@ -32,14 +32,14 @@
     return std::max(1, static_cast<int>(usual * (0.5 + x)));
 }
 
-Model::Model(Config config, Millis now, Events events)
+Model::Model(EngineConfig config, Millis now, Events events)
     : config_(std::move(config)), events_(std::move(events)), born_(now) {}
 
 double Model::speed(Millis now) const {
     double capacity = 1;
-    if (config_.warm > 0) {
-        const double age = std::clamp((now - born_) / config_.warm, 0.0, 1.0);
-        capacity = config_.start_capacity + (1 - config_.start_capacity) * age;
+    if (config_.slow_start_duration > 0) {
+        const double age = std::clamp((now - born_) / config_.slow_start_duration, 0.0, 1.0);
+        capacity = config_.initial_capacity + (1 - config_.initial_capacity) * age;
     }
     return capacity / slow_;
 }
@@ -85,24 +85,24 @@
     }
 }
 
-Model::Admit Model::read(Millis now, Job job) {
-    if (aborted(job.id)) return Admit::full;
-    if (static_cast<int>(queue_.size()) >= config_.pace.slots + config_.pace.queue) return Admit::full;
-    if (job.prompt > config_.memory_tokens) return Admit::full;
+Model::Admission Model::read(Millis now, Job job) {
+    if (aborted(job.id)) return Admission::full;
+    if (static_cast<int>(queue_.size()) >= config_.pace.slots + config_.pace.queue) return Admission::full;
+    if (job.prompt > config_.memory_tokens) return Admission::full;
     queue_.push_back(std::move(job));
     begin_read(now);
-    return Admit::taken;
+    return Admission::taken;
 }
 
-Model::Admit Model::write(Millis now, Job job) {
-    if (!job.has_state && config_.role == Role::decode && !config_.local_read) return Admit::no_state;
+Model::Admission Model::write(Millis now, Job job) {
+    if (!job.has_state && config_.role == Role::decode && !config_.local_prefill) return Admission::no_state;
     if (static_cast<int>(queue_.size()) >= config_.pace.queue &&
         static_cast<int>(running_.size()) >= config_.pace.slots)
-        return Admit::full;
-    if (job.prompt + job.max_tokens > config_.memory_tokens) return Admit::full;
+        return Admission::full;
+    if (job.prompt + job.max_tokens > config_.memory_tokens) return Admission::full;
     queue_.push_back(std::move(job));
     begin_writes(now);
-    return Admit::taken;
+    return Admission::taken;
 }
 
 void Model::begin_read(Millis now) {
--- a/src/fake_engine/model.h
+++ b/src/fake_engine/model.h
@@ -20,13 +20,13 @@
 
 namespace gorsenotch::fake_engine {
 
-struct Config {
+struct EngineConfig {
     Role role = Role::mixed;
     double memory_tokens = 100000;
-    settings::Standin pace;
-    double start_capacity = 1;  // of a cold start
-    Millis warm = 0;            // how long it takes to full pace; 0: starts warm
-    bool local_read = false;
+    settings::FakeEngineSettings pace;
+    double initial_capacity = 1;     // of a cold start
+    Millis slow_start_duration = 0;  // how long it takes to full pace; 0: starts warm
+    bool local_prefill = false;
     std::uint64_t seed = 1;
 };
 
@@ -49,12 +49,12 @@
         std::function<void(const std::string& id, const std::string& token, bool last, bool cut)> token;
         std::function<void(const std::string& id)> lease_ended;
     };
-    enum class Admit { taken, full, no_state };
+    enum class Admission { taken, full, no_state };
 
-    Model(Config config, Millis now, Events events);
+    Model(EngineConfig config, Millis now, Events events);
 
-    Admit read(Millis now, Job job);
-    Admit write(Millis now, Job job);
+    Admission read(Millis now, Job job);
+    Admission write(Millis now, Job job);
     // The state has come (or is gone: the job is dropped).
     void fetched(Millis now, const std::string& id, bool ok);
     // A writer has fetched the state of the read `id`: false if there is none.
@@ -96,7 +96,7 @@
     void step(Millis now);
     Millis step_time(Millis now) const;
 
-    const Config config_;
+    const EngineConfig config_;
     Events events_;
     const Millis born_;
     double slow_ = 1;
--- a/src/fake_engine/stop_sequences.h
+++ b/src/fake_engine/stop_sequences.h
@@ -10,10 +10,10 @@
 
 namespace gorsenotch::fake_engine {
 
-class Stops {
+class StopSequences {
 public:
-    Stops() = default;
-    explicit Stops(std::vector<std::string> strings) : strings_(std::move(strings)) {}
+    StopSequences() = default;
+    explicit StopSequences(std::vector<std::string> strings) : strings_(std::move(strings)) {}
 
     // Takes the next piece and returns what may be given now. After a match the rest is dropped.
     std::string feed(std::string_view piece) {
--- a/src/fault_scenario/plan.cpp
+++ b/src/fault_scenario/plan.cpp
@@ -18,12 +18,12 @@
 
 }  // namespace
 
-std::optional<Plan> load_plan(const std::string& file, std::string& out) {
+std::optional<ScenarioPlan> load_plan(const std::string& file, std::string& out) {
     std::vector<settings::FileFault> faults;
     const auto doc = settings::Document::load(file, "day", faults);
     if (!doc) return out = settings::render(file, faults), std::nullopt;
     const auto root = doc->root();
-    Plan plan;
+    ScenarioPlan plan;
     plan.name = root.text("name");
     plan.settings_file = (std::filesystem::path(file).parent_path() / root.text("settings")).string();
     plan.length = root.number("length-ms");
@@ -34,10 +34,10 @@
     const auto& p = plan.program;
     plan.gateways = root.child("gateways").whole("count");
     for (const auto& e : root.children("engines")) {
-        Pool pool;
+        EnginePool pool;
         pool.kind = index(e, "kind", p.kinds, faults), pool.zone = index(e, "zone", p.zones, faults);
         pool.count = e.whole("count"), pool.cell = e.large("cell");
-        if (!p.standins.count(pool.kind))
+        if (!p.fake_engines.count(pool.kind))
             faults.push_back({e.line(), e.name(), "the settings say nothing of stand-ins of this kind"});
         plan.pools.push_back(pool);
     }
@@ -57,14 +57,14 @@
         l.from = e.number("from-ms"), l.until = e.number("until-ms");
         if (l.from >= plan.length || (l.until > 0 && l.until <= l.from))
             faults.push_back({e.line(), e.name(), "nothing would arrive between from-ms and until-ms"});
-        for (const auto& [kind, s] : p.standins) {
-            if (p.module.kinds[static_cast<std::size_t>(kind)].role != Role::prefill)
+        for (const auto& [kind, s] : p.fake_engines) {
+            if (p.router.kinds[static_cast<std::size_t>(kind)].role != Role::prefill)
                 l.usual_answer = s.answer_tokens;
         }
         plan.loads.push_back(l);
     }
     for (const auto& e : root.children("trouble")) {
-        Trouble t;
+        Fault t;
         t.what = e.text("what"), t.at = e.number("at-ms"), t.length = e.number("for-ms");
         t.part = e.number("part"), t.size = e.number("size"), t.notice = e.number("notice-ms");
         if (e.has("kind")) t.kind = index(e, "kind", p.kinds, faults);
@@ -73,7 +73,7 @@
         if (e.has("class")) t.cls = p.classes[static_cast<std::size_t>(index(e, "class", p.classes, faults))];
         if (t.what == "cut" && t.zone < 0) faults.push_back({e.line(), e.name(), "a cut needs its zone"});
         if (t.at >= plan.length) faults.push_back({e.line(), e.name(), "at-ms is past the day's end"});
-        plan.troubles.push_back(t);
+        plan.faults.push_back(t);
     }
     if (!faults.empty()) return out = settings::render(file, faults), std::nullopt;
     return plan;
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -21,7 +21,7 @@
 }
 }  // namespace
 
-struct Day::Server {
+struct Scenario::Server {
     settings::Engine engine;
     std::string control;
     std::unique_ptr<net::ChildProcess> child;
@@ -29,7 +29,7 @@
     int lives = 0;
 };
 
-struct Day::Gate {
+struct Scenario::Gate {
     int number = 0, zone = 0;
     std::string address, source, fleet, state, name;
     std::unique_ptr<net::ChildProcess> child;
@@ -39,8 +39,9 @@
     std::map<EndpointId, EndpointStatus> told;
 };
 
-Day::Day(Plan plan, DayOptions options) : plan_(std::move(plan)), o_(std::move(options)) {
-    seed_ = o_.seed.value_or(plan_.seed);
+Scenario::Scenario(ScenarioPlan plan, ScenarioOptions options)
+    : plan_(std::move(plan)), options_(std::move(options)) {
+    seed_ = options_.seed.value_or(plan_.seed);
     // The addresses of a day are its own: the first octet that no other day on this machine has claimed.
     for (int i = 0; i < 200; ++i) {
         octet_ = 16 + static_cast<int>((static_cast<unsigned>(::getpid()) + static_cast<unsigned>(i)) % 200u);
@@ -50,14 +51,14 @@
     error_ = "no loopback addresses are free";
 }
 
-Day::~Day() = default;
+Scenario::~Scenario() = default;
 
-std::string Day::place(int zone, int n) const {
+std::string Scenario::place(int zone, int n) const {
     return "127." + std::to_string(octet_) + "." + std::to_string(zone) + "." + std::to_string(n);
 }
 
 // Addresses that nobody else uses, so that their ports are still free at a restart.
-std::vector<std::string> Day::free_addresses(const std::string& host, std::size_t count) {
+std::vector<std::string> Scenario::free_addresses(const std::string& host, std::size_t count) {
     std::vector<int> ports = net::free_ports(loop_, host, count);
     if (ports.empty()) {
         if (error_.empty()) error_ = host + ": no port is free";
@@ -70,32 +71,32 @@
     return addresses;
 }
 
-void Day::place_server(Server& server) {
+void Scenario::place_server(Server& server) {
     const std::string host = place(server.engine.endpoint.zone + 1, ++next_place_);
     const auto addresses = free_addresses(host, 2);
     server.engine.address = addresses[0];
     server.control = addresses[1];
 }
 
-void Day::later(Millis delay, std::function<void()> what) {
+void Scenario::later(Millis delay, std::function<void()> what) {
     timers_.push_back(std::make_unique<net::Timer>(loop_, std::move(what)));
     timers_.back()->fire_after(delay);
 }
 
-DayResult Day::run() {
-    DayResult result;
+ScenarioResult Scenario::run() {
+    ScenarioResult result;
     result.error = error_;
     if (!error_.empty()) return result;
     const Millis began = net::now();
     std::error_code error;
-    std::filesystem::remove_all(o_.out, error);
-    std::filesystem::create_directories(o_.out + "/records", error);
-    std::filesystem::create_directories(o_.out + "/keys", error);
+    std::filesystem::remove_all(options_.out, error);
+    std::filesystem::create_directories(options_.out + "/records", error);
+    std::filesystem::create_directories(options_.out + "/keys", error);
     if (error) {
-        result.error = o_.out + ": " + error.message();
+        result.error = options_.out + ": " + error.message();
         return result;
     }
-    recorder_ = std::make_unique<invariants::Recorder>(o_.out + "/records/runner.ndjson");
+    recorder_ = std::make_unique<invariants::Recorder>(options_.out + "/records/runner.ndjson");
     for (const auto& pool : plan_.pools) {
         for (int i = 0; i < pool.count; ++i) {
             auto s = std::make_unique<Server>();
@@ -114,8 +115,8 @@
         g->source = place(100 + g->zone, i + 1);
         g->address = free_addresses(g->source, 1).front();
         g->name = g->address;
-        g->fleet = o_.out + "/fleet-" + std::to_string(i) + ".xml";
-        g->state = o_.out + "/state-" + std::to_string(i);
+        g->fleet = options_.out + "/fleet-" + std::to_string(i) + ".xml";
+        g->state = options_.out + "/state-" + std::to_string(i);
         std::filesystem::create_directories(g->state, error);
         write_list(*g);
         start_gate(*g);
@@ -131,7 +132,7 @@
     later(15000, [this] {
         if (playing_ || ended_) return;
         system_ = true;
-        error_ = "not all processes came up in time; see the logs in " + o_.out;
+        error_ = "not all processes came up in time; see the logs in " + options_.out;
         end();
     });
     if (!ended_) loop_.run();
@@ -144,27 +145,27 @@
     result.interrupted = interrupted_, result.system = system_;
     if (interrupted_ || system_) return result;
     std::vector<std::string> files;
-    for (const auto& f : std::filesystem::directory_iterator(o_.out + "/records"))
+    for (const auto& f : std::filesystem::directory_iterator(options_.out + "/records"))
         files.push_back(f.path().string());
     std::sort(files.begin(), files.end());
-    invariants::Terms terms;
-    const auto& m = plan_.program.module;
-    terms.classes = plan_.program.classes, terms.of = m.classes;
+    invariants::CheckerSettings terms;
+    const auto& m = plan_.program.router;
+    terms.classes = plan_.program.classes, terms.class_settings = m.classes;
     terms.answer_slack = m.answer_slack, terms.drain_grace = m.drain_grace,
-    terms.let_go = m.lease_release_timeout;
-    terms.fall_multiple = m.overload_factor, terms.fall_window = m.overload_window;
+    terms.release_within = m.lease_release_timeout;
+    terms.overload_factor = m.overload_factor, terms.overload_window = m.overload_window;
     try {
-        result.verdict = invariants::judge(invariants::read(files), terms);
+        result.verdict = invariants::check_records(invariants::read(files), terms);
     } catch (const std::exception& e) {
         result.error = e.what();
     }
     return result;
 }
 
-void Day::start_server(Server& s, bool cold) {
+void Scenario::start_server(Server& s, bool cold) {
     const auto& p = plan_.program;
     const auto id = std::to_string(s.engine.endpoint.id);
-    std::vector<std::string> args = {o_.self,
+    std::vector<std::string> args = {options_.self,
                                      "standin",
                                      plan_.settings_file,
                                      "--server",
@@ -176,23 +177,25 @@
                                      "--control",
                                      s.control,
                                      "--record",
-                                     o_.out + "/records/engine-" + id + ".ndjson"};
+                                     options_.out + "/records/engine-" + id + ".ndjson"};
     // Engines of one group drop each other's repeats; the widest group that any class names is used.
     DedupScope group = DedupScope::cell;
-    for (const auto& c : p.module.classes) {
+    for (const auto& c : p.router.classes) {
         if (c.idempotency == Idempotency::with_key && c.dedup_scope != DedupScope::cell)
             group = std::min(group, c.dedup_scope);
     }
-    std::string keys = o_.out + "/keys/all";
-    if (group == DedupScope::zone) keys = o_.out + "/keys/zone-" + std::to_string(s.engine.endpoint.zone);
-    if (group == DedupScope::cell) keys = o_.out + "/keys/cell-" + std::to_string(s.engine.endpoint.cell);
+    std::string keys = options_.out + "/keys/all";
+    if (group == DedupScope::zone)
+        keys = options_.out + "/keys/zone-" + std::to_string(s.engine.endpoint.zone);
+    if (group == DedupScope::cell)
+        keys = options_.out + "/keys/cell-" + std::to_string(s.engine.endpoint.cell);
     std::error_code error;
     std::filesystem::create_directories(keys, error);
     args.insert(args.end(), {"--keys", keys});
     if (cold) args.push_back("--cold");
     ++s.lives;
     s.up = true;
-    const std::string log = o_.out + "/engine-" + id + ".log";
+    const std::string log = options_.out + "/engine-" + id + ".log";
     s.child = std::make_unique<net::ChildProcess>(loop_, [this, &s, id, log](int status, int signal) {
         recorder_->write(net::now(), "down", {{"server", s.engine.endpoint.id}});
         s.up = false;
@@ -200,13 +203,13 @@
         if (signal == 0 && !ended_)
             could_not_start("engine " + id + " at " + s.engine.address, log, status, signal);
     });
-    hear(*s.child);
+    record_notice(*s.child);
     if (const int e = s.child->spawn(args, log))
         error_ = "engine " + id + ": " + net::error_text(e), system_ = true, end();
 }
 
-void Day::start_gate(Gate& g) {
-    std::vector<std::string> args = {o_.self,
+void Scenario::start_gate(Gate& g) {
+    std::vector<std::string> args = {options_.self,
                                      "serve",
                                      plan_.settings_file,
                                      "--listen",
@@ -222,11 +225,11 @@
                                      "--state",
                                      g.state,
                                      "--journal",
-                                     o_.out + "/journal-" + std::to_string(g.number) + ".ndjson",
+                                     options_.out + "/journal-" + std::to_string(g.number) + ".ndjson",
                                      "--seed",
                                      std::to_string(seed_ * 1000 + static_cast<std::uint64_t>(g.number))};
     g.expected = false;
-    const std::string log = o_.out + "/gateway-" + std::to_string(g.number) + ".log";
+    const std::string log = options_.out + "/gateway-" + std::to_string(g.number) + ".log";
     g.child = std::make_unique<net::ChildProcess>(loop_, [this, &g, log](int status, int signal) {
         if (ended_) return;  // killed by end(): that is no fault of its own, and the first one has been told
         if (!playing_) return could_not_start("gateway " + g.name, log, status, signal);
@@ -237,14 +240,14 @@
             std::none_of(gates_.begin(), gates_.end(), [](const auto& x) { return x->child->running(); }))
             end();
     });
-    hear(*g.child);
+    record_notice(*g.child);
     if (const int e = g.child->spawn(args, log))
         error_ = "gateway " + g.name + ": " + net::error_text(e), system_ = true, end();
 }
 
 // A process says `ready` on its standard output when it listens. Guards against another program on the
 // address, which would answer a connection just as well.
-void Day::hear(net::ChildProcess& child) {
+void Scenario::record_notice(net::ChildProcess& child) {
     if (playing_) return;
     ++starting_;
     child.on_line = [this](const std::string& line) {
@@ -255,7 +258,7 @@
     };
 }
 
-void Day::could_not_start(const std::string& what, const std::string& log, int status, int signal) {
+void Scenario::could_not_start(const std::string& what, const std::string& log, int status, int signal) {
     if (!error_.empty()) return;
     std::string said;
     std::ifstream in(log);
@@ -267,14 +270,14 @@
     end();
 }
 
-void Day::start_clients() {
+void Scenario::start_clients() {
     std::string gateways;
     for (const auto& g : gates_) gateways += (gateways.empty() ? "" : ",") + g->address;
     for (std::size_t i = 0; i < plan_.loads.size(); ++i) {
         const Load& l = plan_.loads[i];
         const auto n = [](double x) { return std::to_string(x); };
         std::vector<std::string> args = {
-            o_.self,           "client",
+            options_.self,     "client",
             "--gateways",      gateways,
             "--key",           l.key,
             "--class",         l.cls,
@@ -293,8 +296,8 @@
             "--seed",          std::to_string(seed_ * 100 + i),
             "--length-ms",     n(l.until > 0 ? std::min(l.until, plan_.length) : plan_.length),
             "--from-ms",       n(l.from),
-            "--overdue-ms",    n(plan_.program.module.answer_slack + 400),
-            "--record",        o_.out + "/records/client-" + std::to_string(i) + ".ndjson"};
+            "--overdue-ms",    n(plan_.program.router.answer_slack + 400),
+            "--record",        options_.out + "/records/client-" + std::to_string(i) + ".ndjson"};
         if (!l.stream) args.push_back("--whole");
         if (l.keyed) args.push_back("--keyed");
         clients_.push_back(std::make_unique<net::ChildProcess>(loop_, [this](int status, int signal) {
@@ -302,11 +305,12 @@
             if (--clients_out_ == 0) clients_done();
         }));
         ++clients_out_;
-        if (const int e = clients_.back()->spawn(args, o_.out + "/client-" + std::to_string(i) + ".log"))
+        if (const int e =
+                clients_.back()->spawn(args, options_.out + "/client-" + std::to_string(i) + ".log"))
             error_ = "client: " + net::error_text(e);
     }
-    for (std::size_t i = 0; i < plan_.troubles.size(); ++i)
-        later(plan_.troubles[i].at, [this, i] { play(plan_.troubles[i], i); });
+    for (std::size_t i = 0; i < plan_.faults.size(); ++i)
+        later(plan_.faults[i].at, [this, i] { play(plan_.faults[i], i); });
     // Should a client process hang, the day still ends.
     later(plan_.length + 90000, [this] {
         if (stopping_) return;
@@ -317,7 +321,7 @@
 
 // ---- troubles -------------------------------------------------------------------------------------------
 
-std::vector<Day::Server*> Day::struck(const Trouble& t, std::mt19937_64& random) {
+std::vector<Scenario::Server*> Scenario::affected_servers(const Fault& t, std::mt19937_64& random) {
     std::vector<Server*> fit;
     for (auto& s : servers_) {
         const auto& e = s->engine.endpoint;
@@ -333,7 +337,7 @@
     return fit;
 }
 
-void Day::play(const Trouble& t, std::size_t number) {
+void Scenario::play(const Fault& t, std::size_t number) {
     std::mt19937_64 random(seed_ * 7919 + number);
     if (t.what == "kill-gateway") return kill_gate(t, random);
     if (t.what == "stop-gateway") {
@@ -344,12 +348,12 @@
         if (!alive.empty()) stop_gate(*alive[random() % alive.size()], t.length);
         return;
     }
-    if (t.what == "starve-gateways") return starve(t, net::now() + t.length, 0);
+    if (t.what == "starve-gateways") return starve_gateway(t, net::now() + t.length, 0);
     if (t.what == "cut") {
         cut(t.zone, true);
         return later(t.length, [this, zone = t.zone] { cut(zone, false); });
     }
-    for (Server* s : struck(t, random)) {
+    for (Server* s : affected_servers(t, random)) {
         if (t.what == "crash") {
             crash(*s, t);
         } else if (t.what == "drain") {
@@ -367,7 +371,7 @@
     }
 }
 
-void Day::crash(Server& s, const Trouble& t) {
+void Scenario::crash(Server& s, const Fault& t) {
     s.child->kill(SIGKILL);
     s.engine.endpoint.status = EndpointStatus::removed;
     write_lists(t.notice);
@@ -385,7 +389,7 @@
 }
 
 // Drained, then ended; another machine takes its place, cold and with an id of its own.
-void Day::drain(Server& s, const Trouble& t) {
+void Scenario::drain(Server& s, const Fault& t) {
     s.engine.endpoint.status = EndpointStatus::draining;
     s.wanted = false;
     write_lists(t.notice);
@@ -406,7 +410,7 @@
 }
 
 // Cuts a zone off: its engines from the others' engines and gateways, and theirs from its.
-void Day::cut(int zone, bool on) {
+void Scenario::cut(int zone, bool on) {
     const int zones = static_cast<int>(plan_.program.zones.size());
     for (auto& s : servers_) {
         if (!s->up) continue;
@@ -420,7 +424,7 @@
         }
         if (on) {
             Millis length = 0;
-            for (const auto& t : plan_.troubles) {
+            for (const auto& t : plan_.faults) {
                 if (t.what == "cut" && t.zone == zone) length = std::max(length, t.length);
             }
             recorder_->write(
@@ -430,7 +434,7 @@
     }
 }
 
-void Day::kill_gate(const Trouble& t, std::mt19937_64& random) {
+void Scenario::kill_gate(const Fault& t, std::mt19937_64& random) {
     std::vector<Gate*> alive;
     for (auto& g : gates_) {
         if (g->child->running() && !g->stopped) alive.push_back(g.get());
@@ -453,7 +457,7 @@
 }
 
 // Stops the process as a debugger or a host that swaps would, and lets it go on.
-void Day::stop_gate(Gate& g, Millis length) {
+void Scenario::stop_gate(Gate& g, Millis length) {
     recorder_->write(net::now(), "stop_gateway", {{"gateway", g.name}, {"until", net::now() + length}});
     g.stopped = true;
     g.child->kill(SIGSTOP);
@@ -464,15 +468,15 @@
 }
 
 // No core for one gateway at a time, in turns of `size` ms each.
-void Day::starve(const Trouble& t, Millis until, std::size_t turn) {
+void Scenario::starve_gateway(const Fault& t, Millis until, std::size_t turn) {
     if (ended_ || stopping_ || net::now() >= until) return;
     Gate& g = *gates_[turn % gates_.size()];
     const Millis length = std::max(t.size, 5.0);
     if (g.child->running() && !g.stopped) stop_gate(g, length);
-    later(length, [this, &t, until, turn] { starve(t, until, turn + 1); });
+    later(length, [this, &t, until, turn] { starve_gateway(t, until, turn + 1); });
 }
 
-void Day::order(const Server& s, invariants::Json order) {
+void Scenario::order(const Server& s, invariants::Json order) {
     if (!s.up) return;
     calls_.push_back(std::make_unique<net::TcpStream>(loop_));
     net::TcpStream* call = calls_.back().get();
@@ -489,7 +493,7 @@
 
 // ---- lists ----------------------------------------------------------------------------------------------
 
-void Day::write_lists(Millis notice) {
+void Scenario::write_lists(Millis notice) {
     later(notice, [this] {
         for (auto& g : gates_) {
             if (!g->frozen) write_list(*g);
@@ -497,7 +501,7 @@
     });
 }
 
-void Day::write_list(Gate& g) {
+void Scenario::write_list(Gate& g) {
     std::vector<settings::Engine> engines;
     for (const auto& s : servers_) engines.push_back(s->engine);
     const std::string fresh = g.fleet + ".new";
@@ -522,13 +526,13 @@
 
 // ---- the end --------------------------------------------------------------------------------------------
 
-void Day::clients_done() {
+void Scenario::clients_done() {
     if (stopping_) return;
     // What is still held must be let go of; only then the gateways are told to stop.
-    later(plan_.program.module.lease_release_timeout + 500, [this] { stop_gates(); });
+    later(plan_.program.router.lease_release_timeout + 500, [this] { stop_gates(); });
 }
 
-void Day::stop_gates() {
+void Scenario::stop_gates() {
     stopping_ = true;
     bool any = false;
     for (auto& g : gates_) {
@@ -545,7 +549,7 @@
     });
 }
 
-void Day::end() {
+void Scenario::end() {
     if (ended_) return;
     ended_ = true;
     for (auto& g : gates_) g->child->kill(SIGKILL);
--- a/src/fault_scenario/scenario.h
+++ b/src/fault_scenario/scenario.h
@@ -19,12 +19,12 @@
 
 namespace gorsenotch::fault_scenario {
 
-struct Pool {
+struct EnginePool {
     int kind = 0, zone = 0, count = 1;
     std::uint64_t cell = 0;
 };
 
-struct Trouble {
+struct Fault {
     std::string what, cls;
     Millis at = 0, length = 0, notice = 300;
     double part = 1, size = 1;
@@ -32,27 +32,27 @@
     long cell = -1;
 };
 
-struct Plan {
+struct ScenarioPlan {
     std::string name, settings_file;
     settings::Program program;
     Millis length = 10000;
     std::uint64_t seed = 1;
     int gateways = 2;
-    std::vector<Pool> pools;
+    std::vector<EnginePool> pools;
     std::vector<Load> loads;
-    std::vector<Trouble> troubles;
+    std::vector<Fault> faults;
 };
 
 // Null and faults (with the file they stand in) if anything is wrong.
-std::optional<Plan> load_plan(const std::string& file, std::string& faults);
+std::optional<ScenarioPlan> load_plan(const std::string& file, std::string& faults);
 
-struct DayOptions {
+struct ScenarioOptions {
     std::string self;  // this program's own file
     std::string out;   // folder for records and logs; made anew
     std::optional<std::uint64_t> seed;
 };
 
-struct DayResult {
+struct ScenarioResult {
     invariants::Verdict verdict;
     std::string error;         // the day could not be played, or a process died by itself
     bool interrupted = false;  // a signal stopped it; nothing was judged
@@ -60,11 +60,11 @@
     double seconds = 0;
 };
 
-class Day {
+class Scenario {
 public:
-    Day(Plan plan, DayOptions options);
-    ~Day();
-    DayResult run();
+    Scenario(ScenarioPlan plan, ScenarioOptions options);
+    ~Scenario();
+    ScenarioResult run();
 
 private:
     struct Server;
@@ -72,16 +72,16 @@
     void start_server(Server& s, bool cold);
     void start_gate(Gate& g);
     void start_clients();
-    void hear(net::ChildProcess& child);
+    void record_notice(net::ChildProcess& child);
     void could_not_start(const std::string& what, const std::string& log, int status, int signal);
-    void play(const Trouble& t, std::size_t number);
-    std::vector<Server*> struck(const Trouble& t, std::mt19937_64& random);
-    void crash(Server& s, const Trouble& t);
-    void drain(Server& s, const Trouble& t);
+    void play(const Fault& t, std::size_t number);
+    std::vector<Server*> affected_servers(const Fault& t, std::mt19937_64& random);
+    void crash(Server& s, const Fault& t);
+    void drain(Server& s, const Fault& t);
     void cut(int zone, bool on);
-    void kill_gate(const Trouble& t, std::mt19937_64& random);
+    void kill_gate(const Fault& t, std::mt19937_64& random);
     void stop_gate(Gate& g, Millis length);
-    void starve(const Trouble& t, Millis until, std::size_t turn);
+    void starve_gateway(const Fault& t, Millis until, std::size_t turn);
     void order(const Server& s, invariants::Json order);
     void write_lists(Millis notice);
     void write_list(Gate& g);
@@ -93,8 +93,8 @@
     std::vector<std::string> free_addresses(const std::string& host, std::size_t count);
     void place_server(Server& server);
 
-    Plan plan_;
-    DayOptions o_;
+    ScenarioPlan plan_;
+    ScenarioOptions options_;
     net::EventLoop loop_;
     std::unique_ptr<net::TcpListener> claim_;  // says that this day's addresses are taken
     std::unique_ptr<invariants::Recorder> recorder_;
--- a/src/fault_scenario/scripted_clients.cpp
+++ b/src/fault_scenario/scripted_clients.cpp
@@ -11,7 +11,7 @@
 
 using api::Json;
 
-struct Clients::Ask {
+struct ScriptedClients::Ask {
     Turn* turn = nullptr;
     std::string name, request, text;
     std::unique_ptr<net::TcpStream> stream;
@@ -25,7 +25,7 @@
     std::string sse_stop;
 };
 
-struct Clients::Turn {
+struct ScriptedClients::Turn {
     std::string id, key, conversation;
     std::vector<std::pair<std::string, std::string>> messages;  // role, text
     std::string system;
@@ -55,28 +55,28 @@
 
 }  // namespace
 
-Clients::Clients(net::EventLoop& loop, ClientOptions options)
+ScriptedClients::ScriptedClients(net::EventLoop& loop, ClientOptions options)
     : loop_(loop),
-      o_(std::move(options)),
-      recorder_(o_.record),
-      random_(o_.seed),
+      options_(std::move(options)),
+      recorder_(options_.record),
+      random_(options_.seed),
       arrivals_(loop, [this] { next_arrival(); }),
       burier_(loop, [this] { dead_turns_.clear(), dead_asks_.clear(); }) {}
 
-Clients::~Clients() = default;
+ScriptedClients::~ScriptedClients() = default;
 
-void Clients::start(std::function<void()> done) {
+void ScriptedClients::start(std::function<void()> done) {
     done_ = std::move(done);
     began_ = net::now();
-    arrivals_.fire_after(o_.load.from);
+    arrivals_.fire_after(options_.load.from);
 }
 
-void Clients::next_arrival() {
-    if (net::now() - began_ >= o_.length) {
+void ScriptedClients::next_arrival() {
+    if (net::now() - began_ >= options_.length) {
         ending_ = true;
         return finish_if_done();
     }
-    const Load& l = o_.load;
+    const Load& l = options_.load;
     auto turn = std::make_unique<Turn>();
     turn->conversation = std::to_string(++count_);
     turn->of = std::max(1, l.turns);
@@ -89,27 +89,27 @@
     arrivals_.fire_after(-std::log(1 - uniform()) * 1000 / std::max(1e-6, rate));
 }
 
-void Clients::begin(std::unique_ptr<Turn> turn) {
+void ScriptedClients::begin(std::unique_ptr<Turn> turn) {
     turns_.push_back(std::move(turn));
     Turn& t = *turns_.back();
     t.self = std::prev(turns_.end());
     t.id = std::to_string(++turns_made_);
-    t.key = "k" + std::to_string(o_.seed) + "-" + t.id;
+    t.key = "k" + std::to_string(options_.seed) + "-" + t.id;
     t.prompt = t.system.empty() ? 0 : api::estimate_tokens(t.system) + 4;
     for (const auto& m : t.messages) t.prompt += api::estimate_tokens(m.second) + 4;
     t.timer = std::make_unique<net::Timer>(loop_, [this, &t] { ask(t); });
     ask(t);
 }
 
-void Clients::ask(Turn& turn) {
-    const Load& l = o_.load;
+void ScriptedClients::ask(Turn& turn) {
+    const Load& l = options_.load;
     if (turn.ask) dead_asks_.push_back(std::move(turn.ask)), burier_.fire_after(0);
     turn.ask = std::make_unique<Ask>();
     Ask& a = *turn.ask;
     a.turn = &turn;
     a.name = turn.id + "." + std::to_string(turn.tries);
     const Millis patience = l.patience;
-    const std::string& gateway = o_.gateways[random_() % o_.gateways.size()];
+    const std::string& gateway = options_.gateways[random_() % options_.gateways.size()];
     a.deadline = net::now() + patience;
     a.leaves = uniform() < l.impatient;
     Millis leave = 0;
@@ -168,10 +168,10 @@
         a.stream->write(request);
     });
     if (error != 0) return a.timer->fire_after(0);
-    a.timer->fire_after(leave > 0 ? leave : patience + o_.overdue);
+    a.timer->fire_after(leave > 0 ? leave : patience + options_.overdue);
 }
 
-void Clients::data(Ask& a, std::string_view bytes) {
+void ScriptedClients::data(Ask& a, std::string_view bytes) {
     if (a.over) {
         recorder_.write(net::now(), "after", {{"c", a.name}});
         return;
@@ -183,7 +183,7 @@
     if (n < bytes.size()) recorder_.write(net::now(), "after", {{"c", a.name}});
     if (const auto* id = http::find(a.parser.headers, "request-id")) a.request = *id;
     if (a.parser.status != 200) return answer(a, a.parser.status, "refused", "");
-    if (!o_.load.stream) {
+    if (!options_.load.stream) {
         const Json j = Json::parse(a.body, nullptr, false);
         std::string text;
         if (j.is_object() && j.contains("content") && !j["content"].empty())
@@ -197,7 +197,7 @@
     answer(a, 200, "cut", judge_text(*a.turn, a.text, false));
 }
 
-void Clients::event(Ask& a, std::string_view name, std::string_view data) {
+void ScriptedClients::event(Ask& a, std::string_view name, std::string_view data) {
     if (!a.sse_stop.empty()) recorder_.write(net::now(), "after", {{"c", a.name}});
     if (!a.first && name == "message_start") {
         a.first = true;
@@ -218,16 +218,17 @@
     if (name == "message_stop" || name == "error") a.sse_stop = name;
 }
 
-std::string Clients::judge_text(const Turn& turn, const std::string& text, bool whole) const {
+std::string ScriptedClients::judge_text(const Turn& turn, const std::string& text, bool whole) const {
     const std::uint64_t seed = turn.seed();
-    const int made = std::min(o_.load.max_tokens, fake_engine::answer_length(seed, o_.load.usual_answer));
+    const int made =
+        std::min(options_.load.max_tokens, fake_engine::answer_length(seed, options_.load.usual_answer));
     std::string right;
     for (int i = 0; i < made; ++i) right += fake_engine::token_text(seed, i);
     if (whole) return text == right ? "right" : "wrong";
     return right.rfind(text, 0) == 0 ? "right" : "wrong";
 }
 
-void Clients::answer(Ask& a, int status, const std::string& ending, const std::string& text) {
+void ScriptedClients::answer(Ask& a, int status, const std::string& ending, const std::string& text) {
     if (a.over) return;
     Json fields = {{"c", a.name}, {"id", a.request}, {"status", status}, {"ending", ending}};
     if (!text.empty()) fields["text"] = text;
@@ -242,21 +243,21 @@
     a.timer->fire_after(50);
     Turn& turn = *a.turn;
     if (status == 200 && ending == "whole") return over(turn, true);
-    if (retry && turn.tries <= o_.load.retries) return again(turn, wait);
+    if (retry && turn.tries <= options_.load.retries) return again(turn, wait);
     over(turn, false);
 }
 
-void Clients::ended(Ask& a, int) {
+void ScriptedClients::ended(Ask& a, int) {
     if (a.over) return close(a);
     if (a.connected && a.parser.finish() && a.over) return;
     if (a.over) return;
     recorder_.write(net::now(), "lost", {{"c", a.name}, {"id", a.request}});
     close(a);
-    if (a.turn->tries <= o_.load.retries) return again(*a.turn, 50 + 100 * uniform());
+    if (a.turn->tries <= options_.load.retries) return again(*a.turn, 50 + 100 * uniform());
     over(*a.turn, false);
 }
 
-void Clients::overdue(Ask& a) {
+void ScriptedClients::overdue(Ask& a) {
     if (a.over) return close(a);
     if (!a.connected) {
         recorder_.write(net::now(), "lost", {{"c", a.name}});
@@ -268,23 +269,23 @@
     over(*a.turn, false);
 }
 
-void Clients::close(Ask& a) {
+void ScriptedClients::close(Ask& a) {
     a.over = true;
     a.stream.reset();
     a.timer->stop();
 }
 
-void Clients::again(Turn& turn, Millis wait) { turn.timer->fire_after(wait + 30 * uniform()); }
+void ScriptedClients::again(Turn& turn, Millis wait) { turn.timer->fire_after(wait + 30 * uniform()); }
 
-void Clients::over(Turn& turn, bool go_on) {
-    const bool more = go_on && turn.number + 1 < turn.of && net::now() - began_ < o_.length;
+void ScriptedClients::over(Turn& turn, bool go_on) {
+    const bool more = go_on && turn.number + 1 < turn.of && net::now() - began_ < options_.length;
     if (more) {
         auto next = std::make_unique<Turn>();
         next->conversation = turn.conversation, next->system = turn.system, next->messages = turn.messages;
         next->messages.emplace_back("assistant", turn.ask->text);
         next->messages.emplace_back("user", filler(random_(), 40));
         next->number = turn.number + 1, next->of = turn.of;
-        const Millis think = o_.load.think * (0.5 + uniform());
+        const Millis think = options_.load.think * (0.5 + uniform());
         const auto waiting = std::make_shared<std::unique_ptr<Turn>>(std::move(next));
         // The next question of the conversation waits in this one's timer.
         turn.timer = std::make_unique<net::Timer>(loop_, [this, waiting, &turn] {
@@ -304,7 +305,7 @@
     turn.timer->fire_after(60);
 }
 
-void Clients::finish_if_done() {
+void ScriptedClients::finish_if_done() {
     if (ending_ && turns_.empty() && done_) std::exchange(done_, nullptr)();
 }
 
--- a/src/fault_scenario/scripted_clients.h
+++ b/src/fault_scenario/scripted_clients.h
@@ -35,10 +35,10 @@
     std::string record;
 };
 
-class Clients {
+class ScriptedClients {
 public:
-    Clients(net::EventLoop& loop, ClientOptions options);
-    ~Clients();
+    ScriptedClients(net::EventLoop& loop, ClientOptions options);
+    ~ScriptedClients();
     void start(std::function<void()> done);
 
 private:
@@ -60,7 +60,7 @@
     std::string judge_text(const Turn& turn, const std::string& text, bool whole) const;
 
     net::EventLoop& loop_;
-    ClientOptions o_;
+    ClientOptions options_;
     invariants::Recorder recorder_;
     std::mt19937_64 random_;
     net::Timer arrivals_, burier_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -32,7 +32,7 @@
     const auto random = [&] { return (std::uint64_t{device()} << 32) | device(); };
     const std::uint64_t seed = p_.seed.value_or(random());
     connection_pool_ = std::make_unique<proxy::ConnectionPool>(
-        loop, proxy::ConnectionPool::Config{p_.source, p_.module.connect_timeout, p_.limits.engine_idle_ms,
+        loop, proxy::ConnectionPool::Config{p_.source, p_.router.connect_timeout, p_.limits.engine_idle_ms,
                                             p_.limits.engine_idle});
     lifecycle_ = std::make_unique<RequestLifecycle>(p_, seed, *this, api::messages::error_body);
     lifecycle_->on_wake = [this] { wakeup_timer_.wake(); };
@@ -64,14 +64,14 @@
     return static_cast<Millis>(duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count());
 }
 
-void Gateway::start_exchange(const std::string& address, engine::Wanted wanted,
+void Gateway::start_exchange(const std::string& address, engine::UpstreamRequest wanted,
                              std::shared_ptr<UpstreamExchange> exchange) {
     connection_pool_->start(address, proxy::ConnectionPool::render(address, wanted, true),
                             std::move(exchange));
 }
 void Gateway::pause(const UpstreamExchange& exchange, bool on) { connection_pool_->pause(exchange, on); }
 void Gateway::close(const UpstreamExchange& exchange) { connection_pool_->close(exchange); }
-void Gateway::send_detached(const std::string& address, engine::Wanted wanted, Millis limit) {
+void Gateway::send_detached(const std::string& address, engine::UpstreamRequest wanted, Millis limit) {
     connection_pool_->send_detached(address, std::move(wanted), limit);
 }
 void Gateway::log(const char* level, const char* event, api::Json fields) {
--- a/src/gateway/request_intake.cpp
+++ b/src/gateway/request_intake.cpp
@@ -39,7 +39,7 @@
     for (const auto& route : p.routes) {
         if (!route.model.empty() && route.model != n.chat.model) continue;
         if (route.tenant >= 0 && route.tenant != n.tenant) continue;
-        if (n.chat.prompt_tokens < route.least_prompt) continue;
+        if (n.chat.prompt_tokens < route.min_prompt_tokens) continue;
         if (!route.header.empty()) {
             const auto* v = http::find(headers, route.header);
             if (!v || *v != route.value) continue;
@@ -120,16 +120,17 @@
                                "idempotency-key: should be 1 to 255 visible ASCII characters", id);
         n.key = p.tenants[static_cast<std::size_t>(n.tenant)] + "/" + *key;
     }
-    if (const auto twin = p.keyless.find(n.cls); n.key.empty() && twin != p.keyless.end())
+    if (const auto twin = p.unkeyed_class.find(n.cls); n.key.empty() && twin != p.unkeyed_class.end())
         n.cls = twin->second;
     // The public client libraries tell how often they have tried, and for how many seconds they wait.
     n.client_retry = header_number(r.headers, "x-stainless-retry-count") > 0;
     const double seconds = header_number(r.headers, "x-stainless-timeout");
     if (seconds > 0) n.patience = std::min(seconds, 86400.0) * 1000;
     const std::string message = "msg_" + id.substr(id.find('_') + 1);
-    n.answer = n.chat.stream ? api::messages::stream_answer(message, n.chat.model,
-                                                            static_cast<long>(n.chat.prompt_tokens), id)
-                             : api::messages::whole_answer(message, n.chat.model, id, p.limits.whole_answer);
+    n.answer = n.chat.stream
+                   ? api::messages::streamed_response(message, n.chat.model,
+                                                      static_cast<long>(n.chat.prompt_tokens), id)
+                   : api::messages::complete_response(message, n.chat.model, id, p.limits.whole_answer);
     return n;
 }
 
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -45,7 +45,7 @@
       environment_(ports),
       error_body_(std::move(error_body)),
       dialect_(engine::vllm()),
-      driver_(program.module, seed, &Request::alarms, &Request::timeouts) {
+      driver_(program.router, seed, &Request::alarms, &Request::timeouts) {
     driver_.now = [this] { return environment_.now(); };
     driver_.on_event = [this](Millis now, const Event& e) {
         if (observer) observer->on_event(now, e);
@@ -96,7 +96,7 @@
     driver_.catch_up();
     const Millis now = environment_.now();
     const Millis asked = now - request.age;  // its client has waited since then
-    const auto& cls = program_.module.classes[static_cast<std::size_t>(request.cls)];
+    const auto& cls = program_.router.classes[static_cast<std::size_t>(request.cls)];
     Arrival a;
     a.request = request.id;
     a.cls = request.cls, a.tenant = request.tenant;
@@ -106,7 +106,7 @@
     a.client_retry = request.client_retry;
     a.deadline = asked + cls.deadline;
     if (request.patience > 0) a.deadline = std::min(a.deadline, asked + request.patience);
-    Request& r = requests_.try_emplace(request.id, program_.module.lease_release_timeout).first->second;
+    Request& r = requests_.try_emplace(request.id, program_.router.lease_release_timeout).first->second;
     r.request = std::move(request);
     r.arrived = r.last_sent_at = now, r.deadline = a.deadline;
     if (!r.request.chat.stream) {
@@ -115,7 +115,7 @@
         const Millis whole = r.request.patience > 0
                                  ? std::min(r.request.patience, program_.limits.whole_answer_ms)
                                  : program_.limits.whole_answer_ms;
-        set_timer(Kind::complete_answer, asked + whole - program_.module.event_interval, &r);
+        set_timer(Kind::complete_answer, asked + whole - program_.router.event_interval, &r);
     }
     feed(std::move(a));
     return true;
@@ -205,7 +205,7 @@
         o.request_closed = r->closed;
         return feed(o);
     }
-    const Role role = program_.module.kinds[static_cast<std::size_t>(it->second.endpoint.kind)].role;
+    const Role role = program_.router.kinds[static_cast<std::size_t>(it->second.endpoint.kind)].role;
     t.is_prefill = role == Role::prefill;
     t.address = it->second.address;
     const engine::AttemptInfo info{
@@ -265,7 +265,7 @@
             continue;
         }
         environment_.send_detached(t.address, dialect_->release_request(t.id),
-                                   program_.module.lease_release_timeout);
+                                   program_.router.lease_release_timeout);
         if (n == r.state_attempt) r.state_attempt = -1, r.parameters.clear();
     }
     r.prefill_attempts = std::move(kept);
@@ -425,7 +425,7 @@
             if (client) client->send_complete(200, std::move(bytes), -1, std::nullopt);
         } else {
             const bool harmless =
-                program_.module.classes[static_cast<std::size_t>(r->request.cls)].idempotency ==
+                program_.router.classes[static_cast<std::size_t>(r->request.cls)].idempotency ==
                 Idempotency::idempotent;
             close_request(*r, 500, "broken");
             if (client) client->send_complete(500, std::move(bytes), -1, harmless);
@@ -448,7 +448,7 @@
             const bool ran = std::any_of(r->attempts.begin(), r->attempts.end(),
                                          [](const AttemptState& t) { return !t.is_prefill; });
             const bool harmless =
-                !ran || program_.module.classes[static_cast<std::size_t>(r->request.cls)].idempotency ==
+                !ran || program_.router.classes[static_cast<std::size_t>(r->request.cls)].idempotency ==
                             Idempotency::idempotent;
             reject(*r, harmless ? 529 : 500, harmless ? kOverloaded : kFailed, harmless ? 0 : -1, harmless);
         }
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -39,7 +39,7 @@
     virtual Millis now() = 0;      // monotonic
     virtual Millis wall_ms() = 0;  // since 1970
     // Carries an attempt to an engine. Calls into the Exchange come later, never from within start().
-    virtual void start_exchange(const std::string& address, engine::Wanted wanted,
+    virtual void start_exchange(const std::string& address, engine::UpstreamRequest wanted,
                                 std::shared_ptr<UpstreamExchange> exchange) = 0;
     // Stops or goes on reading from the engine.
     virtual void pause(const UpstreamExchange& exchange, bool on) = 0;
@@ -47,7 +47,7 @@
     virtual void close(const UpstreamExchange& exchange) = 0;
     // A call whose answer nobody waits for; tried a few times within `limit` ms where no connection comes
     // about.
-    virtual void send_detached(const std::string& address, engine::Wanted wanted, Millis limit) = 0;
+    virtual void send_detached(const std::string& address, engine::UpstreamRequest wanted, Millis limit) = 0;
     virtual void log(const char* level, const char* event, api::Json fields) = 0;
     // This process has just found that it stood still for so long: what it may have missed is to be looked at
     // before anything is decided (the list of engines: Core::list).
@@ -63,7 +63,7 @@
     std::string key;      // idempotency key, namespaced by the tenant; empty: none
     bool client_retry = false;
     Client* client = nullptr;
-    std::unique_ptr<api::Answer> answer;
+    std::unique_ptr<api::ResponseWriter> answer;
 };
 
 class RequestLifecycle {
--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -38,7 +38,7 @@
 
 void UpstreamExchange::on_head() {
     if (over_) return;
-    report_ = dialect_.report(parser_.headers);
+    report_ = dialect_.load_report(parser_.headers);
     const std::string* type = http::find(parser_.headers, "content-type");
     stream_ = !read_ && parser_.status == 200 && type && type->rfind("text/event-stream", 0) == 0;
 }
@@ -68,9 +68,9 @@
         spoilt_ = true;
         return;
     }
-    dialect_.judge_event(data, pieces_now_);
+    dialect_.parse_event(data, pieces_now_);
     for (const auto& p : pieces_now_) {
-        using Kind = engine::Piece::Kind;
+        using Kind = engine::StreamPiece::Kind;
         if (p.kind == Kind::broken) {
             spoilt_ = true;
             return fail_attempt(begun_ ? AttemptResult::reset : AttemptResult::error,
@@ -116,8 +116,8 @@
         e.result = AttemptResult::served;
         return finish(e);
     }
-    const auto v =
-        read_ ? dialect_.judge_prefill(parser_.status, body_) : dialect_.judge_refusal(parser_.status, body_);
+    const auto v = read_ ? dialect_.judge_prefill(parser_.status, body_)
+                         : dialect_.parse_rejection(parser_.status, body_);
     AttemptOutcome e;
     e.result = v.result, e.detail = v.note, e.parameters = v.parameters, e.why = v.why;
     finish(e);
--- a/src/gateway/upstream_exchange.h
+++ b/src/gateway/upstream_exchange.h
@@ -19,7 +19,7 @@
     double detail = 0;
     std::string parameters;  // of a read
     std::string why;         // for the log
-    api::Stop stop = api::Stop::end;
+    api::StopReason stop = api::StopReason::end;
     std::string sequence;  // of Stop::sequence
     api::Usage usage;      // of a write that was served
     LoadReport report;
@@ -66,11 +66,11 @@
     LoadReport report_;
     bool sent_ = false, stream_ = false, begun_ = false, over_ = false;
     bool clean_ = false, spoilt_ = false, linger_ = false, stopped_ = false;
-    api::Stop stop_ = api::Stop::end;
+    api::StopReason stop_ = api::StopReason::end;
     std::string sequence_;
     api::Usage usage_;
     long pieces_ = 0;
-    std::vector<engine::Piece> pieces_now_;  // of the event at hand; kept for its memory
+    std::vector<engine::StreamPiece> pieces_now_;  // of the event at hand; kept for its memory
 };
 
 }  // namespace gorsenotch::gateway
--- a/src/invariants/record_checker.cpp
+++ b/src/invariants/record_checker.cpp
@@ -42,9 +42,9 @@
 std::string request_of(const std::string& attempt) { return attempt.substr(0, attempt.rfind('.')); }
 std::string instance_of(const std::string& request) { return request.substr(0, 20); }  // "req_" and 16 digits
 
-class Judge {
+class RecordChecker {
 public:
-    Judge(const std::vector<Record>& records, const Terms& terms) : t_(terms) {
+    RecordChecker(const std::vector<Record>& records, const CheckerSettings& terms) : t_(terms) {
         for (const auto& r : records) take(r);
         records_ = &records;
     }
@@ -143,7 +143,7 @@
 
     const ClassSettings* settings(const std::string& cls) const {
         for (std::size_t i = 0; i < t_.classes.size(); ++i) {
-            if (t_.classes[i] == cls) return &t_.of[i];
+            if (t_.classes[i] == cls) return &t_.class_settings[i];
         }
         return nullptr;
     }
@@ -410,12 +410,12 @@
                     const Millis age = list[i]->t - up->t;
                     if (age < 0 || age > warm) continue;
                     double work = 0, most = 0;
-                    for (std::size_t k = i + 1; k-- > 0 && list[k]->t > list[i]->t - t_.fall_window;) {
+                    for (std::size_t k = i + 1; k-- > 0 && list[k]->t > list[i]->t - t_.overload_window;) {
                         work += weight(*list[k]), most = std::max(most, weight(*list[k]));
                     }
                     const double start = up->number("start", 1);
-                    const double can = (start + (1 - start) * age / warm) * t_.fall_window / 1000;
-                    if (work <= std::max(t_.fall_multiple * can, most)) continue;
+                    const double can = (start + (1 - start) * age / warm) * t_.overload_window / 1000;
+                    if (work <= std::max(t_.overload_factor * can, most)) continue;
                     broken(f, "server " + std::to_string(server) + " at age " + std::to_string(age) +
                                   " ms was sent " + std::to_string(work) + " s of work, it can do " +
                                   std::to_string(can) + " s, " + place(list[i]));
@@ -438,18 +438,18 @@
             Millis free = h.from, since = -1;
             for (const auto& s : out) {
                 if (s.to <= free) continue;
-                if (s.from > free + t_.let_go + t_.notice) break;
+                if (s.from > free + t_.release_within + t_.notice) break;
                 free = std::max(free, s.to);
             }
-            if (free + t_.let_go + t_.notice < h.to) since = free;
+            if (free + t_.release_within + t_.notice < h.to) since = free;
             if (since < 0) continue;
             const auto gw = gateway_of_.find(instance_of(request));
-            const bool dead =
-                gw != gateway_of_.end() ? killed(gw->second, h.from, since + t_.let_go) : any_killed(h);
-            const bool stopped = gw != gateway_of_.end() &&
-                                 h.to <= since + t_.let_go + t_.notice + stood(gw->second, since, h.to);
+            const bool dead = gw != gateway_of_.end() ? killed(gw->second, h.from, since + t_.release_within)
+                                                      : any_killed(h);
+            const bool stopped = gw != gateway_of_.end() && h.to <= since + t_.release_within + t_.notice +
+                                                                        stood(gw->second, since, h.to);
             // What can't be told to an engine that is cut off ends by its lease.
-            if (dead || stopped || in_trouble(h.server, h.from, since + t_.let_go)) {
+            if (dead || stopped || in_trouble(h.server, h.from, since + t_.release_within)) {
                 ++f.excused;
                 continue;
             }
@@ -490,8 +490,8 @@
                 if (!within(t_.recover) || !waited || in_trouble(a.server, a.from, a.to) || a.how == "down")
                     continue;
                 const bool during = within(0), cut = a.how == "left" || a.how == "cancelled";
-                ++(during ? s.stood_attempts : s.after_attempts);
-                (during ? s.stood_cut : s.after_cut) += cut;
+                ++(during ? s.attempts_during_stall : s.attempts_after_stall);
+                (during ? s.cut_during_stall : s.cut_after_stall) += cut;
             }
         }
     }
@@ -513,7 +513,7 @@
             turn.cls = a.cls, turn.worth = cls->priority_weight;
             turn.began = std::min(turn.began, a.at);
             ++s.asked;
-            s.gone += a.gone;
+            s.client_disconnected += a.gone;
             if (a.lost) ++(killed(a.gateway, a.at, a.ended) ? s.lost_killed : s.lost);
             const bool served = a.answers == 1 && a.status == 200 && a.ending == "whole";
             s.answered += served;
@@ -538,7 +538,7 @@
             worth += turn.worth, earned += turn.earned;
             by_class[turn.cls].first += turn.worth, by_class[turn.cls].second += turn.earned;
         }
-        s.worth = worth > 0 ? earned / worth : 0;
+        s.value = worth > 0 ? earned / worth : 0;
         standstills(s);
         for (const auto& [name, w] : by_class)
             s.by_class.emplace_back(name, w.first > 0 ? w.second / w.first : 0);
@@ -552,7 +552,7 @@
         return s;
     }
 
-    const Terms& t_;
+    const CheckerSettings& t_;
     const std::vector<Record>* records_ = nullptr;
     std::map<std::string, std::vector<Attempt>> attempts_;  // by request
     std::map<std::string, std::pair<std::string, std::size_t>> by_id_;
@@ -572,9 +572,11 @@
     return std::all_of(findings.begin(), findings.end(), [](const Finding& f) { return f.broken == 0; });
 }
 
-Verdict judge(const std::vector<Record>& records, const Terms& terms) { return Judge(records, terms).all(); }
+Verdict check_records(const std::vector<Record>& records, const CheckerSettings& terms) {
+    return RecordChecker(records, terms).all();
+}
 
-std::string table(const Verdict& v) {
+std::string format_verdict(const Verdict& v) {
     std::string out;
     char line[512];
     std::snprintf(line, sizeof line, "%-30s %-60s %8s %8s %8s\n", "rule", "looked at", "cases", "broken",
@@ -594,7 +596,7 @@
         "with a gateway that the day killed %ld (excused by rule 1: the client's to retry), with one "
         "that lived %ld (breaks it)\n"
         "service %.3f (worth in time over worth asked, retries with their first try)",
-        s.asked, s.answered, s.refused, s.failed, s.gone, s.lost_killed, s.lost, s.worth);
+        s.asked, s.answered, s.refused, s.failed, s.client_disconnected, s.lost_killed, s.lost, s.value);
     out += line;
     for (const auto& [name, worth] : s.by_class) {
         std::snprintf(line, sizeof line, ", %s %.3f", name.c_str(), worth);
@@ -603,12 +605,12 @@
     std::snprintf(line, sizeof line, "\nfirst token or whole answer, ms: p50 %.1f, p99 %.1f, p99.9 %.1f\n",
                   s.p50, s.p99, s.p999);
     out += line;
-    if (s.stood_attempts + s.after_attempts > 0) {
+    if (s.attempts_during_stall + s.attempts_after_stall > 0) {
         std::snprintf(
             line, sizeof line,
             "attempts at healthy engines for clients that waited: out when their gateway stood still %ld, "
             "cut off by it %ld; begun within a second after %ld, cut off %ld\n",
-            s.stood_attempts, s.stood_cut, s.after_attempts, s.after_cut);
+            s.attempts_during_stall, s.cut_during_stall, s.attempts_after_stall, s.cut_after_stall);
         out += line;
     }
     return out;
--- a/src/invariants/record_checker.h
+++ b/src/invariants/record_checker.h
@@ -10,11 +10,11 @@
 
 namespace gorsenotch::invariants {
 
-struct Terms {
-    std::vector<std::string> classes;  // names, as in the records
-    std::vector<ClassSettings> of;     // by class
-    Millis answer_slack = 50, drain_grace = 250, let_go = 1000, fall_window = 2000;
-    double fall_multiple = 2.5;
+struct CheckerSettings {
+    std::vector<std::string> classes;           // names, as in the records
+    std::vector<ClassSettings> class_settings;  // by class
+    Millis answer_slack = 50, drain_grace = 250, release_within = 1000, overload_window = 2000;
+    double overload_factor = 2.5;
     // What passes between a cause and its record in another process, on one machine; added to each limit.
     Millis notice = 60;
     // After a standstill that the runner made (a stopped process), a gateway is as before within this time.
@@ -30,15 +30,15 @@
 };
 
 struct Service {
-    long asked = 0, answered = 0, refused = 0, failed = 0, gone = 0;
+    long asked = 0, answered = 0, refused = 0, failed = 0, client_disconnected = 0;
     // The connection broke without an answer: because the runner had killed its gateway, which then owes
     // nothing (the client's to retry), or with the gateway alive, which breaks rule 1.
     long lost_killed = 0, lost = 0;
     // Attempts that were out while their gateway stood still, and others begun within Terms::recover after,
     // at engines without a trouble of their own and for clients that still waited; those that the gateway
     // cut.
-    long stood_attempts = 0, stood_cut = 0, after_attempts = 0, after_cut = 0;
-    double worth = 0;  // earned over asked, retries counted with their first try; 0 to 1
+    long attempts_during_stall = 0, cut_during_stall = 0, attempts_after_stall = 0, cut_after_stall = 0;
+    double value = 0;  // earned over asked, retries counted with their first try; 0 to 1
     std::vector<std::pair<std::string, double>> by_class;
     double p50 = 0, p99 = 0, p999 = 0;  // ms to the first token or whole answer, of those served
 };
@@ -49,7 +49,7 @@
     bool kept() const;
 };
 
-Verdict judge(const std::vector<Record>& records, const Terms& terms);
-std::string table(const Verdict& verdict);
+Verdict check_records(const std::vector<Record>& records, const CheckerSettings& terms);
+std::string format_verdict(const Verdict& verdict);
 
 }  // namespace gorsenotch::invariants
--- a/src/platform/client_connections.cpp
+++ b/src/platform/client_connections.cpp
@@ -82,7 +82,7 @@
     }
 };
 
-ClientConnections::ClientConnections(net::EventLoop& loop, const settings::Named& named,
+ClientConnections::ClientConnections(net::EventLoop& loop, const settings::NamedSettings& named,
                                      RequestLifecycle& relay, Config config)
     : loop_(loop),
       named_(named),
--- a/src/platform/client_connections.h
+++ b/src/platform/client_connections.h
@@ -49,7 +49,7 @@
         Millis least_idle = 2000;           // before an idle connection may be closed
         Millis most_idle = 10000;
     };
-    ClientConnections(net::EventLoop& loop, const settings::Named& named, RequestLifecycle& relay,
+    ClientConnections(net::EventLoop& loop, const settings::NamedSettings& named, RequestLifecycle& relay,
                       Config config);
     ~ClientConnections();
 
@@ -98,7 +98,7 @@
     Connection* longest_resting();
 
     net::EventLoop& loop_;
-    const settings::Named& named_;
+    const settings::NamedSettings& named_;
     RequestLifecycle& lifecycle_;
     const Config config_;
     std::unique_ptr<net::TcpListener> listener_;
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -14,7 +14,7 @@
     return v.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-void flatten(const Json& v, const std::string& path, int depth, settings::Info& out) {
+void flatten(const Json& v, const std::string& path, int depth, settings::SettingValues& out) {
     if (depth > 16) throw ConfigError("settings." + path + ": nested too deeply");
     if (v.is_object()) {
         for (const auto& [name, value] : v.items())
@@ -74,10 +74,10 @@
         c.memory_mb = count_at(*it, "memory_mb"), c.sockets = count_at(*it, "sockets");
     const auto settings = v.find("settings");
     if (settings == v.end() || !settings->is_object()) throw ConfigError("settings: an object is needed");
-    settings::Info info;
+    settings::SettingValues info;
     flatten(*settings, "", 0, info);
     try {
-        c.named = settings::named_settings(info);
+        c.named = settings::parse_named_settings(info);
     } catch (const settings::SettingsError& e) {
         throw ConfigError(std::string("settings.") + e.what());
     }
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -19,7 +19,7 @@
     std::string name, listen, discovery;
     std::uint64_t seed = 0;
     std::size_t memory_mb = 0, sockets = 0;  // 0: not told
-    settings::Named named;
+    settings::NamedSettings named;
     std::string known;  // the list as last held, in discovery's form; empty: none
 };
 
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -36,7 +36,7 @@
     return it->second;
 }
 
-DiscoveredEndpoint read_host(const Json& row, const settings::Named& named) {
+DiscoveredEndpoint read_host(const Json& row, const settings::NamedSettings& named) {
     if (!row.is_object()) throw Bad{"should be an object"};
     DiscoveredEndpoint h;
     h.name = text(row, "host");
--- a/src/platform/endpoint_list.h
+++ b/src/platform/endpoint_list.h
@@ -23,7 +23,7 @@
 class EndpointList {
 public:
     // `offset`: what is added to Unix ms to get the monotonic clock's, as far as the wall clock is right.
-    EndpointList(const settings::Named& named, Millis offset) : named_(named), starts_(offset) {}
+    EndpointList(const settings::NamedSettings& named, Millis offset) : named_(named), starts_(offset) {}
 
     // Where a text comes from: as last held, the same discovery as before, or one at another address.
     enum class Source { cached, same_address, new_address };
@@ -36,7 +36,7 @@
 private:
     EndpointId id_for(const std::string& name);
 
-    const settings::Named& named_;
+    const settings::NamedSettings& named_;
     control::EndpointIncarnations starts_;
     std::map<EndpointId, DiscoveredEndpoint> endpoints_;  // those listed
     std::map<std::string, EndpointId> ids_;
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-std::variant<Refusal, Inbound> read_head(const settings::Named& named, const http::Parser& r) {
+std::variant<Refusal, Inbound> read_head(const settings::NamedSettings& named, const http::Parser& r) {
     const auto path = std::string_view(r.target).substr(0, r.target.find('?'));
     if (path != kPath) return Refusal{404, "there is nothing at this path"};
     if (r.method != "POST") return Refusal{405, "use POST"};
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -17,8 +17,8 @@
 constexpr Millis kSilentAtStop = 1000;
 }  // namespace
 
-RequestLifecycle::RequestLifecycle(const settings::Named& named, std::uint64_t seed, EndpointList& hosts,
-                                   Environment& ports)
+RequestLifecycle::RequestLifecycle(const settings::NamedSettings& named, std::uint64_t seed,
+                                   EndpointList& hosts, Environment& ports)
     : named_(named),
       endpoints_(hosts),
       environment_(ports),
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -55,7 +55,7 @@
 
 class RequestLifecycle {
 public:
-    RequestLifecycle(const settings::Named& named, std::uint64_t seed, EndpointList& hosts,
+    RequestLifecycle(const settings::NamedSettings& named, std::uint64_t seed, EndpointList& hosts,
                      Environment& ports);
 
     // After EndpointList has taken it, or to say that discovery failed.
@@ -161,7 +161,7 @@
     void on_router_idle();
     void revisit_when_idle(std::uint64_t handle) { to_revisit_.push_back(handle); }
 
-    const settings::Named& named_;
+    const settings::NamedSettings& named_;
     EndpointList& endpoints_;
     Environment& environment_;
     Driver driver_;
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -40,7 +40,7 @@
       cleanup_timer_(loop, [this] { cleanup(); }) {}
 ConnectionPool::~ConnectionPool() = default;
 
-std::string ConnectionPool::render(const std::string& address, const engine::Wanted& w, bool keep) {
+std::string ConnectionPool::render(const std::string& address, const engine::UpstreamRequest& w, bool keep) {
     http::Headers headers = {{"host", address},
                              {"connection", keep ? "keep-alive" : "close"},
                              {"content-length", std::to_string(w.body.size())}};
@@ -259,7 +259,7 @@
     if (it != by_call_.end()) erase_connection(*it->second, ConnectionEnd::cancelled);
 }
 
-void ConnectionPool::send_detached(const std::string& address, engine::Wanted wanted, Millis limit) {
+void ConnectionPool::send_detached(const std::string& address, engine::UpstreamRequest wanted, Millis limit) {
     detached_calls_.push_back(std::make_unique<DetachedCall>());
     DetachedCall& a = *detached_calls_.back();
     a.self = std::prev(detached_calls_.end());
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -53,7 +53,7 @@
                bool fresh = false);
     void pause(const UpstreamCall& carried, bool on);
     void close(const UpstreamCall& carried);
-    void send_detached(const std::string& address, engine::Wanted wanted, Millis limit);
+    void send_detached(const std::string& address, engine::UpstreamRequest wanted, Millis limit);
     std::size_t connections() const { return connections_.size(); }
     // Requests on new and on kept connections, and how many of each broke before any byte of an answer.
     struct Counters {
@@ -62,7 +62,7 @@
     };
     const Counters& counters() const { return counters_; }
     bool has_idle(const std::string& address) const;  // a connection there waits for a request
-    static std::string render(const std::string& address, const engine::Wanted& w, bool keep);
+    static std::string render(const std::string& address, const engine::UpstreamRequest& w, bool keep);
 
 private:
     struct Connection;
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -21,61 +21,61 @@
     return *value;
 }
 
-double item(const Info& info, const std::string& path, std::size_t i, double absent) {
+double item(const SettingValues& info, const std::string& path, std::size_t i, double absent) {
     const auto& values = info.list(path);
     return i < values.size() ? number(path, values[i]) : absent;
 }
 
-std::size_t count(const Info& info, const std::string& path) {
-    const double n = info.num(path, 0);
+std::size_t count(const SettingValues& info, const std::string& path) {
+    const double n = info.number_or(path, 0);
     if (n < 0 || n > 10000) throw SettingsError(path + ": out of range");
     return static_cast<std::size_t>(n);
 }
 
-int whole(const Info& info, const std::string& path, int absent) {
-    const double n = info.num(path, absent);
+int whole(const SettingValues& info, const std::string& path, int absent) {
+    const double n = info.number_or(path, absent);
     if (std::abs(n) > 1e9) throw SettingsError(path + ": out of range");
     return static_cast<int>(n);
 }
 
 }  // namespace
 
-double Info::num(const std::string& path, double absent) const {
+double SettingValues::number_or(const std::string& path, double absent) const {
     const auto it = values_.find(path);
     if (it == values_.end() || it->second.empty() || it->second[0] == "-") return absent;
     return number(path, it->second[0]);
 }
 
-bool Info::yes(const std::string& path) const {
+bool SettingValues::flag(const std::string& path) const {
     const std::string s = text(path, "-");
     const auto value = to_bool(s);
     if (!value) throw SettingsError(path + ": bad bool '" + s + "'");
     return *value;
 }
 
-std::string Info::text(const std::string& path, const std::string& absent) const {
+std::string SettingValues::text(const std::string& path, const std::string& absent) const {
     const auto it = values_.find(path);
     return it == values_.end() || it->second.empty() ? absent : it->second[0];
 }
 
-const std::vector<std::string>& Info::list(const std::string& path) const {
+const std::vector<std::string>& SettingValues::list(const std::string& path) const {
     static const std::vector<std::string> none;
     const auto it = values_.find(path);
     return it == values_.end() ? none : it->second;
 }
 
-Named named_settings(const Info& info) {
-    Named named;
+NamedSettings parse_named_settings(const SettingValues& info) {
+    NamedSettings named;
     Settings& s = named.settings;
     for (std::size_t i = 0; i < count(info, "Lanes.count"); ++i) {
         const std::string p = "Lanes." + std::to_string(i) + ".";
         ClassSettings c;
-        c.latency_objective = info.num(p + "SloMs", 0);
+        c.latency_objective = info.number_or(p + "SloMs", 0);
         c.latency_objective_per_1000_tokens =
             item(info, "FamilyInfo.AimUsPer1000PromptTokens", i, 0) / 1000.0;
-        c.deadline = info.num(p + "DeadlineMs", 0);
-        c.priority_weight = info.num(p + "Importance", 1);
-        c.late_value_fraction = info.num(p + "LateShare", 0);
+        c.deadline = info.number_or(p + "DeadlineMs", 0);
+        c.priority_weight = info.number_or(p + "Importance", 1);
+        c.late_value_fraction = info.number_or(p + "LateShare", 0);
         c.inter_token_objective = item(info, "FamilyInfo.TokenAimMs", i, 0);
         c.idempotency = choice<Idempotency>(p + "Effect", info.text(p + "Effect", "once"),
                                             {{"repeatable", Idempotency::idempotent},
@@ -84,13 +84,13 @@
         c.dedup_scope = choice<DedupScope>(
             p + "Group", info.text(p + "Group", "all"),
             {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
-        c.dedup_window = info.num(p + "WindowMs", 0);
+        c.dedup_window = info.number_or(p + "WindowMs", 0);
         s.classes.push_back(c);
         named.classes.emplace(info.text(p + "Name", ""), static_cast<int>(i));
     }
     for (std::size_t i = 0; i < count(info, "Tenants.count"); ++i) {
         const std::string p = "Tenants." + std::to_string(i) + ".";
-        s.tenants.push_back({info.num(p + "QuotaPerS", 0)});
+        s.tenants.push_back({info.number_or(p + "QuotaPerS", 0)});
         named.tenants.emplace(info.text(p + "Name", ""), static_cast<int>(i));
     }
     const auto &flavors = info.list("Flavors"), &roles = info.list("FamilyInfo.RoleByKind"),
@@ -111,27 +111,27 @@
     s.zones = static_cast<int>(zones.size());
     s.gateways = whole(info, "Balancers", 1);
     s.discovery = info.text("Discovery", "push") == "ask" ? Discovery::poll : Discovery::watch;
-    s.poll_interval = info.num("Guarantees.AskWithinMs", 0);
+    s.poll_interval = info.number_or("Guarantees.AskWithinMs", 0);
     s.max_attempts = whole(info, "Ceilings.AttemptsCap", 1);
-    s.cancellation = info.yes("Ceilings.Cancel");
-    s.hedging = info.yes("Ceilings.SecondCopies");
-    s.health_checks = info.yes("Ceilings.Probes");
-    s.slot_reservation = info.yes("FamilyInfo.Ahead");
-    s.retry_after = info.yes("Ceilings.RetryAfter");
-    s.local_prefill = info.yes("FamilyInfo.LocalRead");
-    s.stream_migration = info.yes("FamilyInfo.Resume");
-    s.max_retry_after = info.num("Ceilings.MaxRetryAfterMs", 0);
-    s.connect_timeout = info.num("Ceilings.DialTimeoutMs", 0);
-    s.over_quota_weight = info.num("OverShareWorth", 1);
-    s.answer_slack = info.num("Guarantees.AnswerSlackMs", 0);
-    s.drain_grace = info.num("Guarantees.DrainGraceMs", 0);
-    s.lease_release_timeout = info.num("FamilyInfo.LetGoByMs", 0);
-    s.overload_factor = info.num("Guarantees.FallMultiple", 1);
-    s.overload_window = info.num("Guarantees.TipAfterMs", 0);
-    s.initial_capacity = info.num("Guarantees.StartCapacity", 1);
-    s.slow_start_duration = info.num("Guarantees.WarmWithinMs", 0);
-    s.event_interval = info.num("StepMs", 1);
-    named.idle_close = info.num("Ceilings.IdleCloseMs", 0);
+    s.cancellation = info.flag("Ceilings.Cancel");
+    s.hedging = info.flag("Ceilings.SecondCopies");
+    s.health_checks = info.flag("Ceilings.Probes");
+    s.slot_reservation = info.flag("FamilyInfo.Ahead");
+    s.retry_after = info.flag("Ceilings.RetryAfter");
+    s.local_prefill = info.flag("FamilyInfo.LocalRead");
+    s.stream_migration = info.flag("FamilyInfo.Resume");
+    s.max_retry_after = info.number_or("Ceilings.MaxRetryAfterMs", 0);
+    s.connect_timeout = info.number_or("Ceilings.DialTimeoutMs", 0);
+    s.over_quota_weight = info.number_or("OverShareWorth", 1);
+    s.answer_slack = info.number_or("Guarantees.AnswerSlackMs", 0);
+    s.drain_grace = info.number_or("Guarantees.DrainGraceMs", 0);
+    s.lease_release_timeout = info.number_or("FamilyInfo.LetGoByMs", 0);
+    s.overload_factor = info.number_or("Guarantees.FallMultiple", 1);
+    s.overload_window = info.number_or("Guarantees.TipAfterMs", 0);
+    s.initial_capacity = info.number_or("Guarantees.StartCapacity", 1);
+    s.slow_start_duration = info.number_or("Guarantees.WarmWithinMs", 0);
+    s.event_interval = info.number_or("StepMs", 1);
+    named.idle_close = info.number_or("Ceilings.IdleCloseMs", 0);
     return named;
 }
 
--- a/src/settings/deployment_settings.h
+++ b/src/settings/deployment_settings.h
@@ -18,12 +18,12 @@
 
 // Values by path: `Lanes.0.Name`; a list of plain values is one value of several items, a list of objects
 // has its length under `.count`.
-class Info {
+class SettingValues {
 public:
     void set(const std::string& path, std::vector<std::string> items) { values_[path] = std::move(items); }
     bool has(const std::string& path) const { return values_.count(path) > 0; }
-    double num(const std::string& path, double absent) const;
-    bool yes(const std::string& path) const;
+    double number_or(const std::string& path, double absent) const;
+    bool flag(const std::string& path) const;
     std::string text(const std::string& path, const std::string& absent) const;
     const std::vector<std::string>& list(const std::string& path) const;
 
@@ -31,11 +31,11 @@
     std::map<std::string, std::vector<std::string>> values_;
 };
 
-struct Named {
+struct NamedSettings {
     Settings settings;
     std::map<std::string, int> classes, tenants, zones, kinds;  // names as the settings list them
     Millis idle_close = 0;  // servers close connections that have been idle for so long; 0: not told
 };
-Named named_settings(const Info& info);
+NamedSettings parse_named_settings(const SettingValues& info);
 
 }  // namespace gorsenotch::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -12,7 +12,7 @@
 
 class Reader {
 public:
-    Reader(Program& p, std::vector<FileFault>& faults) : p_(p), faults_(faults) {}
+    Reader(Program& p, std::vector<FileFault>& faults) : program_(p), faults_(faults) {}
 
     void fault(const Element& e, const std::string& reason) {
         faults_.push_back({e.line(), e.name(), reason});
@@ -41,8 +41,8 @@
         for (const auto& e : list.children("engine")) {
             Engine en;
             en.endpoint.id = static_cast<EndpointId>(e.large("id"));
-            en.endpoint.kind = index(e, "kind", p_.kinds);
-            en.endpoint.zone = index(e, "zone", p_.zones);
+            en.endpoint.kind = index(e, "kind", program_.kinds);
+            en.endpoint.zone = index(e, "zone", program_.zones);
             en.endpoint.cell = e.large("cell");
             en.endpoint.weight = e.number("weight");
             en.endpoint.started_at = e.number("started");
@@ -60,7 +60,7 @@
     }
 
     void classes(const Element& list) {
-        names(list, "class", p_.classes);
+        names(list, "class", program_.classes);
         for (const auto& e : list.children("class")) {
             ClassSettings c;
             c.latency_objective = e.number("aim-ms");
@@ -83,31 +83,31 @@
                 fault(e, "effect 'by_key' needs window-ms: how long engines remember a key");
             if (c.idempotency != Idempotency::with_key && c.dedup_window > 0)
                 fault(e, "window-ms is for effect 'by_key' only");
-            p_.module.classes.push_back(c);
+            program_.router.classes.push_back(c);
         }
         // Without a key nothing tells an engine of a repeat: such a request counts as one to be run once.
-        for (std::size_t i = 0, n = p_.module.classes.size(); i < n; ++i) {
-            ClassSettings twin = p_.module.classes[i];
+        for (std::size_t i = 0, n = program_.router.classes.size(); i < n; ++i) {
+            ClassSettings twin = program_.router.classes[i];
             if (twin.idempotency != Idempotency::with_key) continue;
             twin.idempotency = Idempotency::unsafe, twin.dedup_window = 0;
-            p_.keyless[static_cast<int>(i)] = static_cast<int>(p_.module.classes.size());
-            p_.module.classes.push_back(twin);
-            p_.classes.push_back(p_.classes[i]);
+            program_.unkeyed_class[static_cast<int>(i)] = static_cast<int>(program_.router.classes.size());
+            program_.router.classes.push_back(twin);
+            program_.classes.push_back(program_.classes[i]);
         }
     }
 
     void tenants(const Element& list) {
-        names(list, "tenant", p_.tenants);
+        names(list, "tenant", program_.tenants);
         int i = 0;
         std::set<std::string> digests;
         for (const auto& e : list.children("tenant")) {
-            p_.module.tenants.push_back({e.number("quota-per-s")});
+            program_.router.tenants.push_back({e.number("quota-per-s")});
             std::istringstream models(e.text("models"));
-            p_.tenant_models.emplace_back();
+            program_.tenant_models.emplace_back();
             for (std::string m; models >> m;) {
-                if (std::find(p_.models.begin(), p_.models.end(), m) == p_.models.end())
+                if (std::find(program_.models.begin(), program_.models.end(), m) == program_.models.end())
                     fault(e, "models: there is no '" + m + "'");
-                p_.tenant_models.back().push_back(m);
+                program_.tenant_models.back().push_back(m);
             }
             for (const auto& k : e.children("key")) {
                 const std::string hex = k.text("sha256");
@@ -116,7 +116,7 @@
                 for (std::size_t b = 0; b < d.size(); ++b) {
                     d[b] = static_cast<unsigned char>(std::stoi(hex.substr(2 * b, 2), nullptr, 16));
                 }
-                p_.keys.emplace_back(d, i);
+                program_.keys.emplace_back(d, i);
             }
             ++i;
         }
@@ -126,36 +126,37 @@
         const auto all = list.children("route");
         for (const auto& e : all) {
             Route r;
-            r.cls = index(e, "class", p_.classes);
+            r.cls = index(e, "class", program_.classes);
             r.model = e.text("model");
-            if (!r.model.empty()) index(e, "model", p_.models);
-            if (e.has("tenant")) r.tenant = index(e, "tenant", p_.tenants);
+            if (!r.model.empty()) index(e, "model", program_.models);
+            if (e.has("tenant")) r.tenant = index(e, "tenant", program_.tenants);
             r.header = e.text("header");
             std::transform(r.header.begin(), r.header.end(), r.header.begin(),
                            [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
             r.value = e.text("value");
             if (r.header.empty() != !e.has("value")) fault(e, "header and value go together");
-            r.least_prompt = e.number("least-prompt-tokens");
+            r.min_prompt_tokens = e.number("least-prompt-tokens");
             if (r.any() && &e != &all.back()) fault(e, "matches all, so no later route is ever reached");
-            p_.routes.push_back(r);
+            program_.routes.push_back(r);
         }
-        if (!p_.routes.back().any()) fault(all.back(), "the last route must match all: give it a class only");
+        if (!program_.routes.back().any())
+            fault(all.back(), "the last route must match all: give it a class only");
     }
 
     void kinds(const Element& list) {
-        names(list, "kind", p_.kinds);
+        names(list, "kind", program_.kinds);
         for (const auto& e : list.children("kind")) {
             const std::string role = e.text("role");
-            p_.module.kinds.push_back({role == "read"    ? Role::prefill
-                                       : role == "write" ? Role::decode
-                                                         : Role::mixed,
-                                       e.number("memory-tokens")});
-            if (p_.module.kinds.back().memory_tokens < 1) fault(e, "memory-tokens should be 1 or more");
+            program_.router.kinds.push_back({role == "read"    ? Role::prefill
+                                             : role == "write" ? Role::decode
+                                                               : Role::mixed,
+                                             e.number("memory-tokens")});
+            if (program_.router.kinds.back().memory_tokens < 1) fault(e, "memory-tokens should be 1 or more");
         }
     }
 
     void limits(const Element& e) {
-        Limits& l = p_.limits;
+        Limits& l = program_.limits;
         if (!e) return;
         const auto size = [&](const char* a) { return static_cast<std::size_t>(e.number(a)); };
         l.header_bytes = size("header-bytes"), l.headers = size("headers"), l.body_bytes = size("body-bytes");
@@ -168,22 +169,22 @@
     }
 
     void routing(const Element& e, const Element& g) {
-        Settings& s = p_.module;
+        Settings& s = program_.router;
         s.max_attempts = 6, s.cancellation = true, s.retry_after = true;
         s.max_retry_after = 5000, s.connect_timeout = 250, s.over_quota_weight = 0.05;
         s.answer_slack = 50, s.drain_grace = 250, s.lease_release_timeout = 1000;
         s.overload_factor = 2.5, s.overload_window = 2000, s.initial_capacity = 0.3,
         s.slow_start_duration = 10000;
         s.event_interval = 2;  // the loop's timers are whole milliseconds; events come at once
-        s.zones = static_cast<int>(p_.zones.size());
+        s.zones = static_cast<int>(program_.zones.size());
         if (e) {
             s.gateways = e.whole("gateways"), s.max_attempts = e.whole("max-attempts");
             s.cancellation = e.yes("cancel"), s.local_prefill = e.yes("local-read");
             s.retry_after = e.yes("retry-after"), s.max_retry_after = e.number("max-retry-after-ms");
             s.connect_timeout = e.number("dial-timeout-ms");
             s.over_quota_weight = e.number("over-share-worth");
-            p_.source = e.text("source");
-            if (e.has("seed")) p_.seed = e.large("seed");
+            program_.source = e.text("source");
+            if (e.has("seed")) program_.seed = e.large("seed");
             for (const auto& c : s.classes) {
                 if (s.connect_timeout >= c.deadline) {
                     fault(e,
@@ -205,47 +206,48 @@
     void standins(const Element& list) {
         if (!list) return;
         for (const auto& e : list.children("standin")) {
-            Standin s;
+            FakeEngineSettings s;
             s.slots = e.whole("slots"), s.queue = e.whole("queue");
             s.read_per_s = e.number("read-tokens-per-s"), s.fetch_per_s = e.number("fetch-tokens-per-s");
             s.step = e.number("step-ms"), s.per_stream = e.number("per-stream-ms");
             s.answer_tokens = e.whole("answer-tokens"), s.kept_tokens = e.number("kept-tokens");
             s.cancels = e.yes("cancels"), s.lease = e.number("lease-ms");
-            if (!p_.standins.emplace(index(e, "kind", p_.kinds), s).second)
+            if (!program_.fake_engines.emplace(index(e, "kind", program_.kinds), s).second)
                 fault(e, "this kind stands twice");
         }
     }
 
     void all(const Element& root, const std::string& file) {
-        p_.listen = root.child("listen").text("address");
-        if (const Element log = root.child("log")) p_.log_level = log.text("level");
+        program_.listen = root.child("listen").text("address");
+        if (const Element log = root.child("log")) program_.log_level = log.text("level");
         limits(root.child("limits"));
-        names(root.child("models"), "model", p_.models);
+        names(root.child("models"), "model", program_.models);
         tenants(root.child("tenants"));
         classes(root.child("classes"));
-        names(root.child("zones"), "zone", p_.zones);
-        p_.module.own_zone = index(root.child("zones"), "own", p_.zones);
+        names(root.child("zones"), "zone", program_.zones);
+        program_.router.own_zone = index(root.child("zones"), "own", program_.zones);
         kinds(root.child("kinds"));
         routes(root.child("routes"));
         routing(root.child("routing"), root.child("guarantees"));
         const Element fleet = root.child("fleet");
-        p_.engines = engines(fleet);
-        p_.fleet_file = fleet.text("file");
-        if (p_.fleet_file.empty() && p_.engines.empty()) fault(fleet, "give engines, a file, or both");
-        if (!p_.fleet_file.empty() && p_.fleet_file.front() != '/') {
-            p_.fleet_file = (std::filesystem::path(file).parent_path() / p_.fleet_file).string();
+        program_.engines = engines(fleet);
+        program_.fleet_file = fleet.text("file");
+        if (program_.fleet_file.empty() && program_.engines.empty())
+            fault(fleet, "give engines, a file, or both");
+        if (!program_.fleet_file.empty() && program_.fleet_file.front() != '/') {
+            program_.fleet_file = (std::filesystem::path(file).parent_path() / program_.fleet_file).string();
         }
         standins(root.child("standins"));
         if (!faults_.empty()) return;
         try {
-            Router probe(p_.module, 1);  // what the module itself refuses
+            Router probe(program_.router, 1);  // what the module itself refuses
         } catch (const std::invalid_argument& e) {
             faults_.push_back({root.line(), root.name(), e.what()});
         }
     }
 
 private:
-    Program& p_;
+    Program& program_;
     std::vector<FileFault>& faults_;
 };
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -21,8 +21,8 @@
     int cls = 0;
     std::string model, header, value;  // header name in lower case
     int tenant = -1;
-    double least_prompt = 0;
-    bool any() const { return model.empty() && header.empty() && tenant < 0 && least_prompt <= 0; }
+    double min_prompt_tokens = 0;
+    bool any() const { return model.empty() && header.empty() && tenant < 0 && min_prompt_tokens <= 0; }
 };
 
 struct Limits {
@@ -33,7 +33,7 @@
     std::size_t engine_idle = 64;
 };
 
-struct Standin {
+struct FakeEngineSettings {
     int slots = 16, queue = 64, answer_tokens = 60;
     double read_per_s = 20000, fetch_per_s = 300000, kept_tokens = 50000;
     Millis step = 10, per_stream = 0.1, lease = 5000;
@@ -48,12 +48,13 @@
     std::vector<std::string> models, tenants, classes, zones, kinds;  // names, by index
     std::vector<std::pair<Digest, int>> keys;                         // SHA-256 of a key, its tenant
     std::vector<std::vector<std::string>> tenant_models;              // by tenant; empty: all
-    std::map<int, int> keyless;  // class with_key -> its twin of effect once, for requests without a key
+    std::map<int, int>
+        unkeyed_class;  // class with_key -> its twin of effect once, for requests without a key
     std::vector<Route> routes;
     std::vector<Engine> engines;
-    Settings module;
+    Settings router;
     std::optional<std::uint64_t> seed;
-    std::map<int, Standin> standins;  // by kind
+    std::map<int, FakeEngineSettings> fake_engines;  // by kind
 };
 
 Digest sha256(std::string_view text);
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -75,8 +75,8 @@
 }
 
 // The path=value pairs of a first message.
-settings::Info pairs(const std::vector<std::string>& f, std::size_t from) {
-    settings::Info info;
+settings::SettingValues pairs(const std::vector<std::string>& f, std::size_t from) {
+    settings::SettingValues info;
     for (std::size_t i = from; i < f.size(); ++i) {
         const auto eq = f[i].find('=');
         if (eq == std::string::npos) throw WireError("bad setting '" + f[i] + "'");
@@ -144,9 +144,9 @@
 
 void Host::init(const Fields& f) {
     const std::string& name = part(f, 1);
-    settings::Named named;
+    settings::NamedSettings named;
     try {
-        named = settings::named_settings(pairs(f, 3));
+        named = settings::parse_named_settings(pairs(f, 3));
     } catch (const settings::SettingsError& e) {
         throw WireError(e.what());
     }
--- a/src/state/decision_journal.cpp
+++ b/src/state/decision_journal.cpp
@@ -225,8 +225,8 @@
     return j;
 }
 
-Replay replay(std::istream& journal, const Settings& settings) {
-    Replay result;
+ReplayResult replay(std::istream& journal, const Settings& settings) {
+    ReplayResult result;
     std::unique_ptr<Router> router;
     std::vector<Action> actions;
     std::size_t next = 0, line_no = 0, torn = 0;
--- a/src/state/decision_journal.h
+++ b/src/state/decision_journal.h
@@ -17,12 +17,12 @@
     const std::string& file, std::uint64_t seed,
     std::function<void(const std::string& why)> on_stopped = nullptr);
 
-struct Replay {
+struct ReplayResult {
     long events = 0, actions = 0;
     std::string difference;  // the first one, with its line; empty: none
 };
 // Feeds the events of a journal to a fresh Router with the same settings and seed. Throws std::runtime_error,
 // naming the line, where the journal is damaged; a last line that was cut short is passed over.
-Replay replay(std::istream& journal, const Settings& settings);
+ReplayResult replay(std::istream& journal, const Settings& settings);
 
 }  // namespace gorsenotch::state
--- a/tests/api/messages_test.cpp
+++ b/tests/api/messages_test.cpp
@@ -87,7 +87,7 @@
     EXPECT_EQ(first.prefix, ask("[{\"type\":\"text\",\"text\":\"be kind\"}]", user).prefix);
     EXPECT_NE(first.prefix, ask("\"be brief\"", user).prefix);
     EXPECT_EQ(good(with("")).prefix, 0u);
-    EXPECT_EQ(good(message(user + "," + user)).turns.size(), 1u);  // one role's turns are joined
+    EXPECT_EQ(good(message(user + "," + user)).messages.size(), 1u);  // one role's turns are joined
 }
 
 std::vector<std::string> names(const std::string& stream) {
@@ -99,19 +99,19 @@
 }
 
 TEST(Messages, StreamEventsInOrderAndOneEnd) {
-    auto a = messages::stream_answer("msg_1", "m", 3, "req_1");
+    auto a = messages::streamed_response("msg_1", "m", 3, "req_1");
     std::string s = a->text("one");
     s += a->text("\"two\"\n");
-    s += a->finish(Stop::length, {10, 4, 2});
+    s += a->finish(StopReason::length, {10, 4, 2});
     EXPECT_EQ(names(s), (std::vector<std::string>{"message_start", "content_block_start", "ping",
                                                   "content_block_delta", "content_block_delta",
                                                   "content_block_stop", "message_delta", "message_stop"}));
     EXPECT_NE(s.find("\"stop_reason\":\"max_tokens\""), std::string::npos);
     EXPECT_NE(s.find("\"input_tokens\":6"), std::string::npos);
     EXPECT_NE(s.find("\"cache_read_input_tokens\":4"), std::string::npos);
-    EXPECT_EQ(a->text("late") + a->finish(Stop::end, {}) + a->fail({}) + a->ping() + a->begin(), "");
+    EXPECT_EQ(a->text("late") + a->finish(StopReason::end, {}) + a->fail({}) + a->ping() + a->begin(), "");
     EXPECT_EQ(a->ignored(), 5);
-    auto b = messages::stream_answer("msg_1", "m", 3, "req_1");
+    auto b = messages::streamed_response("msg_1", "m", 3, "req_1");
     s = b->text("one");
     s += b->fail({500, "api_error", "lost"});
     EXPECT_EQ(names(s).back(), "error");
@@ -119,7 +119,7 @@
 }
 
 TEST(Messages, WholeAnswerIsBounded) {
-    auto a = messages::whole_answer("msg_1", "m", "req_1", 8);
+    auto a = messages::complete_response("msg_1", "m", "req_1", 8);
     EXPECT_EQ(a->text("12345678"), "");
     EXPECT_FALSE(a->ended());
     EXPECT_NE(a->text("9").find("api_error"), std::string::npos);
@@ -129,7 +129,7 @@
 TEST(Intake, KeysVersionsPaths) {
     settings::Program p;
     p.models = {"m", "n"}, p.tenants = {"t", "u"}, p.tenant_models = {{}, {"n"}};
-    p.classes = {"chat", "keyed", "keyed"}, p.module.classes.resize(3), p.keyless = {{1, 2}};
+    p.classes = {"chat", "keyed", "keyed"}, p.router.classes.resize(3), p.unkeyed_class = {{1, 2}};
     p.keys = {{settings::sha256("key"), 0}, {settings::sha256("other"), 1}};
     settings::Route keyed, rest;
     keyed.cls = 1, keyed.header = "x-class", keyed.value = "keyed";
@@ -214,8 +214,8 @@
     EXPECT_EQ(field.prompt_tokens, turn.prompt_tokens);
     const auto both = of(
         R"("system":"be brief","messages":[{"role":"system","content":"and kind"},{"role":"user","content":"hi"}])");
-    ASSERT_EQ(both.turns.size(), 2u);
-    EXPECT_EQ(both.turns[0].text, "be brief\nand kind");
+    ASSERT_EQ(both.messages.size(), 2u);
+    EXPECT_EQ(both.messages[0].text, "be brief\nand kind");
     // What samples still passes to the engine, whatever the version's types say.
     EXPECT_EQ(
         of(R"("temperature":0.5,"top_p":0.9,"top_k":7,"messages":[{"role":"user","content":"hi"}])").top_k,
@@ -224,9 +224,9 @@
 
 TEST(Versions, AStopSequenceIsNamedInBothForms) {
     for (const bool stream : {true, false}) {
-        const auto a = stream ? messages::stream_answer("msg_1", "m", 1, "req_1")
-                              : messages::whole_answer("msg_1", "m", "req_1", 1000);
-        const std::string s = a->text("one") + a->finish(api::Stop::sequence, {1, 0, 1}, "\"END\"");
+        const auto a = stream ? messages::streamed_response("msg_1", "m", 1, "req_1")
+                              : messages::complete_response("msg_1", "m", "req_1", 1000);
+        const std::string s = a->text("one") + a->finish(api::StopReason::sequence, {1, 0, 1}, "\"END\"");
         EXPECT_NE(s.find(R"("stop_reason":"stop_sequence","stop_sequence":"\"END\"")"), std::string::npos)
             << s;
     }
--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -71,7 +71,7 @@
 struct Standstill : ::testing::Test, CoreBench {
     FakeClient client;
     Standstill() {
-        for (auto& c : p.module.classes) c.deadline = 20000;
+        for (auto& c : p.router.classes) c.deadline = 20000;
         begin();
     }
     // The loop sleeps until its next timer, is stopped, and goes on `ms` later.
@@ -223,9 +223,10 @@
     const auto ask = [&](Millis age, Millis patience) {
         gateway::NewRequest n;
         n.id = "req_age" + std::to_string(++count);
-        n.chat.model = "m", n.chat.turns = {{"user", "hello"}}, n.chat.max_tokens = 10, n.chat.stream = true;
+        n.chat.model = "m", n.chat.messages = {{"user", "hello"}}, n.chat.max_tokens = 10,
+        n.chat.stream = true;
         n.chat.prompt_tokens = 100, n.tenant = 0, n.client = &client, n.patience = patience, n.age = age;
-        n.answer = api::messages::stream_answer("msg_1", "m", 100, n.id);
+        n.answer = api::messages::streamed_response("msg_1", "m", 100, n.id);
         EXPECT_TRUE(core->on_request(std::move(n)));
     };
     ask(3000, 2000);  // gone already
--- a/tests/fake_engine/stop_sequences_test.cpp
+++ b/tests/fake_engine/stop_sequences_test.cpp
@@ -9,7 +9,7 @@
 // All that is given of `text`, fed in pieces of `size` bytes, and what matched.
 std::pair<std::string, std::string> scan(std::vector<std::string> strings, const std::string& text,
                                          std::size_t size) {
-    Stops s(std::move(strings));
+    StopSequences s(std::move(strings));
     std::string out;
     for (std::size_t at = 0; at < text.size(); at += size) out += s.feed(text.substr(at, size));
     return {out + s.rest(), s.matched()};
@@ -28,7 +28,7 @@
 }
 
 TEST(Stops, GiveAtOnceWhatCanNotBeginOne) {
-    Stops s({"\n\n"});
+    StopSequences s({"\n\n"});
     EXPECT_EQ(s.feed("a line"), "a line");
     EXPECT_EQ(s.feed("\n"), "");
     EXPECT_EQ(s.feed("more"), "\nmore");
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -105,11 +105,11 @@
                 continue;
             }
             const auto& r = std::get<api::ChatRequest>(parsed);
-            need(!r.turns.empty() && r.prompt_tokens > 0, "what is taken has turns");
+            need(!r.messages.empty() && r.prompt_tokens > 0, "what is taken has turns");
             const auto wanted = dialect->decode_request(r, {"req_1.0", "", "c", 0}, "");
             std::string why;
             const auto sent = api::parse_json(wanted.body, why);
-            need(sent.is_object() && sent["messages"].size() == r.turns.size(),
+            need(sent.is_object() && sent["messages"].size() == r.messages.size(),
                  "what goes to the engine is the same, well-formed");
         }
     }
@@ -179,8 +179,8 @@
     }
 }
 
-settings::Named named() {
-    settings::Named n;
+settings::NamedSettings named() {
+    settings::NamedSettings n;
     n.settings.classes.resize(1);
     n.classes["chat"] = 0, n.tenants["acme"] = 0, n.zones["a"] = 0, n.kinds["prefill"] = 0,
     n.kinds["decode"] = 1;
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -39,7 +39,7 @@
 
 struct Sent {
     std::string address;
-    engine::Wanted wanted;
+    engine::UpstreamRequest wanted;
     std::shared_ptr<UpstreamExchange> exchange;
     bool closed = false, paused = false;
     std::string id() const { return *http::find(wanted.headers, "x-request-id"); }
@@ -52,7 +52,7 @@
     std::vector<std::pair<std::string, std::string>> let_go;  // address, read's id
     Millis now() override { return clock; }
     Millis wall_ms() override { return 1e12 + clock; }
-    void start_exchange(const std::string& a, engine::Wanted w,
+    void start_exchange(const std::string& a, engine::UpstreamRequest w,
                         std::shared_ptr<UpstreamExchange> e) override {
         sent.push_back({a, std::move(w), std::move(e)});
     }
@@ -66,7 +66,7 @@
             if (s.exchange.get() == &e) s.closed = true;
         }
     }
-    void send_detached(const std::string& a, engine::Wanted w, Millis) override {
+    void send_detached(const std::string& a, engine::UpstreamRequest w, Millis) override {
         EXPECT_EQ(w.target, "/abort_request");
         let_go.emplace_back(a, api::Json::parse(w.body)["rid"].get<std::string>());
     }
@@ -111,15 +111,15 @@
     p.zones = {"z"}, p.kinds = {"prefill", "decode"};
     ClassSettings c;
     c.latency_objective = 500, c.deadline = 3000, c.inter_token_objective = 50;
-    p.module.classes = {c, c, c};
-    p.module.classes[1].idempotency = Idempotency::unsafe;
-    p.module.classes[2].idempotency = Idempotency::with_key;
-    p.module.classes[2].dedup_scope = DedupScope::cell, p.module.classes[2].dedup_window = 2000;
-    p.module.tenants = {{0}};
-    p.module.kinds = {{Role::prefill, 100000}, {Role::decode, 100000}};
-    p.module.max_attempts = 6, p.module.cancellation = true, p.module.retry_after = true;
-    p.module.max_retry_after = 1000, p.module.connect_timeout = 200, p.module.answer_slack = 50;
-    p.module.lease_release_timeout = 1000, p.module.drain_grace = 250, p.module.event_interval = 2;
+    p.router.classes = {c, c, c};
+    p.router.classes[1].idempotency = Idempotency::unsafe;
+    p.router.classes[2].idempotency = Idempotency::with_key;
+    p.router.classes[2].dedup_scope = DedupScope::cell, p.router.classes[2].dedup_window = 2000;
+    p.router.tenants = {{0}};
+    p.router.kinds = {{Role::prefill, 100000}, {Role::decode, 100000}};
+    p.router.max_attempts = 6, p.router.cancellation = true, p.router.retry_after = true;
+    p.router.max_retry_after = 1000, p.router.connect_timeout = 200, p.router.answer_slack = 50;
+    p.router.lease_release_timeout = 1000, p.router.drain_grace = 250, p.router.event_interval = 2;
     p.limits.open_requests = 1000;
     return p;
 }
@@ -146,12 +146,12 @@
     std::string arrive(FakeClient& client, int cls = 0, bool stream = true, Millis patience = 0) {
         gateway::NewRequest n;
         n.id = "req_" + std::to_string(++count);
-        n.chat.model = "m", n.chat.turns = {{"user", "hello"}}, n.chat.max_tokens = 10;
+        n.chat.model = "m", n.chat.messages = {{"user", "hello"}}, n.chat.max_tokens = 10;
         n.chat.prompt_tokens = 100, n.chat.stream = stream;
         n.cls = cls, n.tenant = 0, n.client = &client, n.patience = patience;
         if (cls == 2) n.key = "t/k" + std::to_string(count);
-        n.answer = stream ? api::messages::stream_answer("msg_1", "m", 100, n.id)
-                          : api::messages::whole_answer("msg_1", "m", n.id, 4096);
+        n.answer = stream ? api::messages::streamed_response("msg_1", "m", 100, n.id)
+                          : api::messages::complete_response("msg_1", "m", n.id, 4096);
         const std::string id = n.id;
         EXPECT_TRUE(core->on_request(std::move(n)));
         return id;
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -185,7 +185,7 @@
         advance(1);
     }
     EXPECT_EQ(client.finals, 1);
-    EXPECT_LE(world.clock - began, p.module.classes[0].deadline + p.module.answer_slack);
+    EXPECT_LE(world.clock - began, p.router.classes[0].deadline + p.router.answer_slack);
     EXPECT_GE(world.sent.size(), 2u);
     std::size_t reads = 0;
     for (const auto& s : world.sent) reads += s.read();
@@ -197,7 +197,7 @@
     const Millis began = world.clock;
     arrive(client, 0, true, 300);
     while (client.finals == 0) advance(1);
-    EXPECT_LE(world.clock - began, 300 + p.module.answer_slack);
+    EXPECT_LE(world.clock - began, 300 + p.router.answer_slack);
     EXPECT_EQ(client.status, 529);
 }
 
@@ -286,7 +286,7 @@
     p.limits.open_requests = 1;
     arrive(client);
     gateway::NewRequest n;
-    n.id = "req_more", n.chat.turns = {{"user", "x"}}, n.client = &client;
+    n.id = "req_more", n.chat.messages = {{"user", "x"}}, n.client = &client;
     EXPECT_FALSE(core->on_request(std::move(n)));
     EXPECT_EQ(client.finals, 0);
 }
@@ -318,7 +318,7 @@
     std::mt19937_64 random(seed);
     const auto dice = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
     CoreBench b;
-    b.p.module.cancellation = dice(4) > 0;
+    b.p.router.cancellation = dice(4) > 0;
     b.begin(seed);
     struct Known {
         std::unique_ptr<FakeClient> client = std::make_unique<FakeClient>();
@@ -400,7 +400,7 @@
                                  });
             const bool heard = k.client->finals > 0 || k.client->begun > 0 || k.client->gone || writing;
             if (!heard) {
-                EXPECT_LE(b.world.clock, k.deadline + b.p.module.answer_slack) << k.id << " unanswered";
+                EXPECT_LE(b.world.clock, k.deadline + b.p.router.answer_slack) << k.id << " unanswered";
             }
         }
         if (::testing::Test::HasFailure()) return;
--- a/tests/gateway/upstream_exchange_test.cpp
+++ b/tests/gateway/upstream_exchange_test.cpp
@@ -199,7 +199,7 @@
 TEST(Vllm, RequestsCarryWhatTheEngineNeeds) {
     const auto d = engine::vllm();
     api::ChatRequest r;
-    r.model = "m", r.turns = {{"system", "s"}, {"user", "u"}}, r.max_tokens = 7, r.stop = {"x"};
+    r.model = "m", r.messages = {{"system", "s"}, {"user", "u"}}, r.max_tokens = 7, r.stop = {"x"};
     const auto read = d->prefill_request(r, {"id.0", "t/k", "chat", 0});
     auto j = api::Json::parse(read.body);
     EXPECT_EQ(j["max_tokens"], 1);
@@ -220,7 +220,9 @@
 
 TEST(Vllm, LoadReports) {
     const auto d = engine::vllm();
-    const auto of = [&](const std::string& text) { return d->report({{"endpoint-load-metrics", text}}); };
+    const auto of = [&](const std::string& text) {
+        return d->load_report({{"endpoint-load-metrics", text}});
+    };
     auto r = of("TEXT named_metrics.kv_cache_usage_perc=0.25, named_metrics.waiting_ktokens=3.5,cpu=0.1");
     EXPECT_DOUBLE_EQ(r.memory_utilization, 0.25);
     EXPECT_DOUBLE_EQ(r.queued_kilotokens, 3.5);
--- a/tests/invariants/record_checker_test.cpp
+++ b/tests/invariants/record_checker_test.cpp
@@ -10,13 +10,14 @@
 namespace gorsenotch::invariants {
 namespace {
 
-Terms terms() {
-    Terms t;
+CheckerSettings terms() {
+    CheckerSettings t;
     t.classes = {"chat", "pay", "order"};
-    t.of.resize(3);
-    for (auto& c : t.of) c.latency_objective = 500, c.deadline = 2000, c.priority_weight = 1;
-    t.of[1].idempotency = Idempotency::unsafe;
-    t.of[2].idempotency = Idempotency::with_key, t.of[2].dedup_scope = DedupScope::cell;
+    t.class_settings.resize(3);
+    for (auto& c : t.class_settings) c.latency_objective = 500, c.deadline = 2000, c.priority_weight = 1;
+    t.class_settings[1].idempotency = Idempotency::unsafe;
+    t.class_settings[2].idempotency = Idempotency::with_key,
+    t.class_settings[2].dedup_scope = DedupScope::cell;
     return t;
 }
 
@@ -80,7 +81,7 @@
     std::stable_sort(records.begin(), records.end(),
                      [](const Record& a, const Record& b) { return a.t < b.t; });
     std::vector<std::string> all;
-    for (const auto& f : judge(records, terms()).findings) {
+    for (const auto& f : check_records(records, terms()).findings) {
         if (f.broken > 0) all.push_back(f.rule.substr(0, 1) + " " + f.what.substr(0, 12) + ": " + f.example);
     }
     return all;
@@ -98,12 +99,12 @@
 
 TEST(Checker, GoodStories) {
     for (const char* cls : {"chat", "pay", "order"}) expect(Story().good(cls), "");
-    const auto v = judge(Story().good().records, terms());
+    const auto v = check_records(Story().good().records, terms());
     EXPECT_EQ(v.service.answered, 1);
-    EXPECT_DOUBLE_EQ(v.service.worth, 1);
+    EXPECT_DOUBLE_EQ(v.service.value, 1);
     EXPECT_DOUBLE_EQ(v.service.p50, 40);
     EXPECT_TRUE(v.kept());
-    EXPECT_NE(table(v).find("each ask has one final answer"), std::string::npos);
+    EXPECT_NE(format_verdict(v).find("each ask has one final answer"), std::string::npos);
 }
 
 TEST(Checker, OneAnswerInTime) {
@@ -128,7 +129,7 @@
 
 TEST(Checker, TheExampleHasItsTrace) {
     Story s = Story().good().attempt(2, 3, "write", 1200);
-    const auto f = judge(s.records, terms()).findings[1];
+    const auto f = check_records(s.records, terms()).findings[1];
     ASSERT_EQ(f.broken, 1);
     EXPECT_EQ(f.trace.size(), s.records.size());
     EXPECT_NE(f.trace.back().find("\"op\":\"write\""), std::string::npos);
@@ -287,10 +288,10 @@
         s.at(1, t, "let_go", 0)
             .add("client-0", t, "answer",
                  {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
-        return judge(s.records, terms());
+        return check_records(s.records, terms());
     };
     const auto good = late(4200);
-    EXPECT_TRUE(good.kept()) << table(good);
+    EXPECT_TRUE(good.kept()) << format_verdict(good);
     EXPECT_EQ(good.findings[0].excused, 1);
     EXPECT_FALSE(late(5300).kept());  // more than a second to be as before
     // Another's standstill excuses nothing.
@@ -299,7 +300,7 @@
     s.add("runner", 1100, "stop_gateway", {{"gateway", "other"}, {"until", 4100}});
     s.add("client-0", 4200, "answer",
           {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
-    EXPECT_FALSE(judge(s.records, terms()).kept());
+    EXPECT_FALSE(check_records(s.records, terms()).kept());
 }
 
 TEST(Standstills, SendsPastTheDeadlineAreBreachesAfterThemToo) {
@@ -307,7 +308,7 @@
     s.attempt(1, 2, "write", 4150).at(1, 4151, "taken", 0).at(2, 4160, "end", 1, "cancelled");
     s.add("client-0", 4200, "answer",
           {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
-    const auto v = judge(s.records, terms());
+    const auto v = check_records(s.records, terms());
     ASSERT_FALSE(v.kept());
     EXPECT_EQ(v.findings[1].broken, 1);
     EXPECT_NE(v.findings[1].example.find("its client left"), std::string::npos);
@@ -320,7 +321,7 @@
         s.at(2, end, "end", 1, "cancelled").at(1, 1102, "taken", 0).at(3, 1400, "end", 2);
         s.add("client-0", 1400, "answer",
               {{"c", "1.0"}, {"id", kRequest}, {"status", 200}, {"ending", "whole"}, {"text", "right"}});
-        return judge(s.records, terms()).findings[4].broken;
+        return check_records(s.records, terms()).findings[4].broken;
     };
     EXPECT_EQ(with(1102), 0);
     EXPECT_EQ(with(1300), 1);
@@ -335,12 +336,13 @@
     s.attempt(1, 3, "read", 1910).at(3, 1930, "held", 1).at(3, 1930, "end", 1).at(3, 1940, "let_go", 1);
     s.add("client-0", 1950, "answer",
           {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
-    const auto v = judge(s.records, terms());
-    EXPECT_EQ(v.service.stood_attempts, 1);
-    EXPECT_EQ(v.service.stood_cut, 1);
-    EXPECT_EQ(v.service.after_attempts, 1);
-    EXPECT_EQ(v.service.after_cut, 0);
-    EXPECT_NE(table(v).find("cut off by it 1; begun within a second after 1, cut off 0"), std::string::npos);
+    const auto v = check_records(s.records, terms());
+    EXPECT_EQ(v.service.attempts_during_stall, 1);
+    EXPECT_EQ(v.service.cut_during_stall, 1);
+    EXPECT_EQ(v.service.attempts_after_stall, 1);
+    EXPECT_EQ(v.service.cut_after_stall, 0);
+    EXPECT_NE(format_verdict(v).find("cut off by it 1; begun within a second after 1, cut off 0"),
+              std::string::npos);
 }
 
 }  // namespace
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -38,8 +38,8 @@
     std::vector<FileFault> faults;
     const auto p = parse(kGood, "dir/f.xml", faults);
     EXPECT_EQ(p->engines.size(), 10u);
-    EXPECT_EQ(p->module.classes[0].deadline, 5000);
-    EXPECT_EQ(p->module.connect_timeout, 250);
+    EXPECT_EQ(p->router.classes[0].deadline, 5000);
+    EXPECT_EQ(p->router.connect_timeout, 250);
     EXPECT_EQ(p->limits.stream_buffer, 32768u);  // defaults of the schema
     EXPECT_EQ(tenant_of(*p, "local-key"), 0);
     EXPECT_EQ(tenant_of(*p, "local-kez"), -1);
@@ -102,10 +102,10 @@
     std::vector<FileFault> faults;
     const auto p = parse(slurp("days/settings.xml"), "f.xml", faults);
     ASSERT_TRUE(p);
-    ASSERT_EQ(p->keyless.size(), 1u);
-    const auto [keyed, twin] = *p->keyless.begin();
+    ASSERT_EQ(p->unkeyed_class.size(), 1u);
+    const auto [keyed, twin] = *p->unkeyed_class.begin();
     EXPECT_EQ(p->classes[static_cast<std::size_t>(keyed)], p->classes[static_cast<std::size_t>(twin)]);
-    EXPECT_EQ(p->module.classes[static_cast<std::size_t>(twin)].idempotency, Idempotency::unsafe);
+    EXPECT_EQ(p->router.classes[static_cast<std::size_t>(twin)].idempotency, Idempotency::unsafe);
 }
 
 TEST(FleetFile, ReadBackAndRefused) {
--- a/tests/state/stored_data_test.cpp
+++ b/tests/state/stored_data_test.cpp
@@ -54,7 +54,7 @@
 TEST(StoredData, JournalReplaysToTheSameActions) {
     std::ifstream journal(kStored + "/journal.ndjson");
     ASSERT_TRUE(journal);
-    auto module = day_settings().module;
+    auto module = day_settings().router;
     module.own_zone = 1;
     module.gateways = 2;
     const auto replayed = state::replay(journal, module);
@@ -85,15 +85,15 @@
     const auto records = invariants::read(files);
     EXPECT_EQ(records.size(), 4393U);
     const auto program = day_settings();
-    invariants::Terms terms;
+    invariants::CheckerSettings terms;
     terms.classes = program.classes;
-    terms.of = program.module.classes;
-    terms.answer_slack = program.module.answer_slack;
-    terms.drain_grace = program.module.drain_grace;
-    terms.let_go = program.module.lease_release_timeout;
-    terms.fall_multiple = program.module.overload_factor;
-    terms.fall_window = program.module.overload_window;
-    const auto verdict = invariants::judge(records, terms);
+    terms.class_settings = program.router.classes;
+    terms.answer_slack = program.router.answer_slack;
+    terms.drain_grace = program.router.drain_grace;
+    terms.release_within = program.router.lease_release_timeout;
+    terms.overload_factor = program.router.overload_factor;
+    terms.overload_window = program.router.overload_window;
+    const auto verdict = invariants::check_records(records, terms);
     EXPECT_TRUE(verdict.kept());
     const std::vector<long> cases = {399, 811, 394, 109, 398, 42, 2, 400};
     ASSERT_EQ(verdict.findings.size(), cases.size());
