--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -25,7 +25,7 @@
     return std::max<std::uint64_t>(1, XXH3_64bits(s.data(), s.size()));  // 0 says: none
 }
 
-bool labels(std::string_view s, Arrival& a) {
+bool labels(std::string_view s, Arrival& arrival) {
     while (!s.empty()) {
         const auto comma = s.find(',');
         const auto pair = s.substr(0, comma);
@@ -37,12 +37,12 @@
         while (!name.empty() && name.front() == ' ') name.remove_prefix(1);
         if (name == "prefix") {
             if (value.empty()) return false;
-            a.shared_prefix = hash(value);
+            arrival.shared_prefix = hash(value);
             continue;
         }
-        double* to = name == "prompt_len"   ? &a.prompt_tokens
-                     : name == "prefix_len" ? &a.shared_prefix_tokens
-                     : name == "max_out"    ? &a.max_tokens
+        double* to = name == "prompt_len"   ? &arrival.prompt_tokens
+                     : name == "prefix_len" ? &arrival.shared_prefix_tokens
+                     : name == "max_out"    ? &arrival.max_tokens
                                             : nullptr;
         if (!to) continue;
         if ((*to = amount(value)) < 0) return false;
@@ -79,11 +79,11 @@
 
 }  // namespace
 
-std::variant<Refusal, Inbound> read_head(const settings::NamedSettings& named, const http::Parser& r) {
-    const auto path = std::string_view(r.target).substr(0, r.target.find('?'));
+std::variant<Refusal, Inbound> read_head(const settings::NamedSettings& named, const http::Parser& parser) {
+    const auto path = std::string_view(parser.target).substr(0, parser.target.find('?'));
     if (path != kPath) return Refusal{404, "there is nothing at this path"};
-    if (r.method != "POST") return Refusal{405, "use POST"};
-    if (!visible(r.target)) return Refusal{400, "the request target is malformed"};
+    if (parser.method != "POST") return Refusal{405, "use POST"};
+    if (!visible(parser.target)) return Refusal{400, "the request target is malformed"};
     Inbound in;
     // Guards against two readings of one request: each header that matters comes once.
     const std::string *txn = nullptr, *lane = nullptr, *org = nullptr, *entity = nullptr,
@@ -92,8 +92,8 @@
         {"x-txn", &txn},       {"x-lane", &lane},           {"x-org", &org},
         {"x-entity", &entity}, {"x-remaining", &remaining}, {"x-labels", &label},
         {"x-resent", &resent}, {"x-estimate", &estimate}};
-    in.head = "POST " + r.target + " HTTP/1.1\r\n";
-    for (const auto& [name, value] : r.headers) {
+    in.head = "POST " + parser.target + " HTTP/1.1\r\n";
+    for (const auto& [name, value] : parser.headers) {
         for (const auto& [n, at] : known) {
             if (name != n) continue;
             if (*at) return Refusal{400, std::string(n) + ": given twice"};
@@ -113,32 +113,32 @@
     if (txn->find('/') != std::string::npos || txn->find('?') != std::string::npos)
         return Refusal{400, "x-txn: must do as a part of a path"};
     in.txn = *txn;
-    Arrival& a = in.arrival;
+    Arrival& arrival = in.arrival;
     if (!lane) return Refusal{400, "x-lane: needed"};
     const auto cls = named.classes.find(*lane);
     if (cls == named.classes.end()) return Refusal{400, "x-lane: no such class"};
-    a.cls = cls->second;
-    a.tenant = -1;
+    arrival.cls = cls->second;
+    arrival.tenant = -1;
     if (!named.tenants.empty()) {
         const auto tenant = org ? named.tenants.find(*org) : named.tenants.end();
         if (tenant == named.tenants.end()) return Refusal{400, "x-org: no such tenant"};
-        a.tenant = tenant->second;
+        arrival.tenant = tenant->second;
     }
-    if (entity && !entity->empty()) a.session = hash(*entity);
+    if (entity && !entity->empty()) arrival.session = hash(*entity);
     if (!remaining || remaining->size() < 2)
         return Refusal{400, "x-remaining: a number with m or u is needed"};
     const char unit = remaining->back();
     const double left = amount(std::string_view(*remaining).substr(0, remaining->size() - 1));
     if (left <= 0 || (unit != 'm' && unit != 'u') || left > 1e9)
         return Refusal{400, "x-remaining: should be a number above 0 followed by m or u"};
-    a.deadline = unit == 'm' ? left : left / 1000;
-    if (label && !labels(*label, a)) return Refusal{400, "x-labels: malformed"};
-    a.client_retry = resent && *resent == "1";
-    a.resumed = resent && *resent == "again";
+    arrival.deadline = unit == 'm' ? left : left / 1000;
+    if (label && !labels(*label, arrival)) return Refusal{400, "x-labels: malformed"};
+    arrival.client_retry = resent && *resent == "1";
+    arrival.resumed = resent && *resent == "again";
     if (estimate) {
         const double work = amount(*estimate);
         if (work < 0) return Refusal{400, "x-estimate: should be a number"};
-        a.length_hint = work / 1000;
+        arrival.length_hint = work / 1000;
     }
     return in;
 }
--- a/src/platform/request.h
+++ b/src/platform/request.h
@@ -25,6 +25,6 @@
 constexpr std::string_view kPath = "/v1/chat/completions", kReady = "/-/ready";
 
 // `r`: a request whose headers have been read.
-std::variant<Refusal, Inbound> read_head(const settings::NamedSettings& named, const http::Parser& r);
+std::variant<Refusal, Inbound> read_head(const settings::NamedSettings& named, const http::Parser& parser);
 
 }  // namespace gorsenotch::platform
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -40,9 +40,9 @@
     };
     releases_.on_ended = [this](const LeaseReleaser::Ended& ended) { on_release_ended(ended); };
     driver_.now = [this] { return environment_.now(); };
-    driver_.execute = [this](const Action& a) { execute(a); };
+    driver_.execute = [this](const Action& action) { execute(action); };
     driver_.on_idle = [this] { on_router_idle(); };
-    driver_.on_timer = [this](const Driver::Timer& a) { on_timer(a); };
+    driver_.on_timer = [this](const Driver::Timer& timer) { on_timer(timer); };
 }
 
 RequestLifecycle::Request* RequestLifecycle::find(std::uint64_t handle) {
@@ -56,18 +56,19 @@
     return find(handle);
 }
 
-RequestLifecycle::AttemptState* RequestLifecycle::find_attempt(Request* r, int attempt) {
-    if (!r || attempt < 0 || static_cast<std::size_t>(attempt) >= r->attempts.size()) return nullptr;
-    return &r->attempts[static_cast<std::size_t>(attempt)];
+RequestLifecycle::AttemptState* RequestLifecycle::find_attempt(Request* request, int attempt) {
+    if (!request || attempt < 0 || static_cast<std::size_t>(attempt) >= request->attempts.size())
+        return nullptr;
+    return &request->attempts[static_cast<std::size_t>(attempt)];
 }
 
-bool RequestLifecycle::attempt_in_flight(const Request& r) {
-    return std::any_of(r.attempts.begin(), r.attempts.end(),
-                       [](const AttemptState& t) { return t.in_flight; });
+bool RequestLifecycle::attempt_in_flight(const Request& request) {
+    return std::any_of(request.attempts.begin(), request.attempts.end(),
+                       [](const AttemptState& attempt) { return attempt.in_flight; });
 }
 
-bool RequestLifecycle::stream_begun(const Request& r) {
-    return !r.attempts.empty() && r.attempts.back().stream_begun;
+bool RequestLifecycle::stream_begun(const Request& request) {
+    return !request.attempts.empty() && request.attempts.back().stream_begun;
 }
 
 std::optional<EndpointStatus> RequestLifecycle::endpoint_status(EndpointId server) {
@@ -81,27 +82,27 @@
 // Costs one system call each time.
 bool RequestLifecycle::may_start(std::uint64_t handle, EndpointId server, Millis send_by, Millis since,
                                  bool takes) {
-    Request* r = find(handle);
+    Request* request = find(handle);
     control::SendPreconditions facts;
-    facts.request_over = !r || r->closed;
-    facts.client_disconnected = !facts.request_over && r->client && r->client->has_disconnected();
+    facts.request_over = !request || request->closed;
+    facts.client_disconnected = !facts.request_over && request->client && request->client->has_disconnected();
     facts.endpoint_status = endpoint_status(server);
     facts.now = environment_.now();
     facts.send_by = send_by;
-    facts.lease_released = takes && r && r->lease.released_since(since);
-    facts.deadline = r ? r->deadline : 0;
+    facts.lease_released = takes && request && request->lease.released_since(since);
+    facts.deadline = request ? request->deadline : 0;
     const auto denial = control::check_send(facts);
     if (!denial) return true;
     ++counters_.send_blocks[static_cast<std::size_t>(*denial)];
-    if (*denial == control::SendBlockReason::client_disconnected) record_client_disconnect(*r);
+    if (*denial == control::SendBlockReason::client_disconnected) record_client_disconnect(*request);
     return false;
 }
 
 // A breach of a rule that no standstill explains ends the process in sanitizer builds; otherwise it is told.
 void RequestLifecycle::on_violation(control::Invariant rule, std::uint64_t handle, const std::string& what) {
-    const Request* r = find(handle);
+    const Request* request = find(handle);
     const std::string name = control::kInvariantNames[static_cast<std::size_t>(rule)];
-    environment_.log("error", "violation", name + " " + (r ? r->inbound.txn : "?") + " " + what);
+    environment_.log("error", "violation", name + " " + (request ? request->inbound.txn : "?") + " " + what);
 #ifdef __SANITIZE_ADDRESS__
     if (rule != control::Rule::late_answer) std::abort();
 #endif
@@ -109,12 +110,13 @@
 
 // ---- what comes in --------------------------------------------------------------------------------------
 
-void RequestLifecycle::on_endpoint_update(EndpointUpdate e) {
+void RequestLifecycle::on_endpoint_update(EndpointUpdate update) {
     const Millis now = environment_.now();
-    for (const auto& entry : e.endpoints) invariant_checker_.on_endpoint_listed(entry.id, entry.status, now);
-    if (e.kind == EndpointUpdate::Kind::full) invariant_checker_.on_full_list(e.endpoints, now);
+    for (const auto& entry : update.endpoints)
+        invariant_checker_.on_endpoint_listed(entry.id, entry.status, now);
+    if (update.kind == EndpointUpdate::Kind::full) invariant_checker_.on_full_list(update.endpoints, now);
     health_checker_.forget_unlisted();
-    driver_.feed(std::move(e));
+    driver_.feed(std::move(update));
 }
 
 std::uint64_t RequestLifecycle::on_request(Inbound in, Millis age, Client* client) {
@@ -122,75 +124,78 @@
     if (open(in.txn)) return 0;
     const Millis now = environment_.now();
     const std::uint64_t handle = ++last_handle_;
-    Arrival a = in.arrival;
-    a.request = std::to_string(handle);
-    a.deadline = now - age + in.arrival.deadline;
+    Arrival arrival = in.arrival;
+    arrival.request = std::to_string(handle);
+    arrival.deadline = now - age + in.arrival.deadline;
     open_transactions_.insert(in.txn);
-    Request& r = requests_.try_emplace(handle, named_.settings.lease_release_timeout).first->second;
-    r.inbound = std::move(in);
-    r.handle = handle, r.client = client, r.arrived = now - age, r.deadline = a.deadline;
+    Request& request = requests_.try_emplace(handle, named_.settings.lease_release_timeout).first->second;
+    request.inbound = std::move(in);
+    request.handle = handle, request.client = client, request.arrived = now - age,
+    request.deadline = arrival.deadline;
     ++counters_.arrived;
-    invariant_checker_.on_request_accepted(handle, a.cls, a.deadline);
-    driver_.feed(std::move(a));
+    invariant_checker_.on_request_accepted(handle, arrival.cls, arrival.deadline);
+    driver_.feed(std::move(arrival));
     return handle;
 }
 
 void RequestLifecycle::on_client_disconnected(std::uint64_t handle) {
     driver_.catch_up();
-    Request* r = find(handle);
-    if (!r || r->closed) return;
-    record_client_disconnect(*r);
+    Request* request = find(handle);
+    if (!request || request->closed) return;
+    record_client_disconnect(*request);
     driver_.feed(ClientDisconnected{std::to_string(handle)});
-    if ((r = find(handle))) stop_reading_stream(*r, "the client left");
+    if ((request = find(handle))) stop_reading_stream(*request, "the client left");
 }
 
-void RequestLifecycle::record_client_disconnect(Request& r) {
+void RequestLifecycle::record_client_disconnect(Request& request) {
     ++counters_.client_disconnected;
-    invariant_checker_.on_client_disconnected(r.handle);
-    log_request(r, Disposition::gone);
-    r.client = nullptr;
-    close_request(r);
+    invariant_checker_.on_client_disconnected(request.handle);
+    log_request(request, Disposition::gone);
+    request.client = nullptr;
+    close_request(request);
 }
 
 void RequestLifecycle::on_client_congested(std::uint64_t handle, bool congested) {
-    Request* r = find(handle);
-    if (!r || r->congested == congested) return;
-    r->congested = congested;
-    if (!stream_begun(*r) || !r->attempts.back().in_flight) return;
-    r->attempts.back().last_heard = environment_.now();
-    environment_.pause(*r->attempts.back().exchange, congested);
+    Request* request = find(handle);
+    if (!request || request->congested == congested) return;
+    request->congested = congested;
+    if (!stream_begun(*request) || !request->attempts.back().in_flight) return;
+    request->attempts.back().last_heard = environment_.now();
+    environment_.pause(*request->attempts.back().exchange, congested);
 }
 
 // ---- the Router's actions -------------------------------------------------------------------------------
 
 void RequestLifecycle::execute(const Action& action) {
-    std::visit(Overloaded{[&](const gorsenotch::StartAttempt& a) { start_attempt(a); },
-                          [&](const StopAttempt& a) {
-                              AttemptState* t = find_attempt(find(a.request), a.attempt);
-                              if (t && t->in_flight && !t->stream_begun)
-                                  abort_attempt(*t, AttemptResult::cancelled, "called off");
+    std::visit(Overloaded{[&](const gorsenotch::StartAttempt& start) { start_attempt(start); },
+                          [&](const StopAttempt& stop) {
+                              AttemptState* attempt = find_attempt(find(stop.request), stop.attempt);
+                              if (attempt && attempt->in_flight && !attempt->stream_begun)
+                                  abort_attempt(*attempt, AttemptResult::cancelled, "called off");
                           },
-                          [&](const ReserveSlot& a) { reserve_slot(a); },
-                          [&](const ReleaseLease& a) {
+                          [&](const ReserveSlot& reserve) { reserve_slot(reserve); },
+                          [&](const ReleaseLease& release) {
                               // UpstreamCall out once the Router is at rest, if no attempt follows.
-                              if (const Request* r = find(a.request)) revisit_when_idle(r->handle);
+                              if (const Request* request = find(release.request))
+                                  revisit_when_idle(request->handle);
                           },
-                          [&](const Reject& a) {
-                              if (Request* r = find(a.request)) {
-                                  if (!r->closed) ++counters_.rejected;
-                                  send_final(*r, 503, named_.settings.retry_after ? a.retry_after : 0,
-                                             "refused", a.cause);
+                          [&](const Reject& reject) {
+                              if (Request* request = find(reject.request)) {
+                                  if (!request->closed) ++counters_.rejected;
+                                  send_final(*request, 503,
+                                             named_.settings.retry_after ? reject.retry_after : 0, "refused",
+                                             reject.cause);
                               }
                           },
-                          [&](const Fail& a) {
-                              if (Request* r = find(a.request)) {
-                                  if (!r->closed) ++counters_.failed;
-                                  send_final(*r, 502, 0, "failed; it may have run", a.cause);
+                          [&](const Fail& fail) {
+                              if (Request* request = find(fail.request)) {
+                                  if (!request->closed) ++counters_.failed;
+                                  send_final(*request, 502, 0, "failed; it may have run", fail.cause);
                               }
                           },
                           [&](const MigrateStream& a) {
-                              Request* r = find(a.request);
-                              if (r && !r->closed) migrate(*r, "moved");
+                              Request* request = find(a.request);
+                              if (request && !request->closed) migrate(*request, "moved");
                           },
                           [&](const Log& a) { environment_.log("debug", "router", a.text); },
                           // Timers are the driver's; probes are not spoken here; the watch is always open.
@@ -199,31 +204,32 @@
                action);
 }
 
-void RequestLifecycle::start_attempt(const gorsenotch::StartAttempt& a) {
-    Request* r = find(a.request);
+void RequestLifecycle::start_attempt(const gorsenotch::StartAttempt& start) {
+    Request* r = find(start.request);
     if (!r) return;
     const std::uint64_t handle = r->handle;
     const int n = static_cast<int>(r->attempts.size());
     const Millis now = environment_.now();
-    const DiscoveredEndpoint* host = endpoints_.find(a.endpoint);
+    const DiscoveredEndpoint* host = endpoints_.find(start.endpoint);
     AttemptState t;
-    t.endpoint = a.endpoint;
+    t.endpoint = start.endpoint;
     t.sent = t.last_heard = now;
-    t.clock = driver_.start_clock(a.timeout, r->deadline);
-    if (!may_start(handle, a.endpoint, a.send_by, now, false)) {
+    t.clock = driver_.start_clock(start.timeout, r->deadline);
+    if (!may_start(handle, start.endpoint, start.send_by, now, false)) {
         t.in_flight = false;
         r->attempts.push_back(std::move(t));
-        AttemptEnded o;
-        o.request = a.request, o.attempt = n, o.endpoint = a.endpoint, o.result = AttemptResult::not_sent;
-        o.request_closed = r->closed;
-        ++counters_.results[static_cast<int>(o.result)];
-        return driver_.feed(std::move(o));
+        AttemptEnded ended;
+        ended.request = start.request, ended.attempt = n, ended.endpoint = start.endpoint,
+        ended.result = AttemptResult::not_sent;
+        ended.request_closed = r->closed;
+        ++counters_.results[static_cast<int>(ended.result)];
+        return driver_.feed(std::move(ended));
     }
     t.is_prefill = named_.settings.kinds[static_cast<std::size_t>(host->endpoint.kind)].role == Role::prefill;
     t.exchange = std::make_shared<UpstreamExchange>(t.is_prefill ? UpstreamExchange::Kind::prefill
                                                                  : UpstreamExchange::Kind::decode);
     const bool takes = !t.is_prefill && r->lease.held();
-    t.exchange->may_start_hook = [this, handle, server = a.endpoint, by = a.send_by, now, takes] {
+    t.exchange->may_start_hook = [this, handle, server = start.endpoint, by = start.send_by, now, takes] {
         return may_start(handle, server, by, now, takes);
     };
     t.exchange->on_sent = [this, handle, n, to = host->endpoint] {
@@ -241,7 +247,7 @@
         own->lease.on_request_written(environment_.now(), environment_.now() + usual);
         schedule_lease_check(*own);
     };
-    t.exchange->on_first_byte = [this, handle, server = a.endpoint, now] {
+    t.exchange->on_first_byte = [this, handle, server = start.endpoint, now] {
         health_checker_.on_answered(server, now);
         invariant_checker_.on_endpoint_answered(environment_.now());
         Request* own = find(handle);
@@ -255,8 +261,10 @@
     t.exchange->on_more_events = [this, handle, n](std::string_view events) {
         on_more_events(handle, n, events);
     };
-    t.exchange->on_ended = [this, handle, n](const AttemptOutcome& e) { on_attempt_ended(handle, n, e); };
-    r->lease.on_attempt_begun(now, a.endpoint, !t.is_prefill);
+    t.exchange->on_ended = [this, handle, n](const AttemptOutcome& outcome) {
+        on_attempt_ended(handle, n, outcome);
+    };
+    r->lease.on_attempt_begun(now, start.endpoint, !t.is_prefill);
     // A release that is still under way would take what the write is to take. A read has nothing to lose by
     // it, and what stands from before is let go of meanwhile.
     if (!t.is_prefill) releases_.withdraw(r->release);
@@ -295,89 +303,90 @@
     attempt->abort(result, why);
 }
 
-void RequestLifecycle::reserve_slot(const ReserveSlot& a) {
-    Request* r = find(a.request);
-    if (!r || r->closed || endpoint_status(a.endpoint) != EndpointStatus::healthy) return;
-    const std::uint64_t handle = r->handle;
-    const EndpointId server = a.endpoint;
-    r->lease.on_acquired(environment_.now(), control::LeaseOrigin::slot_requested, server);
-    schedule_lease_check(*r);
-    r->reservation = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::lease_call);
-    r->reservation->may_start_hook = [this, server] {
+void RequestLifecycle::reserve_slot(const ReserveSlot& reserve) {
+    Request* request = find(reserve.request);
+    if (!request || request->closed || endpoint_status(reserve.endpoint) != EndpointStatus::healthy) return;
+    const std::uint64_t handle = request->handle;
+    const EndpointId server = reserve.endpoint;
+    request->lease.on_acquired(environment_.now(), control::LeaseOrigin::slot_requested, server);
+    schedule_lease_check(*request);
+    request->reservation = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::lease_call);
+    request->reservation->may_start_hook = [this, server] {
         return endpoint_status(server) == EndpointStatus::healthy;
     };
-    r->reservation->on_ended = [this, handle, server](const AttemptOutcome& e) {
+    request->reservation->on_ended = [this, handle, server](const AttemptOutcome& outcome) {
         Request* it = find(handle);
         // 204 and no answer say nothing: a place may be held all the same, and is let go of in the end.
-        if (!it || (e.status != 200 && e.status != 409)) return;
-        driver_.feed(ReservationReply{std::to_string(handle), server, e.status == 200});
+        if (!it || (outcome.status != 200 && outcome.status != 409)) return;
+        driver_.feed(ReservationReply{std::to_string(handle), server, outcome.status == 200});
     };
-    driver_.set_timer(Kind::reservation, environment_.now() + 1000, r, 0, 0, true);
-    const auto call = r->reservation;
+    driver_.set_timer(Kind::reservation, environment_.now() + 1000, request, 0, 0, true);
+    const auto call = request->reservation;
     const std::string& dial = endpoints_.find(server)->dial_address;
-    environment_.start_exchange(dial, lease_call("POST", r->inbound.txn, dial), call);
+    environment_.start_exchange(dial, lease_call("POST", request->inbound.txn, dial), call);
 }
 
 // LeaseReleaser all that may be held for the request. An attempt that is out keeps what it has reached, so
 // this does not wait for its end: see control/kv_lease.
-void RequestLifecycle::release_lease(Request& r, ReleaseReason reason) {
-    if (!r.lease.held()) return;
+void RequestLifecycle::release_lease(Request& request, ReleaseReason reason) {
+    if (!request.lease.held()) return;
     // What is under way may have been answered before the latest came to be held.
-    if (releases_.in_progress(r.release)) return releases_.repeat(r.release);
-    r.lease.on_release_begun(environment_.now());
+    if (releases_.in_progress(request.release)) return releases_.repeat(request.release);
+    request.lease.on_release_begun(environment_.now());
     LeaseReleaser::Order order;
-    order.txn = r.inbound.txn;
-    order.request = r.handle;
-    order.holder = r.lease.timeline().holder;
-    order.uncertain = r.lease.uncertain();
-    if (attempt_in_flight(r)) order.silent = r.lease.timeline().awaited;
+    order.txn = request.inbound.txn;
+    order.request = request.handle;
+    order.holder = request.lease.timeline().holder;
+    order.uncertain = request.lease.uncertain();
+    if (attempt_in_flight(request)) order.silent = request.lease.timeline().awaited;
     order.reason = reason;
     ++counters_.release_reasons[static_cast<std::size_t>(reason)];
-    order.held = describe_lease(r);
-    r.release = releases_.begin(std::move(order));
+    order.held = describe_lease(request);
+    request.release = releases_.begin(std::move(order));
 }
 
 // Sees to it that held_due() is called when a release has to begin.
-void RequestLifecycle::schedule_lease_check(Request& r) {
-    const auto ask = r.lease.health_check_at();
-    const auto at = ask ? ask : r.lease.release_at();
-    if (!at || (r.lease_check_at >= 0 && r.lease_check_at <= *at)) return;
-    r.lease_check_at = *at;
-    driver_.set_timer(Kind::lease, *at, &r, 0, 0, true);
-}
-
-void RequestLifecycle::on_lease_timer(Request& r) {
-    r.lease_check_at = -1;
-    if (r.lease.prefill_in_flight()) {
-        const EndpointId reader = r.lease.timeline().awaited;
-        const Millis sent = r.lease.prefill_written_at();
+void RequestLifecycle::schedule_lease_check(Request& request) {
+    const auto ask = request.lease.health_check_at();
+    const auto at = ask ? ask : request.lease.release_at();
+    if (!at || (request.lease_check_at >= 0 && request.lease_check_at <= *at)) return;
+    request.lease_check_at = *at;
+    driver_.set_timer(Kind::lease, *at, &request, 0, 0, true);
+}
+
+void RequestLifecycle::on_lease_timer(Request& request) {
+    request.lease_check_at = -1;
+    if (request.lease.prefill_in_flight()) {
+        const EndpointId reader = request.lease.timeline().awaited;
+        const Millis sent = request.lease.prefill_written_at();
         const bool unusual =
-            prefill_times_.is_unusual(environment_.now() - sent, r.inbound.arrival.prompt_tokens);
+            prefill_times_.is_unusual(environment_.now() - sent, request.inbound.arrival.prompt_tokens);
         // Where it could not be asked, as nothing of ours is over yet, one that has ever answered is trusted.
         const Millis since = health_checker_.can_check() ? sent : 0;
         const auto heard = health_checker_.answered_since(reader, since);
-        if (heard && !unusual) r.lease.on_endpoint_answered(since > 0 ? *heard : environment_.now());
-        const auto ask = r.lease.health_check_at();
+        if (heard && !unusual) request.lease.on_endpoint_answered(since > 0 ? *heard : environment_.now());
+        const auto ask = request.lease.health_check_at();
         if (ask && *ask <= environment_.now()) {
-            r.lease.on_health_check_sent();
+            request.lease.on_health_check_sent();
             health_checker_.check(reader);
         }
     }
-    const auto at = r.lease.release_at();
+    const auto at = request.lease.release_at();
     if (!at) return;
-    if (*at > environment_.now()) return schedule_lease_check(r);
-    release_expiring_lease(r);
+    if (*at > environment_.now()) return schedule_lease_check(request);
+    release_expiring_lease(request);
 }
 
-void RequestLifecycle::release_expiring_lease(Request& r) {
-    if (r.lease.only_unanswered_prefill()) return release_lease(r, ReleaseReason::prefill_unanswered);
-    r.lease.on_expiring(environment_.now());
-    if (attempt_in_flight(r)) {
-        if (DiscoveredEndpoint* silent = endpoints_.find(r.lease.timeline().awaited))
+void RequestLifecycle::release_expiring_lease(Request& request) {
+    if (request.lease.only_unanswered_prefill())
+        return release_lease(request, ReleaseReason::prefill_unanswered);
+    request.lease.on_expiring(environment_.now());
+    if (attempt_in_flight(request)) {
+        if (DiscoveredEndpoint* silent = endpoints_.find(request.lease.timeline().awaited))
             silent->last_failure = environment_.now();
     }
-    release_lease(r, ReleaseReason::lease_expiring);
-    const std::uint64_t handle = r.handle;
+    release_lease(request, ReleaseReason::lease_expiring);
+    const std::uint64_t handle = request.handle;
     driver_.feed(LeaseReleased{std::to_string(handle)});
     Request* own = find(handle);
     if (!own || own->attempts.empty()) return;
@@ -392,9 +401,9 @@
     return host ? host->name : "gone";
 }
 
-std::string RequestLifecycle::describe_lease(const Request& r) {
-    const auto& timeline = r.lease.timeline();
-    return describe_timeline(timeline, r.arrived, environment_.now(), endpoint_name(timeline.holder),
+std::string RequestLifecycle::describe_lease(const Request& request) {
+    const auto& timeline = request.lease.timeline();
+    return describe_timeline(timeline, request.arrived, environment_.now(), endpoint_name(timeline.holder),
                              endpoint_name(timeline.awaited));
 }
 
@@ -404,16 +413,16 @@
         invariant_checker_.on_endpoint_answered(environment_.now());
         invariant_checker_.on_release_answered(ended.order.request, ended.sent);
     }
-    if (Request* r = find(ended.order.request)) {
+    if (Request* request = find(ended.order.request)) {
         if (ended.end == ReleaseEnd::answered) {
-            const Millis age = environment_.now() - r->lease.timeline().acquired;
-            if (!r->lease.only_unanswered_prefill())
+            const Millis age = environment_.now() - request->lease.timeline().acquired;
+            if (!request->lease.only_unanswered_prefill())
                 counters_.longest_lease = std::max(counters_.longest_lease, age);
-            r->lease.on_release_answered(environment_.now());
+            request->lease.on_release_answered(environment_.now());
         } else {
-            r->lease.on_release_failed();
+            request->lease.on_release_failed();
         }
-        schedule_lease_check(*r);
+        schedule_lease_check(*request);
     }
     const bool bad = ended.end == ReleaseEnd::unanswered;
     const bool notable = bad || ended.order.reason == ReleaseReason::lease_expiring || ended.calls > 1;
@@ -431,154 +440,162 @@
 // ---- answers --------------------------------------------------------------------------------------------
 
 // From here the client is owed nothing; the request stays known while attempts are out.
-void RequestLifecycle::close_request(Request& r) {
-    r.closed = true;
-    r.inbound.body = std::string();
-    revisit_when_idle(r.handle);
+void RequestLifecycle::close_request(Request& request) {
+    request.closed = true;
+    request.inbound.body = std::string();
+    revisit_when_idle(request.handle);
 }
 
 // `disposition`: nothing for a whole answer, whose times say how it fared.
-void RequestLifecycle::log_request(const Request& r, std::optional<Disposition> disposition,
+void RequestLifecycle::log_request(const Request& request, std::optional<Disposition> disposition,
                                    std::optional<EndCause> cause) {
-    RequestRecord p;
-    p.txn = r.inbound.txn, p.cls = r.inbound.arrival.cls, p.prompt_tokens = r.inbound.arrival.prompt_tokens;
-    p.tokens = r.tokens;
-    p.cause = cause;
-    if (r.lease.held()) p.lease = describe_lease(r);
-    p.first = r.stream_begun_at < 0 ? -1 : r.stream_begun_at - r.arrived;
-    p.ended = environment_.now() - r.arrived;
-    for (const auto& t : r.attempts) {
-        p.attempts.push_back(
-            {{}, t.is_prefill, t.in_flight, t.result, t.sent - r.arrived, t.ended - r.arrived});
+    RequestRecord record;
+    record.txn = request.inbound.txn, record.cls = request.inbound.arrival.cls,
+    record.prompt_tokens = request.inbound.arrival.prompt_tokens;
+    record.tokens = request.tokens;
+    record.cause = cause;
+    if (request.lease.held()) record.lease = describe_lease(request);
+    record.first = request.stream_begun_at < 0 ? -1 : request.stream_begun_at - request.arrived;
+    record.ended = environment_.now() - request.arrived;
+    for (const auto& attempt : request.attempts) {
+        record.attempts.push_back({{},
+                                   attempt.is_prefill,
+                                   attempt.in_flight,
+                                   attempt.result,
+                                   attempt.sent - request.arrived,
+                                   attempt.ended - request.arrived});
     }
-    const Disposition f = disposition ? *disposition : access_log_.served(p);
+    const Disposition f = disposition ? *disposition : access_log_.served(record);
     if (!access_log_.count(environment_.now(), f, cause)) return;
-    for (std::size_t i = 0; i < p.attempts.size(); ++i) {
-        const DiscoveredEndpoint* host = endpoints_.find(r.attempts[i].endpoint);
-        p.attempts[i].server = host ? host->name : "gone";
+    for (std::size_t i = 0; i < record.attempts.size(); ++i) {
+        const DiscoveredEndpoint* host = endpoints_.find(request.attempts[i].endpoint);
+        record.attempts[i].server = host ? host->name : "gone";
     }
-    environment_.log("info", "request", access_log_.line(p, f));
+    environment_.log("info", "request", access_log_.line(record, f));
 }
 
-void RequestLifecycle::send_final(Request& r, int status, Millis pause, const char* why, EndCause cause) {
-    if (r.closed) return;
-    log_request(r,
-                stream_begun(r)      ? Disposition::broken
-                : status != 503      ? Disposition::failed
-                : r.attempts.empty() ? Disposition::refused_unsent
-                                     : Disposition::refused,
+void RequestLifecycle::send_final(Request& request, int status, Millis pause, const char* why,
+                                  EndCause cause) {
+    if (request.closed) return;
+    log_request(request,
+                stream_begun(request)      ? Disposition::broken
+                : status != 503            ? Disposition::failed
+                : request.attempts.empty() ? Disposition::refused_unsent
+                                           : Disposition::refused,
                 cause);
-    Client* client = r.client;
-    r.client = nullptr;
-    close_request(r);
+    Client* client = request.client;
+    request.client = nullptr;
+    close_request(request);
     if (!client) return;
-    if (stream_begun(r)) return client->abort_stream();
-    invariant_checker_.on_answered(r.handle, status == 503, environment_.now());
+    if (stream_begun(request)) return client->abort_stream();
+    invariant_checker_.on_answered(request.handle, status == 503, environment_.now());
     client->send_final(status, pause, why);
 }
 
-void RequestLifecycle::abort_stream(Request& r) {
-    Client* client = r.client;
-    r.client = nullptr;
-    close_request(r);
+void RequestLifecycle::abort_stream(Request& request) {
+    Client* client = request.client;
+    request.client = nullptr;
+    close_request(request);
     if (client) client->abort_stream();
 }
 
 // A stream that nobody reads any more ends.
-void RequestLifecycle::stop_reading_stream(Request& r, const char* why) {
-    if (stream_begun(r) && r.attempts.back().in_flight)
-        abort_attempt(r.attempts.back(), AttemptResult::cancelled, why);
+void RequestLifecycle::stop_reading_stream(Request& request, const char* why) {
+    if (stream_begun(request) && request.attempts.back().in_flight)
+        abort_attempt(request.attempts.back(), AttemptResult::cancelled, why);
 }
 
-void RequestLifecycle::migrate(Request& r, const char* why) {
+void RequestLifecycle::migrate(Request& request, const char* why) {
     ++counters_.migrated;
-    log_request(r, Disposition::moved);
-    abort_stream(r);
-    stop_reading_stream(r, why);
+    log_request(request, Disposition::moved);
+    abort_stream(request);
+    stop_reading_stream(request, why);
 }
 
 void RequestLifecycle::on_first_event(std::uint64_t handle, int attempt, std::string_view events) {
     driver_.catch_up();
-    Request* r = find(handle);
-    AttemptState* t = find_attempt(r, attempt);
+    Request* request = find(handle);
+    AttemptState* t = find_attempt(request, attempt);
     if (!t || !t->in_flight) return;
     t->stream_begun = true;
-    t->last_heard = r->stream_begun_at = environment_.now();
-    if (DiscoveredEndpoint* h = endpoints_.find(t->endpoint)) h->last_success = t->last_heard;
+    t->last_heard = request->stream_begun_at = environment_.now();
+    if (DiscoveredEndpoint* endpoint = endpoints_.find(t->endpoint)) endpoint->last_success = t->last_heard;
     invariant_checker_.on_lease_taken(handle);
-    r->lease.on_taken();  // the write has taken the state; the rest is released with it
-    r->inbound.body = std::string();
-    driver_.set_timer(Kind::stream_idle, t->last_heard + kSilence, r, attempt, 0, true);
-    if (r->client) {
+    request->lease.on_taken();  // the write has taken the state; the rest is released with it
+    request->inbound.body = std::string();
+    driver_.set_timer(Kind::stream_idle, t->last_heard + kSilence, request, attempt, 0, true);
+    if (request->client) {
         invariant_checker_.on_answered(handle, false, t->last_heard);
-        r->client->begin_stream(events);
+        request->client->begin_stream(events);
     }
-    r = find(handle);
-    if (!r) return;
-    t = find_attempt(r, attempt);
+    request = find(handle);
+    if (!request) return;
+    t = find_attempt(request, attempt);
     driver_.feed(FirstToken{std::to_string(handle), attempt, t->endpoint, t->last_heard - t->sent});
-    if (!(r = find(handle)) || !r->closed) return;
-    t = find_attempt(r, attempt);  // its client left before the first token
+    if (!(request = find(handle)) || !request->closed) return;
+    t = find_attempt(request, attempt);  // its client left before the first token
     if (t->in_flight) abort_attempt(*t, AttemptResult::cancelled, "the client left");
 }
 
 void RequestLifecycle::on_more_events(std::uint64_t handle, int attempt, std::string_view events) {
-    Request* r = find(handle);
-    AttemptState* t = find_attempt(r, attempt);
-    if (!t || !t->in_flight || r->closed) return;
+    Request* request = find(handle);
+    AttemptState* t = find_attempt(request, attempt);
+    if (!t || !t->in_flight || request->closed) return;
     t->last_heard = environment_.now();
-    if (const double n = completion_tokens(events); n > 0) r->tokens = n;
-    if (r->client) r->client->send_events(events);
+    if (const double n = completion_tokens(events); n > 0) request->tokens = n;
+    if (request->client) request->client->send_events(events);
 }
 
-void RequestLifecycle::on_attempt_ended(std::uint64_t handle, int attempt, const AttemptOutcome& e) {
+void RequestLifecycle::on_attempt_ended(std::uint64_t handle, int attempt, const AttemptOutcome& outcome) {
     driver_.catch_up();
-    Request* r = find(handle);
-    AttemptState* t = find_attempt(r, attempt);
+    Request* request = find(handle);
+    AttemptState* t = find_attempt(request, attempt);
     if (!t || !t->in_flight) return;
     t->in_flight = false;
     --attempts_in_flight_;
-    ++counters_.results[static_cast<int>(e.result)];
-    invariant_checker_.on_attempt_ended(handle, attempt, never_ran(e.result));
-    if (e.result == AttemptResult::prefill_done)
+    ++counters_.results[static_cast<int>(outcome.result)];
+    invariant_checker_.on_attempt_ended(handle, attempt, never_ran(outcome.result));
+    if (outcome.result == AttemptResult::prefill_done)
         invariant_checker_.on_prefill_answered(handle, environment_.now(), driver_.stalled_for());
-    else if (e.result == AttemptResult::rejected && e.detail == 1)
+    else if (outcome.result == AttemptResult::rejected && outcome.detail == 1)
         invariant_checker_.on_lease_taken(handle);  // its server says that there is nothing to take
     else if (!t->is_prefill)
         invariant_checker_.on_decode_ended(handle, environment_.now(), driver_.stalled_for());
     const Millis now = environment_.now();
-    t->ended = now, t->result = e.result;
-    if (DiscoveredEndpoint* h = endpoints_.find(t->endpoint)) {
-        (e.status > 0 && e.result != AttemptResult::reset ? h->last_success : h->last_failure) = now;
+    t->ended = now, t->result = outcome.result;
+    if (DiscoveredEndpoint* endpoint = endpoints_.find(t->endpoint)) {
+        (outcome.status > 0 && outcome.result != AttemptResult::reset ? endpoint->last_success
+                                                                      : endpoint->last_failure) = now;
     }
-    r->lease.on_attempt_ended(now, never_ran(e.result));
-    if (e.result == AttemptResult::prefill_done)
-        prefill_times_.add_prefill(now - t->sent, r->inbound.arrival.prompt_tokens);
-    if (t->is_prefill && e.result == AttemptResult::prefill_done)
-        r->lease.on_acquired(now, control::LeaseOrigin::prefill_done, t->endpoint);
-    else if (t->is_prefill && !never_ran(e.result))
-        r->lease.on_acquired(now, control::LeaseOrigin::prefill_lost, t->endpoint);
-    schedule_lease_check(*r);
-    AttemptEnded o;
-    o.request = std::to_string(handle), o.attempt = attempt, o.endpoint = t->endpoint, o.result = e.result;
-    o.took = now - t->sent, o.detail = e.detail;
-    if (e.begun && !r->closed) {
-        log_request(*r,
-                    e.result == AttemptResult::served ? std::nullopt : std::optional(Disposition::broken));
-        Client* client = r->client;
-        r->client = nullptr;
-        close_request(*r);
-        if (e.result == AttemptResult::served) {
+    request->lease.on_attempt_ended(now, never_ran(outcome.result));
+    if (outcome.result == AttemptResult::prefill_done)
+        prefill_times_.add_prefill(now - t->sent, request->inbound.arrival.prompt_tokens);
+    if (t->is_prefill && outcome.result == AttemptResult::prefill_done)
+        request->lease.on_acquired(now, control::LeaseOrigin::prefill_done, t->endpoint);
+    else if (t->is_prefill && !never_ran(outcome.result))
+        request->lease.on_acquired(now, control::LeaseOrigin::prefill_lost, t->endpoint);
+    schedule_lease_check(*request);
+    AttemptEnded ended;
+    ended.request = std::to_string(handle), ended.attempt = attempt, ended.endpoint = t->endpoint,
+    ended.result = outcome.result;
+    ended.took = now - t->sent, ended.detail = outcome.detail;
+    if (outcome.begun && !request->closed) {
+        log_request(*request, outcome.result == AttemptResult::served ? std::nullopt
+                                                                      : std::optional(Disposition::broken));
+        Client* client = request->client;
+        request->client = nullptr;
+        close_request(*request);
+        if (outcome.result == AttemptResult::served) {
             ++counters_.served;
             if (client) client->finish_stream();
         } else {
             ++counters_.broken;
             if (client) client->abort_stream();
         }
-        r = find(handle);
+        request = find(handle);
     }
-    if (r) o.request_closed = r->closed, revisit_when_idle(handle);
-    driver_.feed(std::move(o));
+    if (request) ended.request_closed = request->closed, revisit_when_idle(handle);
+    driver_.feed(std::move(ended));
 }
 
 std::size_t RequestLifecycle::streams() const {
@@ -595,8 +612,8 @@
     std::sort(handles.rbegin(), handles.rend());  // the latest have the most ahead of them
     if (handles.size() > n) handles.resize(n);
     for (const auto handle : handles) {
-        Request* r = find(handle);
-        if (r && !r->closed) migrate(*r, "handed back");
+        Request* request = find(handle);
+        if (request && !request->closed) migrate(*request, "handed back");
     }
 }
 
@@ -609,58 +626,63 @@
             handles.push_back(handle);
     }
     for (const auto handle : handles) {
-        Request* r = find(handle);
-        if (r && !r->closed)
-            abort_attempt(r->attempts.back(), AttemptResult::reset, "the stream fell silent");
+        Request* request = find(handle);
+        if (request && !request->closed)
+            abort_attempt(request->attempts.back(), AttemptResult::reset, "the stream fell silent");
     }
 }
 
-void RequestLifecycle::on_timer(const Driver::Timer& a) {
-    if (a.kind == Kind::release) return releases_.retry(a.label);
-    if (a.kind == Kind::health_check) return health_checker_.on_timeout(static_cast<EndpointId>(a.label));
-    Request* r = a.owner;
+void RequestLifecycle::on_timer(const Driver::Timer& timer) {
+    if (timer.kind == Kind::release) return releases_.retry(timer.label);
+    if (timer.kind == Kind::health_check)
+        return health_checker_.on_timeout(static_cast<EndpointId>(timer.label));
+    Request* request = timer.owner;
     const Millis now = environment_.now();
-    if (a.kind == Kind::reservation) {
-        if (r->reservation && !r->reservation->is_over()) {
-            const auto call = r->reservation;
+    if (timer.kind == Kind::reservation) {
+        if (request->reservation && !request->reservation->is_over()) {
+            const auto call = request->reservation;
             environment_.close(*call);
             call->abort(AttemptResult::timed_out, "no answer");
         }
         return;
     }
-    if (a.kind == Kind::lease) return on_lease_timer(*r);
-    AttemptState* t = find_attempt(r, a.attempt);
-    if (!t || !t->in_flight) return;
-    if (a.kind == Kind::attempt_timeout) {
-        if (t->stream_begun) return;
-        if (!driver_.has_expired(t->clock))
-            return driver_.set_timer(Kind::attempt_timeout, t->clock.due(), r, a.attempt, 0, true);
-        abort_attempt(*t, t->clock.endpoint_at_fault() ? AttemptResult::timed_out : AttemptResult::cancelled,
-                      "no answer in time");
-    } else if (a.kind == Kind::stream_idle) {
+    if (timer.kind == Kind::lease) return on_lease_timer(*request);
+    AttemptState* attempt = find_attempt(request, timer.attempt);
+    if (!attempt || !attempt->in_flight) return;
+    if (timer.kind == Kind::attempt_timeout) {
+        if (attempt->stream_begun) return;
+        if (!driver_.has_expired(attempt->clock))
+            return driver_.set_timer(Kind::attempt_timeout, attempt->clock.due(), request, timer.attempt, 0,
+                                     true);
+        abort_attempt(
+            *attempt,
+            attempt->clock.endpoint_at_fault() ? AttemptResult::timed_out : AttemptResult::cancelled,
+            "no answer in time");
+    } else if (timer.kind == Kind::stream_idle) {
         // Guards against a begun stream whose server went silent: nobody else would end it.
-        if (r->congested) t->last_heard = now;
-        if (t->last_heard + kSilence > now)
-            return driver_.set_timer(Kind::stream_idle, t->last_heard + kSilence, r, a.attempt, 0, true);
-        abort_attempt(*t, AttemptResult::reset, "the stream fell silent");
+        if (request->congested) attempt->last_heard = now;
+        if (attempt->last_heard + kSilence > now)
+            return driver_.set_timer(Kind::stream_idle, attempt->last_heard + kSilence, request,
+                                     timer.attempt, 0, true);
+        abort_attempt(*attempt, AttemptResult::reset, "the stream fell silent");
     }
 }
 
 void RequestLifecycle::on_router_idle() {
     for (std::size_t i = 0; i < to_revisit_.size(); ++i) {
-        Request* r = find(to_revisit_[i]);
-        if (!r || attempt_in_flight(*r)) continue;
-        release_lease(*r, ReleaseReason::request_over);
-        if (!r->closed) continue;
-        if (r->reservation && !r->reservation->is_over()) {
-            const auto call = r->reservation;
+        Request* request = find(to_revisit_[i]);
+        if (!request || attempt_in_flight(*request)) continue;
+        release_lease(*request, ReleaseReason::request_over);
+        if (!request->closed) continue;
+        if (request->reservation && !request->reservation->is_over()) {
+            const auto call = request->reservation;
             call->on_ended = nullptr;
             environment_.close(*call);
         }
-        if (!releases_.in_progress(r->release)) health_checker_.request_over(r->inbound.txn);
-        driver_.cancel_timers(*r);
+        if (!releases_.in_progress(request->release)) health_checker_.request_over(request->inbound.txn);
+        driver_.cancel_timers(*request);
         invariant_checker_.forget(to_revisit_[i]);
-        open_transactions_.erase(r->inbound.txn);
+        open_transactions_.erase(request->inbound.txn);
         requests_.erase(to_revisit_[i]);
     }
     to_revisit_.clear();
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -59,9 +59,9 @@
                      Environment& ports);
 
     // After EndpointList has taken it, or to say that discovery failed.
-    void on_endpoint_update(EndpointUpdate e);
+    void on_endpoint_update(EndpointUpdate update);
     // Carries out one of the Router's actions. Public for those that this module never asks for.
-    void execute(const Action& a);
+    void execute(const Action& action);
     // A request with this id is.
     bool open(const std::string& txn) const { return open_transactions_.count(txn) > 0; }
     // Returns the handle that names it in the calls below; 0: one with its id is open, and nothing was taken.
@@ -128,36 +128,36 @@
 
     Request* find(std::uint64_t handle);
     Request* find(const RequestId& id);
-    AttemptState* find_attempt(Request* r, int attempt);
-    static bool attempt_in_flight(const Request& r);  // an attempt is out
-    static bool stream_begun(const Request& r);       // its stream has; no attempt follows that one
+    AttemptState* find_attempt(Request* request, int attempt);
+    static bool attempt_in_flight(const Request& request);  // an attempt is out
+    static bool stream_begun(const Request& request);       // its stream has; no attempt follows that one
     std::optional<EndpointStatus> endpoint_status(EndpointId server);  // by the latest list
     // Whether an attempt may begin now, see control/send_preconditions: asked when it is decided and again
     // before its first byte. `since`: when it was decided; `takes`: it is to take a read state.
     bool may_start(std::uint64_t handle, EndpointId server, Millis send_by, Millis since, bool takes);
-    void start_attempt(const gorsenotch::StartAttempt& a);
-    void abort_attempt(AttemptState& t, AttemptResult result, const char* why);
-    void reserve_slot(const ReserveSlot& a);
-    void release_lease(Request& r, ReleaseReason reason);
-    void schedule_lease_check(Request& r);
-    void on_lease_timer(Request& r);
-    void release_expiring_lease(Request& r);
-    std::string describe_lease(const Request& r);
+    void start_attempt(const gorsenotch::StartAttempt& start);
+    void abort_attempt(AttemptState& attempt, AttemptResult result, const char* why);
+    void reserve_slot(const ReserveSlot& reserve);
+    void release_lease(Request& request, ReleaseReason reason);
+    void schedule_lease_check(Request& request);
+    void on_lease_timer(Request& request);
+    void release_expiring_lease(Request& request);
+    std::string describe_lease(const Request& request);
     std::string endpoint_name(EndpointId server);
     void on_release_ended(const LeaseReleaser::Ended& ended);
-    void send_final(Request& r, int status, Millis pause, const char* why, EndCause cause);
-    void abort_stream(Request& r);
-    void stop_reading_stream(Request& r, const char* why);
-    void migrate(Request& r, const char* why);
+    void send_final(Request& request, int status, Millis pause, const char* why, EndCause cause);
+    void abort_stream(Request& request);
+    void stop_reading_stream(Request& request, const char* why);
+    void migrate(Request& request, const char* why);
     void on_first_event(std::uint64_t handle, int attempt, std::string_view events);
     void on_more_events(std::uint64_t handle, int attempt, std::string_view events);
-    void on_attempt_ended(std::uint64_t handle, int attempt, const AttemptOutcome& e);
-    void record_client_disconnect(Request& r);
-    void close_request(Request& r);
+    void on_attempt_ended(std::uint64_t handle, int attempt, const AttemptOutcome& outcome);
+    void record_client_disconnect(Request& request);
+    void close_request(Request& request);
     void on_violation(control::Invariant rule, std::uint64_t handle, const std::string& what);
-    void log_request(const Request& r, std::optional<Disposition> disposition,
+    void log_request(const Request& request, std::optional<Disposition> disposition,
                      std::optional<EndCause> cause = std::nullopt);
-    void on_timer(const Driver::Timer& a);
+    void on_timer(const Driver::Timer& timer);
     void on_router_idle();
     void revisit_when_idle(std::uint64_t handle) { to_revisit_.push_back(handle); }
 
--- a/src/platform/upstream_exchange.cpp
+++ b/src/platform/upstream_exchange.cpp
@@ -12,10 +12,10 @@
 constexpr int kInterim = 16;                  // 1xx answers before the answer
 
 double cached_tokens(const std::string& body) {
-    const auto v = nlohmann::json::parse(body, nullptr, false);
-    if (!v.is_object()) return 0;
-    const auto it = v.find("cached_tokens");
-    return it != v.end() && it->is_number() ? std::clamp(it->get<double>(), 0.0, 1e9) : 0;
+    const auto json = nlohmann::json::parse(body, nullptr, false);
+    if (!json.is_object()) return 0;
+    const auto it = json.find("cached_tokens");
+    return it != json.end() && it->is_number() ? std::clamp(it->get<double>(), 0.0, 1e9) : 0;
 }
 
 bool event_ended(std::string_view s) {
@@ -123,11 +123,12 @@
 void UpstreamExchange::finish(AttemptResult result, double note, const char* why) {
     if (over_) return;
     over_ = true;
-    AttemptOutcome e;
-    e.result = result, e.status = status_, e.detail = note, e.begun = begun_, e.why = why;
+    AttemptOutcome outcome;
+    outcome.result = result, outcome.status = status_, outcome.detail = note, outcome.begun = begun_,
+    outcome.why = why;
     body_ = std::string();
     const auto f = std::move(on_ended);
-    if (f) f(e);
+    if (f) f(outcome);
 }
 
 }  // namespace gorsenotch::platform
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -40,12 +40,13 @@
       cleanup_timer_(loop, [this] { cleanup(); }) {}
 ConnectionPool::~ConnectionPool() = default;
 
-std::string ConnectionPool::render(const std::string& address, const engine::UpstreamRequest& w, bool keep) {
+std::string ConnectionPool::render(const std::string& address, const engine::UpstreamRequest& request,
+                                   bool keep) {
     http::Headers headers = {{"host", address},
                              {"connection", keep ? "keep-alive" : "close"},
-                             {"content-length", std::to_string(w.body.size())}};
-    headers.insert(headers.end(), w.headers.begin(), w.headers.end());
-    return http::request_head(w.method, w.target, headers) + w.body;
+                             {"content-length", std::to_string(request.body.size())}};
+    headers.insert(headers.end(), request.headers.begin(), request.headers.end());
+    return http::request_head(request.method, request.target, headers) + request.body;
 }
 
 // Guards against an answer behind an answer taken for the next one: a connection is not used in the turn in
@@ -78,8 +79,8 @@
     if (connections_.size() < config_.max_connections) return true;
     Connection* oldest = nullptr;
     for (const auto& [address, links] : idle_by_address_) {
-        for (Connection* l : links) {
-            if (!oldest || l->idle_since < oldest->idle_since) oldest = l;
+        for (Connection* connection : links) {
+            if (!oldest || connection->idle_since < oldest->idle_since) oldest = connection;
         }
     }
     if (!oldest) return false;
@@ -261,36 +262,36 @@
 
 void ConnectionPool::send_detached(const std::string& address, engine::UpstreamRequest wanted, Millis limit) {
     detached_calls_.push_back(std::make_unique<DetachedCall>());
-    DetachedCall& a = *detached_calls_.back();
-    a.self = std::prev(detached_calls_.end());
-    a.address = address;
-    a.request = render(address, wanted, false);
-    a.until = net::now() + limit;
-    a.timer = std::make_unique<net::Timer>(loop_, [this, &a] {
-        if (a.sent || net::now() >= a.until) return end_detached(a);
-        try_detached(a);
+    DetachedCall& pool = *detached_calls_.back();
+    pool.self = std::prev(detached_calls_.end());
+    pool.address = address;
+    pool.request = render(address, wanted, false);
+    pool.until = net::now() + limit;
+    pool.timer = std::make_unique<net::Timer>(loop_, [this, &pool] {
+        if (pool.sent || net::now() >= pool.until) return end_detached(pool);
+        try_detached(pool);
     });
-    try_detached(a);
+    try_detached(pool);
 }
 
 // A let-go may be sent twice without harm, so until one connection takes it others are tried.
-void ConnectionPool::try_detached(DetachedCall& a) {
-    a.stream = std::make_unique<net::TcpStream>(loop_);
-    a.stream->on_end = [this, &a](int) { end_detached(a); };
-    const int error = a.stream->connect(a.address, config_.source, [this, &a](int e) {
-        if (e != 0) return a.timer->fire_after(50);
-        a.sent = true;
-        a.stream->set_reading(true);
-        a.stream->write(a.request);
-        a.timer->fire_after_poll(std::max(1000.0, a.until - net::now()));
+void ConnectionPool::try_detached(DetachedCall& pool) {
+    pool.stream = std::make_unique<net::TcpStream>(loop_);
+    pool.stream->on_end = [this, &pool](int) { end_detached(pool); };
+    const int error = pool.stream->connect(pool.address, config_.source, [this, &pool](int e) {
+        if (e != 0) return pool.timer->fire_after(50);
+        pool.sent = true;
+        pool.stream->set_reading(true);
+        pool.stream->write(pool.request);
+        pool.timer->fire_after_poll(std::max(1000.0, pool.until - net::now()));
     });
-    a.timer->fire_after_poll(error != 0 ? 50 : config_.connect_timeout);
+    pool.timer->fire_after_poll(error != 0 ? 50 : config_.connect_timeout);
 }
 
-void ConnectionPool::end_detached(DetachedCall& a) {
-    a.stream.reset();
-    a.timer->stop();
-    ended_detached_calls_.splice(ended_detached_calls_.end(), detached_calls_, a.self);
+void ConnectionPool::end_detached(DetachedCall& pool) {
+    pool.stream.reset();
+    pool.timer->stop();
+    ended_detached_calls_.splice(ended_detached_calls_.end(), detached_calls_, pool.self);
     cleanup_timer_.fire_after(0);
 }
 
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -62,7 +62,7 @@
     };
     const Counters& counters() const { return counters_; }
     bool has_idle(const std::string& address) const;  // a connection there waits for a request
-    static std::string render(const std::string& address, const engine::UpstreamRequest& w, bool keep);
+    static std::string render(const std::string& address, const engine::UpstreamRequest& request, bool keep);
 
 private:
     struct Connection;
--- a/src/proxy/router_driver.h
+++ b/src/proxy/router_driver.h
@@ -34,8 +34,8 @@
         : router_(settings, seed), timers_(alarms), timeouts_(timeouts) {}
 
     // Events that come up while actions are carried out wait their turn.
-    void feed(Event e) {
-        events_.push_back(std::move(e));
+    void feed(Event event) {
+        events_.push_back(std::move(event));
         if (!handling_events_) handle_queued_events();
     }
 
@@ -74,10 +74,10 @@
         // Only what was set before this call: a timer set while one fires comes with the next turn.
         const std::uint64_t last = timers_.order(), last_timeout = timeouts_.order();
         fire_due_timers(last, at);
-        Timer a;
+        Timer timer;
         while (!timeouts_.empty() && stall_detector_.may_judge_timeout(timeouts_.next()) &&
-               timeouts_.take(at, last_timeout, a))
-            fire(a);
+               timeouts_.take(at, last_timeout, timer))
+            fire(timer);
         next_tick_ = timers_.empty() ? at + 1000 : std::max(timers_.next(), at);
         // One that could not be judged yet waits for the look between this turn and the next.
         if (!timeouts_.empty()) {
@@ -101,15 +101,15 @@
     }
     // Its bytes are handed over. Where its connection opened in a standstill, that is found now and seen to
     // with the next event: the one who calls can't have its connection taken from under it.
-    void on_request_written(control::AttemptClock& t) {
+    void on_request_written(control::AttemptClock& clock) {
         stall_detector_.on_activity(now());
-        if (t.written) return;
-        t.written = true, t.stalled_at_write = stall_detector_.stalled_for();
+        if (clock.written) return;
+        clock.written = true, clock.stalled_at_write = stall_detector_.stalled_for();
     }
     // Whether it is up; if not, its end may have moved to a later due().
-    bool has_expired(control::AttemptClock& t) {
-        if (!t.written) t.stalled_at_write = stall_detector_.stalled_for();
-        return t.due() <= now();
+    bool has_expired(control::AttemptClock& clock) {
+        if (!clock.written) clock.stalled_at_write = stall_detector_.stalled_for();
+        return clock.due() <= now();
     }
 
 private:
@@ -117,31 +117,31 @@
         handling_events_ = true;
         std::vector<Action> actions;
         while (!events_.empty()) {
-            const Event e = std::move(events_.front());
+            const Event event = std::move(events_.front());
             events_.pop_front();
             actions.clear();
             const Millis at = now();
-            if (on_event) on_event(at, e);
-            router_.handle(at, e, actions);
-            for (const auto& a : actions) {
-                if (on_action) on_action(a);
-                if (const auto* timer = std::get_if<SetTimer>(&a)) {
+            if (on_event) on_event(at, event);
+            router_.handle(at, event, actions);
+            for (const auto& reject : actions) {
+                if (on_action) on_action(reject);
+                if (const auto* timer = std::get_if<SetTimer>(&reject)) {
                     set_timer(Kind::router, timer->at, nullptr, 0, timer->timer, false);
                 } else {
-                    execute(a);
+                    execute(reject);
                 }
             }
         }
         handling_events_ = false;
         if (on_idle) on_idle();
     }
-    void fire(const Timer& a) {
-        if (a.kind == Kind::router) return feed(TimerFired{a.label});
-        on_timer(a);
+    void fire(const Timer& timer) {
+        if (timer.kind == Kind::router) return feed(TimerFired{timer.label});
+        on_timer(timer);
     }
     void fire_due_timers(std::uint64_t last, Millis until) {
-        Timer a;
-        while (timers_.take(until, last, a)) fire(a);
+        Timer timer;
+        while (timers_.take(until, last, timer)) fire(timer);
     }
 
     Router router_;
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -66,31 +66,31 @@
 
 NamedSettings parse_named_settings(const SettingValues& info) {
     NamedSettings named;
-    Settings& s = named.settings;
+    Settings& settings = named.settings;
     for (std::size_t i = 0; i < count(info, "Lanes.count"); ++i) {
         const std::string p = "Lanes." + std::to_string(i) + ".";
-        ClassSettings c;
-        c.latency_objective = info.number_or(p + "SloMs", 0);
-        c.latency_objective_per_1000_tokens =
+        ClassSettings class_settings;
+        class_settings.latency_objective = info.number_or(p + "SloMs", 0);
+        class_settings.latency_objective_per_1000_tokens =
             item(info, "FamilyInfo.AimUsPer1000PromptTokens", i, 0) / 1000.0;
-        c.deadline = info.number_or(p + "DeadlineMs", 0);
-        c.priority_weight = info.number_or(p + "Importance", 1);
-        c.late_value_fraction = info.number_or(p + "LateShare", 0);
-        c.inter_token_objective = item(info, "FamilyInfo.TokenAimMs", i, 0);
-        c.idempotency = choice<Idempotency>(p + "Effect", info.text(p + "Effect", "once"),
-                                            {{"repeatable", Idempotency::idempotent},
-                                             {"by_key", Idempotency::with_key},
-                                             {"once", Idempotency::unsafe}});
-        c.dedup_scope = choice<DedupScope>(
+        class_settings.deadline = info.number_or(p + "DeadlineMs", 0);
+        class_settings.priority_weight = info.number_or(p + "Importance", 1);
+        class_settings.late_value_fraction = info.number_or(p + "LateShare", 0);
+        class_settings.inter_token_objective = item(info, "FamilyInfo.TokenAimMs", i, 0);
+        class_settings.idempotency = choice<Idempotency>(p + "Effect", info.text(p + "Effect", "once"),
+                                                         {{"repeatable", Idempotency::idempotent},
+                                                          {"by_key", Idempotency::with_key},
+                                                          {"once", Idempotency::unsafe}});
+        class_settings.dedup_scope = choice<DedupScope>(
             p + "Group", info.text(p + "Group", "all"),
             {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
-        c.dedup_window = info.number_or(p + "WindowMs", 0);
-        s.classes.push_back(c);
+        class_settings.dedup_window = info.number_or(p + "WindowMs", 0);
+        settings.classes.push_back(class_settings);
         named.classes.emplace(info.text(p + "Name", ""), static_cast<int>(i));
     }
     for (std::size_t i = 0; i < count(info, "Tenants.count"); ++i) {
         const std::string p = "Tenants." + std::to_string(i) + ".";
-        s.tenants.push_back({info.number_or(p + "QuotaPerS", 0)});
+        settings.tenants.push_back({info.number_or(p + "QuotaPerS", 0)});
         named.tenants.emplace(info.text(p + "Name", ""), static_cast<int>(i));
     }
     const auto &flavors = info.list("Flavors"), &roles = info.list("FamilyInfo.RoleByKind"),
@@ -100,37 +100,37 @@
             const Role role =
                 choice<Role>("FamilyInfo.RoleByKind", roles[i],
                              {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}});
-            s.kinds.push_back({role, item(info, "FamilyInfo.KindMemoryTokens", i, 0)});
+            settings.kinds.push_back({role, item(info, "FamilyInfo.KindMemoryTokens", i, 0)});
             named.kinds[flavors[i]] = static_cast<int>(i);
         }
     }
     for (std::size_t i = 0; i < zones.size(); ++i) {
         named.zones[zones[i]] = static_cast<int>(i);
-        if (zones[i] == info.text("Zone", "")) s.own_zone = static_cast<int>(i);
+        if (zones[i] == info.text("Zone", "")) settings.own_zone = static_cast<int>(i);
     }
-    s.zones = static_cast<int>(zones.size());
-    s.gateways = whole(info, "Balancers", 1);
-    s.discovery = info.text("Discovery", "push") == "ask" ? Discovery::poll : Discovery::watch;
-    s.poll_interval = info.number_or("Guarantees.AskWithinMs", 0);
-    s.max_attempts = whole(info, "Ceilings.AttemptsCap", 1);
-    s.cancellation = info.flag("Ceilings.Cancel");
-    s.hedging = info.flag("Ceilings.SecondCopies");
-    s.health_checks = info.flag("Ceilings.Probes");
-    s.slot_reservation = info.flag("FamilyInfo.Ahead");
-    s.retry_after = info.flag("Ceilings.RetryAfter");
-    s.local_prefill = info.flag("FamilyInfo.LocalRead");
-    s.stream_migration = info.flag("FamilyInfo.Resume");
-    s.max_retry_after = info.number_or("Ceilings.MaxRetryAfterMs", 0);
-    s.connect_timeout = info.number_or("Ceilings.DialTimeoutMs", 0);
-    s.over_quota_weight = info.number_or("OverShareWorth", 1);
-    s.answer_slack = info.number_or("Guarantees.AnswerSlackMs", 0);
-    s.drain_grace = info.number_or("Guarantees.DrainGraceMs", 0);
-    s.lease_release_timeout = info.number_or("FamilyInfo.LetGoByMs", 0);
-    s.overload_factor = info.number_or("Guarantees.FallMultiple", 1);
-    s.overload_window = info.number_or("Guarantees.TipAfterMs", 0);
-    s.initial_capacity = info.number_or("Guarantees.StartCapacity", 1);
-    s.slow_start_duration = info.number_or("Guarantees.WarmWithinMs", 0);
-    s.event_interval = info.number_or("StepMs", 1);
+    settings.zones = static_cast<int>(zones.size());
+    settings.gateways = whole(info, "Balancers", 1);
+    settings.discovery = info.text("Discovery", "push") == "ask" ? Discovery::poll : Discovery::watch;
+    settings.poll_interval = info.number_or("Guarantees.AskWithinMs", 0);
+    settings.max_attempts = whole(info, "Ceilings.AttemptsCap", 1);
+    settings.cancellation = info.flag("Ceilings.Cancel");
+    settings.hedging = info.flag("Ceilings.SecondCopies");
+    settings.health_checks = info.flag("Ceilings.Probes");
+    settings.slot_reservation = info.flag("FamilyInfo.Ahead");
+    settings.retry_after = info.flag("Ceilings.RetryAfter");
+    settings.local_prefill = info.flag("FamilyInfo.LocalRead");
+    settings.stream_migration = info.flag("FamilyInfo.Resume");
+    settings.max_retry_after = info.number_or("Ceilings.MaxRetryAfterMs", 0);
+    settings.connect_timeout = info.number_or("Ceilings.DialTimeoutMs", 0);
+    settings.over_quota_weight = info.number_or("OverShareWorth", 1);
+    settings.answer_slack = info.number_or("Guarantees.AnswerSlackMs", 0);
+    settings.drain_grace = info.number_or("Guarantees.DrainGraceMs", 0);
+    settings.lease_release_timeout = info.number_or("FamilyInfo.LetGoByMs", 0);
+    settings.overload_factor = info.number_or("Guarantees.FallMultiple", 1);
+    settings.overload_window = info.number_or("Guarantees.TipAfterMs", 0);
+    settings.initial_capacity = info.number_or("Guarantees.StartCapacity", 1);
+    settings.slow_start_duration = info.number_or("Guarantees.WarmWithinMs", 0);
+    settings.event_interval = info.number_or("StepMs", 1);
     named.idle_close = info.number_or("Ceilings.IdleCloseMs", 0);
     return named;
 }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -59,15 +59,15 @@
 
 Digest sha256(std::string_view text);
 // The tenant whose key this is, -1 if none. Takes the same time whichever matches.
-int tenant_of(const Program& p, std::string_view key);
+int tenant_of(const Program& program, std::string_view key);
 
 // Null and faults if anything is wrong. `file` serves for the fleet file's folder.
 std::optional<Program> parse(std::string_view text, const std::string& file, std::vector<FileFault>& faults);
 std::optional<Program> load(const std::string& file, std::vector<FileFault>& faults);
 
 // A fleet file's engines, by the names of `p`.
-std::optional<std::vector<Engine>> parse_fleet(std::string_view text, const Program& p,
+std::optional<std::vector<Engine>> parse_fleet(std::string_view text, const Program& program,
                                                std::vector<FileFault>& faults);
-std::string write_fleet(const std::vector<Engine>& engines, const Program& p);
+std::string write_fleet(const std::vector<Engine>& engines, const Program& program);
 
 }  // namespace gorsenotch::settings
--- a/src/settings/xml.cpp
+++ b/src/settings/xml.cpp
@@ -52,10 +52,10 @@
 
 std::string render(const std::string& file, const std::vector<FileFault>& faults) {
     std::string out;
-    for (const auto& f : faults) {
+    for (const auto& fault : faults) {
         out += file;
-        if (f.line > 0) out += ":" + std::to_string(f.line);
-        out += ": " + (f.element.empty() ? std::string() : f.element + ": ") + f.reason + "\n";
+        if (fault.line > 0) out += ":" + std::to_string(fault.line);
+        out += ": " + (fault.element.empty() ? std::string() : fault.element + ": ") + fault.reason + "\n";
     }
     return out;
 }
@@ -91,7 +91,7 @@
 }
 
 Element Element::child(const char* name) const {
-    for (const auto& c : children(name)) return c;
+    for (const auto& element : children(name)) return element;
     return Element();
 }
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -7,8 +7,8 @@
     std::cin.tie(nullptr);
     try {
         gorsenotch::simulator_adapter::Host(std::cin, std::cout).run();
-    } catch (const gorsenotch::simulator_adapter::WireError& e) {
-        std::cerr << "gorsenotch_simulator_adapter: " << e.what() << '\n';
+    } catch (const gorsenotch::simulator_adapter::WireError& error) {
+        std::cerr << "gorsenotch_simulator_adapter: " << error.what() << '\n';
         return 2;
     }
     return 0;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -100,8 +100,8 @@
 void Host::run() {
     try {
         while (batch()) out_ << "yield\n" << std::flush;
-    } catch (const WireError& e) {
-        throw WireError("line " + std::to_string(line_no_) + ": " + e.what());
+    } catch (const WireError& error) {
+        throw WireError("line " + std::to_string(line_no_) + ": " + error.what());
     }
 }
 
@@ -147,8 +147,8 @@
     settings::NamedSettings named;
     try {
         named = settings::parse_named_settings(pairs(f, 3));
-    } catch (const settings::SettingsError& e) {
-        throw WireError(e.what());
+    } catch (const settings::SettingsError& error) {
+        throw WireError(error.what());
     }
     Instance instance;
     instance.classes = named.classes, instance.tenants = named.tenants;
@@ -176,33 +176,33 @@
             const auto it = names.find(n);
             return it == names.end() ? absent : it->second;
         };
-        Arrival a;
-        a.request = part(f, 2);
-        a.cls = index(instance.classes, part(f, 3), -1);
-        if (a.cls < 0) throw WireError("unknown class '" + f[3] + "'");
-        a.tenant = index(instance.tenants, part(f, 4), -1);
-        a.session = whole<std::uint64_t>(part(f, 5));
-        a.deadline = number(part(f, 6));
+        Arrival arrival;
+        arrival.request = part(f, 2);
+        arrival.cls = index(instance.classes, part(f, 3), -1);
+        if (arrival.cls < 0) throw WireError("unknown class '" + f[3] + "'");
+        arrival.tenant = index(instance.tenants, part(f, 4), -1);
+        arrival.session = whole<std::uint64_t>(part(f, 5));
+        arrival.deadline = number(part(f, 6));
         const auto bits = whole<std::uint64_t>(part(f, 12));
-        a.length_hint = bits & 1 ? number(part(f, 7), -1) : -1;
-        a.shared_prefix = whole<std::uint64_t>(part(f, 8));
-        a.prompt_tokens = number(part(f, 9));
-        a.shared_prefix_tokens = number(part(f, 10));
-        a.max_tokens = number(part(f, 11));
-        a.client_retry = bits & 2;
-        a.resumed = bits & 16;
-        feed(f[1], a);
+        arrival.length_hint = bits & 1 ? number(part(f, 7), -1) : -1;
+        arrival.shared_prefix = whole<std::uint64_t>(part(f, 8));
+        arrival.prompt_tokens = number(part(f, 9));
+        arrival.shared_prefix_tokens = number(part(f, 10));
+        arrival.max_tokens = number(part(f, 11));
+        arrival.client_retry = bits & 2;
+        arrival.resumed = bits & 16;
+        feed(f[1], arrival);
     } else if (word == "finished") {
-        AttemptEnded o;
-        o.request = part(f, 2);
-        o.attempt = whole<int>(part(f, 3));
-        o.endpoint = whole<EndpointId>(part(f, 4));
-        o.result = result(part(f, 5));
-        o.took = number(part(f, 6));
-        o.request_closed = flag(part(f, 7));
-        o.detail = number(part(f, 8));
-        o.report = report(part(f, 9));
-        feed(part(f, 1), o);
+        AttemptEnded ended;
+        ended.request = part(f, 2);
+        ended.attempt = whole<int>(part(f, 3));
+        ended.endpoint = whole<EndpointId>(part(f, 4));
+        ended.result = result(part(f, 5));
+        ended.took = number(part(f, 6));
+        ended.request_closed = flag(part(f, 7));
+        ended.detail = number(part(f, 8));
+        ended.report = report(part(f, 9));
+        feed(part(f, 1), ended);
     } else if (word == "first") {
         feed(part(f, 1), FirstToken{part(f, 2), whole<int>(part(f, 5)), whole<EndpointId>(part(f, 4)),
                                     number(part(f, 3))});
@@ -218,13 +218,13 @@
     } else if (word == "due") {
         feed(part(f, 1), TimerFired{whole<std::uint64_t>(part(f, 2))});
     } else if (word == "fleet") {
-        EndpointUpdate e;
+        EndpointUpdate update;
         using Form = EndpointUpdate::Kind;
-        e.kind = choice<Form>(
+        update.kind = choice<Form>(
             part(f, 2),
             {{"D", Form::incremental}, {"F", Form::full}, {"C", Form::cached}, {"X", Form::failed}});
         whole<std::int64_t>(part(f, 3));
-        if (e.kind != Form::failed) {
+        if (update.kind != Form::failed) {
             const auto sheet = sheets_.find(whole<std::uint64_t>(part(f, 4)));
             if (sheet == sheets_.end()) throw WireError("list number " + f[4] + " was never sent");
             for (const auto& row : sheet->second) {
@@ -232,12 +232,12 @@
                 const auto kind = kinds_.find(row.kind);
                 if (zone == zones_.end()) throw WireError("unknown zone '" + row.zone + "'");
                 if (kind == kinds_.end()) throw WireError("unknown kind '" + row.kind + "'");
-                e.endpoints.push_back(row.entry);
-                e.endpoints.back().zone = zone->second;
-                e.endpoints.back().kind = kind->second;
+                update.endpoints.push_back(row.entry);
+                update.endpoints.back().zone = zone->second;
+                update.endpoints.back().kind = kind->second;
             }
         }
-        feed(part(f, 1), e);
+        feed(part(f, 1), update);
     }
 }
 
@@ -247,8 +247,8 @@
     std::vector<Action> actions;
     try {
         it->second.router->handle(now_, event, actions);
-    } catch (const std::exception& e) {
-        out_ << "bug\t" << name << '\t' << e.what() << '\n';
+    } catch (const std::exception& error) {
+        out_ << "bug\t" << name << '\t' << error.what() << '\n';
         return;
     }
     for (const auto& action : actions) write(name, action);
@@ -262,17 +262,18 @@
         out_ << text.str() << '\n';
     };
     std::visit(
-        Overloaded{[&](const StartAttempt& a) { say("attempt", a.request, a.endpoint, a.timeout); },
-                   [&](const StopAttempt& a) { say("stop_attempt", a.request, a.attempt); },
-                   [&](const ReserveSlot& a) { say("hold_place", a.request, a.endpoint); },
-                   [&](const ReleaseLease& a) { say("drop_state", a.request); },
-                   [&](const Reject& a) { say("reject", a.request, a.retry_after); },
-                   [&](const Fail& a) { say("end_failed", a.request); },
-                   [&](const MigrateStream& a) { say("reassign", a.request); },
-                   [&](const HealthCheck& a) { say("touch", a.endpoint); },
-                   [&](const SetTimer& a) { say("set_timer", a.timer, a.at); },
-                   [&](const WatchEndpoints&) { say("watch", 1); },
-                   [&](const PollEndpoints&) { say("refresh"); }, [&](const Log& a) { say("log", a.text); }},
+        Overloaded{
+            [&](const StartAttempt& start) { say("attempt", start.request, start.endpoint, start.timeout); },
+            [&](const StopAttempt& stop) { say("stop_attempt", stop.request, stop.attempt); },
+            [&](const ReserveSlot& reserve) { say("hold_place", reserve.request, reserve.endpoint); },
+            [&](const ReleaseLease& release) { say("drop_state", release.request); },
+            [&](const Reject& reject) { say("reject", reject.request, reject.retry_after); },
+            [&](const Fail& fail) { say("end_failed", fail.request); },
+            [&](const MigrateStream& migrate) { say("reassign", migrate.request); },
+            [&](const HealthCheck& a) { say("touch", a.endpoint); },
+            [&](const SetTimer& set_timer) { say("set_timer", set_timer.timer, set_timer.at); },
+            [&](const WatchEndpoints&) { say("watch", 1); }, [&](const PollEndpoints&) { say("refresh"); },
+            [&](const Log& a) { say("log", a.text); }},
         action);
 }
 
--- a/src/state/decision_journal.cpp
+++ b/src/state/decision_journal.cpp
@@ -13,65 +13,76 @@
 
 using Json = nlohmann::json;
 
-Json report_json(const LoadReport& r) { return {r.memory_utilization, r.queued_kilotokens, r.latency}; }
+Json report_json(const LoadReport& report) {
+    return {report.memory_utilization, report.queued_kilotokens, report.latency};
+}
 LoadReport report_of(const Json& j) { return {j.at(0), j.at(1), j.at(2)}; }
 
 Json event_json(const Event& event) {
     return std::visit(
-        Overloaded{
-            [](const Arrival& a) -> Json {
-                return {{"e", "arrival"},       {"r", a.request},
-                        {"c", a.cls},           {"g", a.tenant},
-                        {"s", a.session},       {"x", a.shared_prefix},
-                        {"d", a.deadline},      {"h", a.length_hint},
-                        {"p", a.prompt_tokens}, {"q", a.shared_prefix_tokens},
-                        {"m", a.max_tokens},    {"again", a.client_retry},
-                        {"back", a.resumed}};
-            },
-            [](const AttemptEnded& o) -> Json {
-                return {{"e", "outcome"},
-                        {"r", o.request},
-                        {"n", o.attempt},
-                        {"s", o.endpoint},
-                        {"w", static_cast<int>(o.result)},
-                        {"took", o.took},
-                        {"z", o.request_closed},
-                        {"note", o.detail},
-                        {"load", report_json(o.report)}};
-            },
-            [](const FirstToken& f) -> Json {
-                return {
-                    {"e", "first"}, {"r", f.request}, {"n", f.attempt}, {"s", f.endpoint}, {"took", f.took}};
-            },
-            [](const ReservationReply& n) -> Json {
-                return {{"e", "place"}, {"r", n.request}, {"s", n.endpoint}, {"held", n.reserved}};
-            },
-            [](const ClientDisconnected& g) -> Json {
-                return {{"e", "gone"}, {"r", g.request}};
-            },
-            [](const EndpointUpdate& l) -> Json {
-                Json entries = Json::array();
-                for (const auto& s : l.endpoints)
-                    entries.push_back(
-                        {s.id, s.zone, s.kind, s.cell, static_cast<int>(s.status), s.weight, s.started_at});
-                return {{"e", "list"}, {"form", static_cast<int>(l.kind)}, {"of", entries}};
-            },
-            [](const HealthCheckResult& p) -> Json {
-                return {{"e", "probe"},
-                        {"s", p.endpoint},
-                        {"good", p.healthy},
-                        {"took", p.took},
-                        {"load", report_json(p.report)}};
-            },
-            [](const TimerFired& d) -> Json {
-                return {{"e", "due"}, {"l", d.timer}};
-            },
-            [](const LeaseReleased& s) -> Json {
-                return {{"e", "released"}, {"r", s.request}};
-            },
-            [](const Shutdown&) -> Json {
-                return {{"e", "shutdown"}};
-            }},
+        Overloaded{[](const Arrival& arrival) -> Json {
+                       return {{"e", "arrival"},
+                               {"r", arrival.request},
+                               {"c", arrival.cls},
+                               {"g", arrival.tenant},
+                               {"s", arrival.session},
+                               {"x", arrival.shared_prefix},
+                               {"d", arrival.deadline},
+                               {"h", arrival.length_hint},
+                               {"p", arrival.prompt_tokens},
+                               {"q", arrival.shared_prefix_tokens},
+                               {"m", arrival.max_tokens},
+                               {"again", arrival.client_retry},
+                               {"back", arrival.resumed}};
+                   },
+                   [](const AttemptEnded& ended) -> Json {
+                       return {{"e", "outcome"},
+                               {"r", ended.request},
+                               {"n", ended.attempt},
+                               {"s", ended.endpoint},
+                               {"w", static_cast<int>(ended.result)},
+                               {"took", ended.took},
+                               {"z", ended.request_closed},
+                               {"note", ended.detail},
+                               {"load", report_json(ended.report)}};
+                   },
+                   [](const FirstToken& first_token) -> Json {
+                       return {{"e", "first"},
+                               {"r", first_token.request},
+                               {"n", first_token.attempt},
+                               {"s", first_token.endpoint},
+                               {"took", first_token.took}};
+                   },
+                   [](const ReservationReply& n) -> Json {
+                       return {{"e", "place"}, {"r", n.request}, {"s", n.endpoint}, {"held", n.reserved}};
+                   },
+                   [](const ClientDisconnected& gone) -> Json {
+                       return {{"e", "gone"}, {"r", gone.request}};
+                   },
+                   [](const EndpointUpdate& update) -> Json {
+                       Json entries = Json::array();
+                       for (const auto& endpoint : update.endpoints)
+                           entries.push_back({endpoint.id, endpoint.zone, endpoint.kind, endpoint.cell,
+                                              static_cast<int>(endpoint.status), endpoint.weight,
+                                              endpoint.started_at});
+                       return {{"e", "list"}, {"form", static_cast<int>(update.kind)}, {"of", entries}};
+                   },
+                   [](const HealthCheckResult& result) -> Json {
+                       return {{"e", "probe"},
+                               {"s", result.endpoint},
+                               {"good", result.healthy},
+                               {"took", result.took},
+                               {"load", report_json(result.report)}};
+                   },
+                   [](const TimerFired& timer) -> Json {
+                       return {{"e", "due"}, {"l", timer.timer}};
+                   },
+                   [](const LeaseReleased& released) -> Json {
+                       return {{"e", "released"}, {"r", released.request}};
+                   },
+                   [](const Shutdown&) -> Json {
+                       return {{"e", "shutdown"}};
+                   }},
         event);
 }
 
@@ -79,12 +90,12 @@
 template <class T>
 T whole(const Json& j) {
     if (j.is_number_unsigned()) {
-        const auto v = j.get<std::uint64_t>();
-        if (v <= static_cast<std::uint64_t>(std::numeric_limits<T>::max())) return static_cast<T>(v);
+        const auto json = j.get<std::uint64_t>();
+        if (json <= static_cast<std::uint64_t>(std::numeric_limits<T>::max())) return static_cast<T>(json);
     } else if (j.is_number_integer()) {
-        const auto v = j.get<std::int64_t>();
-        if (std::is_signed_v<T> && v >= static_cast<std::int64_t>(std::numeric_limits<T>::min()))
-            return static_cast<T>(v);
+        const auto json = j.get<std::int64_t>();
+        if (std::is_signed_v<T> && json >= static_cast<std::int64_t>(std::numeric_limits<T>::min()))
+            return static_cast<T>(json);
     }
     throw std::runtime_error("not a whole number in range: " + j.dump());
 }
@@ -99,39 +110,41 @@
 Event event_of(const Json& j) {
     const std::string e = j.at("e");
     if (e == "arrival") {
-        Arrival a;
-        a.request = j.at("r"), a.cls = whole<int>(j.at("c"));
-        a.tenant = whole<int>(j.at("g")), a.session = whole<std::uint64_t>(j.at("s"));
-        a.shared_prefix = whole<std::uint64_t>(j.at("x")), a.deadline = j.at("d"), a.length_hint = j.at("h");
-        a.prompt_tokens = j.at("p"), a.shared_prefix_tokens = j.at("q"), a.max_tokens = j.at("m");
-        a.client_retry = j.at("again"), a.resumed = j.at("back");
-        return a;
+        Arrival arrival;
+        arrival.request = j.at("r"), arrival.cls = whole<int>(j.at("c"));
+        arrival.tenant = whole<int>(j.at("g")), arrival.session = whole<std::uint64_t>(j.at("s"));
+        arrival.shared_prefix = whole<std::uint64_t>(j.at("x")), arrival.deadline = j.at("d"),
+        arrival.length_hint = j.at("h");
+        arrival.prompt_tokens = j.at("p"), arrival.shared_prefix_tokens = j.at("q"),
+        arrival.max_tokens = j.at("m");
+        arrival.client_retry = j.at("again"), arrival.resumed = j.at("back");
+        return arrival;
     }
     if (e == "outcome") {
-        AttemptEnded o;
-        o.request = j.at("r"), o.attempt = whole<int>(j.at("n"));
-        o.endpoint = whole<EndpointId>(j.at("s"));
-        o.result = choice(j.at("w"), AttemptResult::prefill_done);
-        o.took = j.at("took"), o.request_closed = j.at("z"), o.detail = j.at("note");
-        o.report = report_of(j.at("load"));
-        return o;
+        AttemptEnded ended;
+        ended.request = j.at("r"), ended.attempt = whole<int>(j.at("n"));
+        ended.endpoint = whole<EndpointId>(j.at("s"));
+        ended.result = choice(j.at("w"), AttemptResult::prefill_done);
+        ended.took = j.at("took"), ended.request_closed = j.at("z"), ended.detail = j.at("note");
+        ended.report = report_of(j.at("load"));
+        return ended;
     }
     if (e == "first")
         return FirstToken{j.at("r"), whole<int>(j.at("n")), whole<EndpointId>(j.at("s")), j.at("took")};
     if (e == "place") return ReservationReply{j.at("r"), whole<EndpointId>(j.at("s")), j.at("held")};
     if (e == "gone") return ClientDisconnected{j.at("r")};
     if (e == "list") {
-        EndpointUpdate l;
-        l.kind = choice(j.at("form"), EndpointUpdate::Kind::failed);
-        for (const auto& s : j.at("of")) {
-            Endpoint en;
-            en.id = whole<EndpointId>(s.at(0)), en.zone = whole<int>(s.at(1));
-            en.kind = whole<int>(s.at(2)), en.cell = whole<std::uint64_t>(s.at(3));
-            en.status = choice(s.at(4), EndpointStatus::removed), en.weight = s.at(5),
-            en.started_at = s.at(6);
-            l.endpoints.push_back(en);
+        EndpointUpdate update;
+        update.kind = choice(j.at("form"), EndpointUpdate::Kind::failed);
+        for (const auto& json : j.at("of")) {
+            Endpoint endpoint;
+            endpoint.id = whole<EndpointId>(json.at(0)), endpoint.zone = whole<int>(json.at(1));
+            endpoint.kind = whole<int>(json.at(2)), endpoint.cell = whole<std::uint64_t>(json.at(3));
+            endpoint.status = choice(json.at(4), EndpointStatus::removed), endpoint.weight = json.at(5),
+            endpoint.started_at = json.at(6);
+            update.endpoints.push_back(endpoint);
         }
-        return l;
+        return update;
     }
     if (e == "probe")
         return HealthCheckResult{whole<EndpointId>(j.at("s")), j.at("good"), j.at("took"),
@@ -143,47 +156,48 @@
 }
 
 Json action_json(const Action& action) {
-    return std::visit(Overloaded{[](const StartAttempt& a) -> Json {
-                                     return {{"a", "attempt"},
-                                             {"r", a.request},
-                                             {"s", a.endpoint},
-                                             {"limit", a.timeout},
-                                             {"by", a.send_by}};
-                                 },
-                                 [](const StopAttempt& a) -> Json {
-                                     return {{"a", "stop"}, {"r", a.request}, {"n", a.attempt}};
-                                 },
-                                 [](const ReserveSlot& a) -> Json {
-                                     return {{"a", "hold"}, {"r", a.request}, {"s", a.endpoint}};
-                                 },
-                                 [](const ReleaseLease& a) -> Json {
-                                     return {{"a", "drop"}, {"r", a.request}};
-                                 },
-                                 [](const Reject& a) -> Json {
-                                     return {{"a", "refuse"}, {"r", a.request}, {"pause", a.retry_after}};
-                                 },
-                                 [](const Fail& a) -> Json {
-                                     return {{"a", "fail"}, {"r", a.request}};
-                                 },
-                                 [](const MigrateStream& a) -> Json {
-                                     return {{"a", "move"}, {"r", a.request}};
-                                 },
-                                 [](const HealthCheck& a) -> Json {
-                                     return {{"a", "probe"}, {"s", a.endpoint}};
-                                 },
-                                 [](const SetTimer& a) -> Json {
-                                     return {{"a", "timer"}, {"l", a.timer}, {"at", a.at}};
-                                 },
-                                 [](const WatchEndpoints&) -> Json {
-                                     return {{"a", "subscribe"}};
-                                 },
-                                 [](const PollEndpoints&) -> Json {
-                                     return {{"a", "fetch"}};
-                                 },
-                                 [](const Log& a) -> Json {
-                                     return {{"a", "log"}, {"text", a.text}};
-                                 }},
-                      action);
+    return std::visit(
+        Overloaded{[](const StartAttempt& start) -> Json {
+                       return {{"a", "attempt"},
+                               {"r", start.request},
+                               {"s", start.endpoint},
+                               {"limit", start.timeout},
+                               {"by", start.send_by}};
+                   },
+                   [](const StopAttempt& stop) -> Json {
+                       return {{"a", "stop"}, {"r", stop.request}, {"n", stop.attempt}};
+                   },
+                   [](const ReserveSlot& reserve) -> Json {
+                       return {{"a", "hold"}, {"r", reserve.request}, {"s", reserve.endpoint}};
+                   },
+                   [](const ReleaseLease& release) -> Json {
+                       return {{"a", "drop"}, {"r", release.request}};
+                   },
+                   [](const Reject& reject) -> Json {
+                       return {{"a", "refuse"}, {"r", reject.request}, {"pause", reject.retry_after}};
+                   },
+                   [](const Fail& fail) -> Json {
+                       return {{"a", "fail"}, {"r", fail.request}};
+                   },
+                   [](const MigrateStream& migrate) -> Json {
+                       return {{"a", "move"}, {"r", migrate.request}};
+                   },
+                   [](const HealthCheck& a) -> Json {
+                       return {{"a", "probe"}, {"s", a.endpoint}};
+                   },
+                   [](const SetTimer& set_timer) -> Json {
+                       return {{"a", "timer"}, {"l", set_timer.timer}, {"at", set_timer.at}};
+                   },
+                   [](const WatchEndpoints&) -> Json {
+                       return {{"a", "subscribe"}};
+                   },
+                   [](const PollEndpoints&) -> Json {
+                       return {{"a", "fetch"}};
+                   },
+                   [](const Log& a) -> Json {
+                       return {{"a", "log"}, {"text", a.text}};
+                   }},
+        action);
 }
 
 class Journal : public DecisionObserver {
@@ -198,12 +212,12 @@
         out_ << Json{{"seed", seed}}.dump() << '\n';
     }
     bool good() const { return out_.good(); }
-    void on_event(Millis now, const Event& e) override {
-        Json j = event_json(e);
+    void on_event(Millis now, const Event& event) override {
+        Json j = event_json(event);
         j["t"] = now;
         write(j);
     }
-    void on_action(const Action& a) override { write(action_json(a)); }
+    void on_action(const Action& action) override { write(action_json(action)); }
 
 private:
     void write(const Json& line) {
@@ -265,8 +279,8 @@
                 }
                 ++next;
             }
-        } catch (const std::exception& e) {
-            throw std::runtime_error("line " + std::to_string(line_no) + ": " + e.what());
+        } catch (const std::exception& error) {
+            throw std::runtime_error("line " + std::to_string(line_no) + ": " + error.what());
         }
     }
     return result;
--- a/src/state/decision_observer.h
+++ b/src/state/decision_observer.h
@@ -8,8 +8,8 @@
 class DecisionObserver {
 public:
     virtual ~DecisionObserver() = default;
-    virtual void on_event(Millis now, const Event& e) = 0;
-    virtual void on_action(const Action& a) = 0;
+    virtual void on_event(Millis now, const Event& event) = 0;
+    virtual void on_action(const Action& action) = 0;
 };
 
 }  // namespace gorsenotch::state
--- a/src/state/snapshot_store.cpp
+++ b/src/state/snapshot_store.cpp
@@ -46,9 +46,9 @@
     : folder_(std::move(folder)), name_(std::move(name)) {}
 
 SnapshotStore::Generation SnapshotStore::read(char which) const {
-    Generation g;
+    Generation store;
     std::ifstream in(file(which), std::ios::binary);
-    if (!in) return g;
+    if (!in) return store;
     std::string line;
     std::getline(in, line);
     std::ostringstream rest;
@@ -57,32 +57,32 @@
     unsigned long number = 0;
     if (std::sscanf(line.c_str(), "gorsenotch-saved 1 %lu", &number) != 1 || number == 0 ||
         line + "\n" != head(number, text)) {
-        g.fault = file(which) + " is damaged";
-        return g;
+        store.fault = file(which) + " is damaged";
+        return store;
     }
-    g.number = number, g.text = text;
-    return g;
+    store.number = number, store.text = text;
+    return store;
 }
 
 std::optional<std::string> SnapshotStore::load(std::string& why) const {
     why.clear();
-    const Generation a = read('a'), b = read('b');
-    for (const auto* g : {&a, &b}) {
+    const Generation store = read('a'), b = read('b');
+    for (const auto* g : {&store, &b}) {
         if (!g->fault.empty()) why += (why.empty() ? "" : "; ") + g->fault;
     }
-    const Generation& newest = a.number >= b.number ? a : b;
+    const Generation& newest = store.number >= b.number ? store : b;
     if (newest.number == 0) return std::nullopt;
     return newest.text;
 }
 
 bool SnapshotStore::save(const std::string& text, std::string& why) {
-    const Generation a = read('a'), b = read('b');
-    const char which = a.number < b.number ? 'a'
-                       : a.number == 0     ? 'a'
-                                           : 'b';  // the older, or the damaged one
+    const Generation store = read('a'), b = read('b');
+    const char which = store.number < b.number ? 'a'
+                       : store.number == 0     ? 'a'
+                                               : 'b';  // the older, or the damaged one
     const std::string fresh = folder_ + "/" + name_ + ".new";
     const int fd = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-    bool ok = fd >= 0 && write_all(fd, head(std::max(a.number, b.number) + 1, text) + text);
+    bool ok = fd >= 0 && write_all(fd, head(std::max(store.number, b.number) + 1, text) + text);
     if (fd >= 0) ok = ::close(fd) == 0 && ok;
     ok = ok && std::rename(fresh.c_str(), file(which).c_str()) == 0 && sync_folder(folder_);
     if (!ok) why = file(which) + ": " + std::strerror(errno);
--- a/tests/api/messages_test.cpp
+++ b/tests/api/messages_test.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 std::string fault(const std::string& body, bool count = false) {
-    const auto r = messages::parse(body, count);
-    const auto* e = std::get_if<ApiError>(&r);
-    if (!e) return "";
-    EXPECT_EQ(e->status, 400);
-    return e->message;
+    const auto chat = messages::parse(body, count);
+    const auto* error = std::get_if<ApiError>(&chat);
+    if (!error) return "";
+    EXPECT_EQ(error->status, 400);
+    return error->message;
 }
 
 const std::string kUser = "\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]";
@@ -127,16 +127,18 @@
 }
 
 TEST(Intake, KeysVersionsPaths) {
-    settings::Program p;
-    p.models = {"m", "n"}, p.tenants = {"t", "u"}, p.tenant_models = {{}, {"n"}};
-    p.classes = {"chat", "keyed", "keyed"}, p.router.classes.resize(3), p.unkeyed_class = {{1, 2}};
-    p.keys = {{settings::sha256("key"), 0}, {settings::sha256("other"), 1}};
+    settings::Program program;
+    program.models = {"m", "n"}, program.tenants = {"t", "u"}, program.tenant_models = {{}, {"n"}};
+    program.classes = {"chat", "keyed", "keyed"}, program.router.classes.resize(3),
+    program.unkeyed_class = {{1, 2}};
+    program.keys = {{settings::sha256("key"), 0}, {settings::sha256("other"), 1}};
     settings::Route keyed, rest;
     keyed.cls = 1, keyed.header = "x-class", keyed.value = "keyed";
-    p.routes = {keyed, rest};
-    const auto ask = [&](gateway::HttpRequest r) -> std::pair<int, std::optional<gateway::NewRequest>> {
-        if (const auto early = gateway::precheck(p, r, "req_1")) return {early->status, std::nullopt};
-        auto taken = gateway::take(p, r, "req_1");
+    program.routes = {keyed, rest};
+    const auto ask = [&](gateway::HttpRequest request) -> std::pair<int, std::optional<gateway::NewRequest>> {
+        if (const auto early = gateway::precheck(program, request, "req_1"))
+            return {early->status, std::nullopt};
+        auto taken = gateway::take(program, request, "req_1");
         if (const auto* reply = std::get_if<gateway::Reply>(&taken)) return {reply->status, std::nullopt};
         return {0, std::move(std::get<gateway::NewRequest>(taken))};
     };
@@ -179,10 +181,10 @@
 namespace messages = api::messages;
 
 std::string fault(const std::string& turns, const char* version) {
-    const auto r = messages::parse("{\"model\":\"m\",\"max_tokens\":1,\"messages\":" + turns + "}", false,
-                                   *messages::version(version));
-    const auto* e = std::get_if<api::ApiError>(&r);
-    return e ? e->message : "";
+    const auto chat = messages::parse("{\"model\":\"m\",\"max_tokens\":1,\"messages\":" + turns + "}", false,
+                                      *messages::version(version));
+    const auto* error = std::get_if<api::ApiError>(&chat);
+    return error ? error->message : "";
 }
 
 TEST(Versions, TurnsOfTheSystemAreTheNewestOnly) {
--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -11,67 +11,67 @@
 using control::StallDetector;
 
 TEST(StallDetector, ASleepIsNoStandstillButAnOversleptOneIs) {
-    StallDetector l(15);
-    l.before_poll(0, 50);
-    EXPECT_EQ(l.on_activity(20), 0);  // woken by an event
-    l.before_poll(20, 50);
-    EXPECT_EQ(l.on_activity(60), 0);  // less than counts
-    l.before_poll(60, 100);
-    EXPECT_EQ(l.on_activity(2100), 2000);
-    EXPECT_EQ(l.on_activity(2101), 0);  // told once
-    EXPECT_EQ(l.stalled_for(), 2000);
-    EXPECT_EQ(l.longest_stall(), 2000);
+    StallDetector detector(15);
+    detector.before_poll(0, 50);
+    EXPECT_EQ(detector.on_activity(20), 0);  // woken by an event
+    detector.before_poll(20, 50);
+    EXPECT_EQ(detector.on_activity(60), 0);  // less than counts
+    detector.before_poll(60, 100);
+    EXPECT_EQ(detector.on_activity(2100), 2000);
+    EXPECT_EQ(detector.on_activity(2101), 0);  // told once
+    EXPECT_EQ(detector.stalled_for(), 2000);
+    EXPECT_EQ(detector.longest_stall(), 2000);
 }
 
 TEST(StallDetector, ALongTurnCountsAsItGrows) {
-    StallDetector l(15);
-    l.before_poll(0, 10);
-    l.on_activity(10);
-    EXPECT_EQ(l.on_activity(20), 0);
-    EXPECT_EQ(l.on_activity(30), 20);  // from the turn's beginning: since then nothing was heard
-    EXPECT_EQ(l.on_activity(33), 3);
-    l.before_poll(40, 60);
-    EXPECT_EQ(l.stalled_for(), 30);
-    l.after_poll(50);
-    EXPECT_EQ(l.stalled_for(), 30);
+    StallDetector detector(15);
+    detector.before_poll(0, 10);
+    detector.on_activity(10);
+    EXPECT_EQ(detector.on_activity(20), 0);
+    EXPECT_EQ(detector.on_activity(30), 20);  // from the turn's beginning: since then nothing was heard
+    EXPECT_EQ(detector.on_activity(33), 3);
+    detector.before_poll(40, 60);
+    EXPECT_EQ(detector.stalled_for(), 30);
+    detector.after_poll(50);
+    EXPECT_EQ(detector.stalled_for(), 30);
 }
 
 TEST(StallDetector, AStandstillWithinATurnIsFoundAtItsEnd) {
-    StallDetector l(15);
-    l.before_poll(0, 10);
-    l.on_activity(5);
-    l.before_poll(505, 600);
-    EXPECT_EQ(l.stalled_for(), 500);
+    StallDetector detector(15);
+    detector.before_poll(0, 10);
+    detector.on_activity(5);
+    detector.before_poll(505, 600);
+    EXPECT_EQ(detector.stalled_for(), 500);
 }
 
 TEST(StallDetector, ATimeOutIsJudgedAfterALookSinceItWasDue) {
-    StallDetector l;
-    EXPECT_TRUE(l.may_judge_timeout(1e9));  // a host that tells nothing is always watching
-    l.after_poll(100);
-    EXPECT_TRUE(l.may_judge_timeout(100));
-    EXPECT_FALSE(l.may_judge_timeout(101));
-    l.after_poll(101);
-    EXPECT_TRUE(l.may_judge_timeout(101));
+    StallDetector detector;
+    EXPECT_TRUE(detector.may_judge_timeout(1e9));  // a host that tells nothing is always watching
+    detector.after_poll(100);
+    EXPECT_TRUE(detector.may_judge_timeout(100));
+    EXPECT_FALSE(detector.may_judge_timeout(101));
+    detector.after_poll(101);
+    EXPECT_TRUE(detector.may_judge_timeout(101));
 }
 
 TEST(StallDetector, TimeBeforeTheBytesWereHandedOverIsNotTheEngines) {
-    AttemptClock t{1000, 500, 9000, 0, 0};
-    EXPECT_EQ(t.due(), 1500);
-    EXPECT_TRUE(t.endpoint_at_fault());
-    t.stalled_at_write = 2000;
-    EXPECT_EQ(t.due(), 3500);
-    EXPECT_TRUE(t.endpoint_at_fault());
-    t.request_deadline = 3000;  // the client's deadline moves for nobody
-    EXPECT_EQ(t.due(), 3000);
-    EXPECT_FALSE(t.endpoint_at_fault());
-    t.timeout = 0;
-    EXPECT_EQ(t.due(), 3000);
+    AttemptClock clock{1000, 500, 9000, 0, 0};
+    EXPECT_EQ(clock.due(), 1500);
+    EXPECT_TRUE(clock.endpoint_at_fault());
+    clock.stalled_at_write = 2000;
+    EXPECT_EQ(clock.due(), 3500);
+    EXPECT_TRUE(clock.endpoint_at_fault());
+    clock.request_deadline = 3000;  // the client's deadline moves for nobody
+    EXPECT_EQ(clock.due(), 3000);
+    EXPECT_FALSE(clock.endpoint_at_fault());
+    clock.timeout = 0;
+    EXPECT_EQ(clock.due(), 3000);
 }
 
 struct Standstill : ::testing::Test, CoreBench {
     FakeClient client;
     Standstill() {
-        for (auto& c : p.router.classes) c.deadline = 20000;
+        for (auto& class_settings : p.router.classes) class_settings.deadline = 20000;
         begin();
     }
     // The loop sleeps until its next timer, is stopped, and goes on `ms` later.
@@ -197,8 +197,8 @@
     } told;
     told.look = [&] {
         auto drained = engines;
-        for (auto& e : drained) {
-            if (e.endpoint.id == 11) e.endpoint.status = EndpointStatus::draining;
+        for (auto& engine : drained) {
+            if (engine.endpoint.id == 11) engine.endpoint.status = EndpointStatus::draining;
         }
         core->on_endpoint_list(drained, false);
     };
@@ -211,9 +211,9 @@
     told.clock += 700;
     const auto reads = told.sent.size();
     for (std::size_t i = 0; i < reads; ++i) {
-        const auto e = told.sent[i].exchange;
-        e->on_first_byte_sent();
-        e->on_data(read_answer(told.sent[i].id()));
+        const auto exchange = told.sent[i].exchange;
+        exchange->on_first_byte_sent();
+        exchange->on_data(read_answer(told.sent[i].id()));
     }
     ASSERT_GT(told.sent.size(), reads);
     for (std::size_t i = reads; i < told.sent.size(); ++i) EXPECT_NE(told.sent[i].address, "10.0.0.11:80");
@@ -244,11 +244,11 @@
 TEST_F(Standstill, NoAlarmOfAnEndedRequestStaysQueued) {
     const auto before = core->pending_timers();
     for (int i = 0; i < 50; ++i) {
-        FakeClient c;
-        arrive(c);
+        FakeClient client;
+        arrive(client);
         read_done();
         answer(last(), stream_head() + delta("a") + stop_event() + usage_event(1) + done_event());
-        EXPECT_EQ(c.finals, 1);
+        EXPECT_EQ(client.finals, 1);
     }
     // What is left are the Router's own timers, which must come: one a request until its deadline.
     EXPECT_LE(core->pending_timers(), before + 50);
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -35,32 +35,32 @@
 
 // What a parser made of the bytes, as text: however they were cut, it must be the same.
 std::string http_trace(std::string_view bytes, std::size_t size, http::Parser::Kind kind) {
-    http::Parser p(kind, {512, 10, 4096});
+    http::Parser parser(kind, {512, 10, 4096});
     std::string trace;
     std::size_t body = 0;
-    p.on_headers = [&] {
-        trace += p.method + " " + p.target + " " + std::to_string(p.status) + "\n";
-        for (const auto& [name, value] : p.headers) trace += name + ":" + value + "\n";
-        need(p.headers.size() <= 10, "no more headers than the limit");
+    parser.on_headers = [&] {
+        trace += parser.method + " " + parser.target + " " + std::to_string(parser.status) + "\n";
+        for (const auto& [name, value] : parser.headers) trace += name + ":" + value + "\n";
+        need(parser.headers.size() <= 10, "no more headers than the limit");
     };
-    p.on_body = [&](std::string_view b) {
+    parser.on_body = [&](std::string_view b) {
         body += b.size();
         trace += b;
     };
-    p.on_complete = [&] { trace += "\nend\n"; };
+    parser.on_complete = [&] { trace += "\nend\n"; };
     in_pieces(bytes, size, [&](std::string_view piece) {
         while (!piece.empty()) {
-            const std::size_t n = p.feed(piece);
-            if (p.fault() != http::Fault::none) return false;
+            const std::size_t n = parser.feed(piece);
+            if (parser.fault() != http::Fault::none) return false;
             need(n <= piece.size(), "takes no more than it is given");
-            if (!p.complete()) return true;
+            if (!parser.complete()) return true;
             body = 0;
             piece.remove_prefix(n);
         }
         return true;
     });
     need(body <= 4096, "no longer body than the limit");
-    return trace + std::to_string(static_cast<int>(p.fault()));
+    return trace + std::to_string(static_cast<int>(parser.fault()));
 }
 
 void http(std::string_view bytes) {
@@ -99,17 +99,17 @@
     for (const auto& version : api::messages::kVersions) {
         for (const bool count : {false, true}) {
             const auto parsed = api::messages::parse(bytes, count, version);
-            if (const auto* e = std::get_if<api::ApiError>(&parsed)) {
-                need(e->status == 400 && !e->message.empty(), "a refusal says why");
-                need(!api::messages::error_body(*e, "req_1").empty(), "and can be written");
+            if (const auto* error = std::get_if<api::ApiError>(&parsed)) {
+                need(error->status == 400 && !error->message.empty(), "a refusal says why");
+                need(!api::messages::error_body(*error, "req_1").empty(), "and can be written");
                 continue;
             }
-            const auto& r = std::get<api::ChatRequest>(parsed);
-            need(!r.messages.empty() && r.prompt_tokens > 0, "what is taken has turns");
-            const auto wanted = dialect->decode_request(r, {"req_1.0", "", "c", 0}, "");
+            const auto& chat = std::get<api::ChatRequest>(parsed);
+            need(!chat.messages.empty() && chat.prompt_tokens > 0, "what is taken has turns");
+            const auto wanted = dialect->decode_request(chat, {"req_1.0", "", "c", 0}, "");
             std::string why;
             const auto sent = api::parse_json(wanted.body, why);
-            need(sent.is_object() && sent["messages"].size() == r.messages.size(),
+            need(sent.is_object() && sent["messages"].size() == chat.messages.size(),
                  "what goes to the engine is the same, well-formed");
         }
     }
@@ -117,28 +117,28 @@
 
 std::string exchange_trace(std::string_view bytes, std::size_t size, bool read) {
     const auto dialect = engine::vllm();
-    gateway::UpstreamExchange e(*dialect, read, 256, 4096);
+    gateway::UpstreamExchange exchange(*dialect, read, 256, 4096);
     std::string text;
     int firsts = 0, overs = 0, result = -1;
-    e.on_stream_begun = [&] { need(overs == 0 && ++firsts == 1, "one first token, before the end"); };
-    e.on_text = [&](std::string_view piece) {
+    exchange.on_stream_begun = [&] { need(overs == 0 && ++firsts == 1, "one first token, before the end"); };
+    exchange.on_text = [&](std::string_view piece) {
         need(firsts == 1 && overs == 0, "text between the first token and the end");
         text += piece;
     };
-    e.on_ended = [&](gateway::AttemptOutcome ending) {
+    exchange.on_ended = [&](gateway::AttemptOutcome ending) {
         need(++overs == 1, "one end");
         need(ending.begun == (firsts == 1), "the end knows whether it had begun");
         result = static_cast<int>(ending.result);
     };
-    e.on_first_byte_sent();
+    exchange.on_first_byte_sent();
     in_pieces(bytes, size, [&](std::string_view piece) {
-        e.on_data(piece);
+        exchange.on_data(piece);
         return true;
     });
-    e.on_connection_closed();
-    need(overs == 1 && e.is_over(), "an end whatever came");
-    need(!e.is_reusable(), "a connection that is gone carries nothing");
-    e.time_out(), e.cancel(), e.on_stream_stalled(), e.on_data("x");
+    exchange.on_connection_closed();
+    need(overs == 1 && exchange.is_over(), "an end whatever came");
+    need(!exchange.is_reusable(), "a connection that is gone carries nothing");
+    exchange.time_out(), exchange.cancel(), exchange.on_stream_stalled(), exchange.on_data("x");
     return text + "|" + std::to_string(result);
 }
 
@@ -151,19 +151,19 @@
 
 void settings(std::string_view bytes) {
     std::vector<settings::FileFault> faults;
-    const auto p = settings::parse(bytes, "fuzz.xml", faults);
-    need(p.has_value() == faults.empty(), "a program or the reasons why not");
-    if (!p) need(!settings::render("fuzz.xml", faults).empty(), "which can be told");
+    const auto program = settings::parse(bytes, "fuzz.xml", faults);
+    need(program.has_value() == faults.empty(), "a program or the reasons why not");
+    if (!program) need(!settings::render("fuzz.xml", faults).empty(), "which can be told");
 }
 
 void journal(std::string_view bytes) {
-    Settings s;
-    s.classes = {ClassSettings{}};
-    s.classes[0].latency_objective = 500, s.classes[0].deadline = 3000;
-    s.kinds = {{Role::prefill, 1000}, {Role::decode, 1000}};
+    Settings settings;
+    settings.classes = {ClassSettings{}};
+    settings.classes[0].latency_objective = 500, settings.classes[0].deadline = 3000;
+    settings.kinds = {{Role::prefill, 1000}, {Role::decode, 1000}};
     std::istringstream in{std::string(bytes)};
     try {
-        state::replay(in, s);
+        state::replay(in, settings);
     } catch (const std::runtime_error&) {  // names the line
     }
 }
@@ -173,8 +173,8 @@
         const auto c = platform::parse_config(std::string(bytes), "127.0.0.1:1", "127.0.0.1:2");
         need(!c.listen.empty() && !c.discovery.empty(), "what is taken has its addresses");
         const Router router(c.named.settings, 1);
-    } catch (const platform::ConfigError& e) {
-        need(*e.what() != 0, "a refusal says why");
+    } catch (const platform::ConfigError& error) {
+        need(*error.what() != 0, "a refusal says why");
     } catch (const std::invalid_argument&) {  // of the Router, which names the setting
     }
 }
@@ -199,61 +199,61 @@
                 platform::EndpointList::Source::same_address, 0, why)
             .has_value(),
         "a good list is taken");
-    const auto e = hosts.take(std::string(bytes), platform::EndpointList::Source::same_address, 0, why);
-    need(e.has_value() == why.empty(), "a list or the reason why not");
-    if (!e) need(hosts.all().size() == 1 && hosts.version() == 1, "a bad one changes nothing");
+    const auto update = hosts.take(std::string(bytes), platform::EndpointList::Source::same_address, 0, why);
+    need(update.has_value() == why.empty(), "a list or the reason why not");
+    if (!update) need(hosts.all().size() == 1 && hosts.version() == 1, "a bad one changes nothing");
     for (const auto& [id, h] : hosts.all())
         need(h.endpoint.id == id && !h.dial_address.empty(), "entries are whole");
 }
 
 void request(std::string_view bytes) {
     const auto names = named();
-    http::Parser p(http::Parser::Kind::request, {4096, 32, 4096});
+    http::Parser parser(http::Parser::Kind::request, {4096, 32, 4096});
     bool read = false;
-    p.on_headers = [&] { read = true; };
-    p.feed(bytes);
+    parser.on_headers = [&] { read = true; };
+    parser.feed(bytes);
     if (!read) return;
-    const auto r = platform::read_head(names, p);
-    if (const auto* refusal = std::get_if<platform::Refusal>(&r)) {
+    const auto result = platform::read_head(names, parser);
+    if (const auto* refusal = std::get_if<platform::Refusal>(&result)) {
         need(refusal->status >= 400 && refusal->status < 500 && !refusal->why.empty(), "a refusal says why");
         return;
     }
-    const auto& in = std::get<platform::Inbound>(r);
+    const auto& in = std::get<platform::Inbound>(result);
     need(!in.txn.empty() && in.arrival.deadline > 0, "what is taken has an id and a deadline");
     http::Parser again(http::Parser::Kind::request, {16384, 64, 4096});
     bool whole = false;
     again.on_complete = [&] { whole = true; };
     again.feed(in.head + "content-length: 0\r\n\r\n");
-    need(whole && again.target == p.target, "what goes to the server is one request, well-formed");
+    need(whole && again.target == parser.target, "what goes to the server is one request, well-formed");
     const auto* id = http::find(again.headers, "x-txn");
     need(id && *id == in.txn, "under the client's id");
 }
 
 std::string attempt_trace(std::string_view bytes, std::size_t size, platform::UpstreamExchange::Kind kind) {
-    platform::UpstreamExchange a(kind);
+    platform::UpstreamExchange exchange(kind);
     std::string text;
     int firsts = 0, overs = 0, result = -1;
-    a.on_first_event = [&](std::string_view b) {
+    exchange.on_first_event = [&](std::string_view b) {
         need(overs == 0 && ++firsts == 1, "one first event, before the end");
         text += b;
     };
-    a.on_more_events = [&](std::string_view b) {
+    exchange.on_more_events = [&](std::string_view b) {
         need(firsts == 1 && overs == 0, "events between the first and the end");
         text += b;
     };
-    a.on_ended = [&](const platform::AttemptOutcome& e) {
-        need(++overs == 1 && e.begun == (firsts == 1), "one end, which knows whether it had begun");
-        result = static_cast<int>(e.result);
+    exchange.on_ended = [&](const platform::AttemptOutcome& outcome) {
+        need(++overs == 1 && outcome.begun == (firsts == 1), "one end, which knows whether it had begun");
+        result = static_cast<int>(outcome.result);
     };
-    a.on_first_byte_sent(), a.on_request_written();
+    exchange.on_first_byte_sent(), exchange.on_request_written();
     in_pieces(bytes, size, [&](std::string_view piece) {
-        a.on_data(piece);
+        exchange.on_data(piece);
         return true;
     });
-    a.on_connection_closed();
-    need(overs == 1 && a.is_over() && !a.is_reusable(),
+    exchange.on_connection_closed();
+    need(overs == 1 && exchange.is_over() && !exchange.is_reusable(),
          "an end whatever came, and the connection carries nothing");
-    a.abort(AttemptResult::timed_out, ""), a.on_data("x"), a.on_not_sent();
+    exchange.abort(AttemptResult::timed_out, ""), exchange.on_data("x"), exchange.on_not_sent();
     return text + "|" + std::to_string(result);
 }
 
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -52,23 +52,23 @@
     std::vector<std::pair<std::string, std::string>> let_go;  // address, read's id
     Millis now() override { return clock; }
     Millis wall_ms() override { return 1e12 + clock; }
-    void start_exchange(const std::string& a, engine::UpstreamRequest w,
-                        std::shared_ptr<UpstreamExchange> e) override {
-        sent.push_back({a, std::move(w), std::move(e)});
+    void start_exchange(const std::string& a, engine::UpstreamRequest request,
+                        std::shared_ptr<UpstreamExchange> exchange) override {
+        sent.push_back({a, std::move(request), std::move(exchange)});
     }
-    void pause(const UpstreamExchange& e, bool on) override {
+    void pause(const UpstreamExchange& exchange, bool on) override {
         for (auto& s : sent) {
-            if (s.exchange.get() == &e) s.paused = on;
+            if (s.exchange.get() == &exchange) s.paused = on;
         }
     }
-    void close(const UpstreamExchange& e) override {
+    void close(const UpstreamExchange& exchange) override {
         for (auto& s : sent) {
-            if (s.exchange.get() == &e) s.closed = true;
+            if (s.exchange.get() == &exchange) s.closed = true;
         }
     }
-    void send_detached(const std::string& a, engine::UpstreamRequest w, Millis) override {
-        EXPECT_EQ(w.target, "/abort_request");
-        let_go.emplace_back(a, api::Json::parse(w.body)["rid"].get<std::string>());
+    void send_detached(const std::string& a, engine::UpstreamRequest request, Millis) override {
+        EXPECT_EQ(request.target, "/abort_request");
+        let_go.emplace_back(a, api::Json::parse(request.body)["rid"].get<std::string>());
     }
     void log(const char*, const char*, api::Json) override {}
 };
@@ -109,9 +109,10 @@
     p.models = {"m"}, p.tenants = {"t"}, p.tenant_models = {{}};
     p.classes = {"chat", "once", "keyed"};
     p.zones = {"z"}, p.kinds = {"prefill", "decode"};
-    ClassSettings c;
-    c.latency_objective = 500, c.deadline = 3000, c.inter_token_objective = 50;
-    p.router.classes = {c, c, c};
+    ClassSettings class_settings;
+    class_settings.latency_objective = 500, class_settings.deadline = 3000,
+    class_settings.inter_token_objective = 50;
+    p.router.classes = {class_settings, class_settings, class_settings};
     p.router.classes[1].idempotency = Idempotency::unsafe;
     p.router.classes[2].idempotency = Idempotency::with_key;
     p.router.classes[2].dedup_scope = DedupScope::cell, p.router.classes[2].dedup_window = 2000;
@@ -157,10 +158,10 @@
         return id;
     }
     Sent& last() { return world.sent.back(); }
-    void answer(Sent& s, const std::string& bytes) {
-        const auto e = s.exchange;  // sends may grow the vector below
-        e->on_first_byte_sent();
-        e->on_data(bytes);
+    void answer(Sent& sent, const std::string& bytes) {
+        const auto exchange = sent.exchange;  // sends may grow the vector below
+        exchange->on_first_byte_sent();
+        exchange->on_data(bytes);
     }
     // Brings the newest read to its end; the write is then the last that was sent.
     void read_done() { answer(last(), read_answer(last().id())); }
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -27,38 +27,38 @@
     int accepted = 0, requests = 0;
 
     explicit RawEngine(net::EventLoop& loop) : listener_(loop) {
-        listener_.on_stream = [this](std::unique_ptr<net::TcpStream> s) { accept(std::move(s)); };
+        listener_.on_stream = [this](std::unique_ptr<net::TcpStream> stream) { accept(std::move(stream)); };
         EXPECT_EQ(listener_.listen("127.0.0.1:0"), 0);
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
-    static void read_done(RawEngine&, Link& l) {
-        l.stream->write(read_answer(*http::find(l.parser->headers, "x-request-id")));
+    static void read_done(RawEngine&, Link& engine) {
+        engine.stream->write(read_answer(*http::find(engine.parser->headers, "x-request-id")));
     }
 
 private:
-    void accept(std::unique_ptr<net::TcpStream> s) {
+    void accept(std::unique_ptr<net::TcpStream> stream) {
         ++accepted;
         links.push_back(std::make_unique<Link>());
-        Link* l = links.back().get();
-        l->stream = std::move(s);
-        l->parser = std::make_unique<http::Parser>(http::Parser::Kind::request, http::Limits{});
-        l->parser->on_body = [l](std::string_view b) { l->body += b; };
-        l->stream->on_data = [this, l](std::string_view b) {
-            while (!b.empty() && l->stream) {
-                b.remove_prefix(l->parser->feed(b));
-                if (!l->parser->complete()) return;
-                if (l->parser->target == "/abort_request") {
-                    aborted.push_back(api::Json::parse(l->body)["rid"]);
-                    l->stream->write(http_answer(200, "application/json", "{}"));
+        Link* engine = links.back().get();
+        engine->stream = std::move(stream);
+        engine->parser = std::make_unique<http::Parser>(http::Parser::Kind::request, http::Limits{});
+        engine->parser->on_body = [engine](std::string_view b) { engine->body += b; };
+        engine->stream->on_data = [this, engine](std::string_view b) {
+            while (!b.empty() && engine->stream) {
+                b.remove_prefix(engine->parser->feed(b));
+                if (!engine->parser->complete()) return;
+                if (engine->parser->target == "/abort_request") {
+                    aborted.push_back(api::Json::parse(engine->body)["rid"]);
+                    engine->stream->write(http_answer(200, "application/json", "{}"));
                 } else {
-                    ++requests, ++l->requests;
-                    on_request(*this, *l);
+                    ++requests, ++engine->requests;
+                    on_request(*this, *engine);
                 }
-                l->body.clear();
+                engine->body.clear();
             }
         };
-        l->stream->on_end = [l](int) { l->ended = true; };
-        l->stream->set_reading(true);
+        engine->stream->on_end = [engine](int) { engine->ended = true; };
+        engine->stream->set_reading(true);
     }
     net::TcpListener listener_;
 };
@@ -106,9 +106,9 @@
         p.routes = {settings::Route{}};
         p.seed = 1;
         reader.on_request = RawEngine::read_done;
-        writer.on_request = [](RawEngine&, RawEngine::Link& l) {
-            l.stream->write(stream_head() + delta("a") + delta("b") + stop_event() + usage_event(2) +
-                            done_event());
+        writer.on_request = [](RawEngine&, RawEngine::Link& engine) {
+            engine.stream->write(stream_head() + delta("a") + delta("b") + stop_event() + usage_event(2) +
+                                 done_event());
         };
     }
     void begin() {
@@ -195,9 +195,9 @@
 
 TEST_F(GatewayTest, ClientGoesAtEveryPoint) {
     std::function<void()> hook;
-    reader.on_request = [&](RawEngine& e, RawEngine::Link& l) {
+    reader.on_request = [&](RawEngine& engine, RawEngine::Link& l) {
         if (hook) return hook();
-        RawEngine::read_done(e, l);
+        RawEngine::read_done(engine, l);
     };
     begin();
     {  // during the read
@@ -242,9 +242,9 @@
 
 TEST_F(GatewayTest, EngineResetsWhileItAnswers) {
     std::vector<RawEngine::Link*> out;
-    writer.on_request = [&](RawEngine&, RawEngine::Link& l) {
-        l.stream->write(stream_head() + delta("a"));
-        out.push_back(&l);
+    writer.on_request = [&](RawEngine&, RawEngine::Link& engine) {
+        engine.stream->write(stream_head() + delta("a"));
+        out.push_back(&engine);
         if (out.size() == 2) {
             for (auto* o : out) o->stream.reset();
         }
@@ -263,8 +263,8 @@
 TEST_F(GatewayTest, ReusedConnectionThatDiesIsNotSilentlySentAgain) {
     p.routes[0].cls = 1;  // once
     const auto serve = writer.on_request;
-    writer.on_request = [&](RawEngine& e, RawEngine::Link& l) {
-        if (l.requests == 1) return serve(e, l);
+    writer.on_request = [&](RawEngine& engine, RawEngine::Link& l) {
+        if (l.requests == 1) return serve(engine, l);
         l.stream.reset();  // the second on the same connection
     };
     begin();
@@ -277,8 +277,8 @@
 
 TEST_F(GatewayTest, BytesAfterTheAnswerSpoilTheConnection) {
     const auto serve = writer.on_request;
-    writer.on_request = [&](RawEngine& e, RawEngine::Link& l) {
-        serve(e, l);
+    writer.on_request = [&](RawEngine& engine, RawEngine::Link& l) {
+        serve(engine, l);
         l.stream->write("HTTP/1.1 200 OK\r\n");
     };
     begin();
@@ -296,8 +296,8 @@
     RawEngine::Link* flood = nullptr;
     const auto serve = writer.on_request;
     const std::string piece = delta(std::string(1000, 'x'));
-    writer.on_request = [&](RawEngine& e, RawEngine::Link& l) {
-        if (l.body.find("flood") == std::string::npos) return serve(e, l);
+    writer.on_request = [&](RawEngine& engine, RawEngine::Link& l) {
+        if (l.body.find("flood") == std::string::npos) return serve(engine, l);
         flood = &l;
         l.stream->write(stream_head());
         const auto more = [&] {
@@ -331,13 +331,13 @@
 TEST_F(GatewayTest, ClientThatNeverReadsIsDroppedInTheEnd) {
     p.limits.stream_idle_ms = 200;
     RawEngine::Link* flood = nullptr;
-    writer.on_request = [&](RawEngine&, RawEngine::Link& l) {
-        flood = &l;
-        l.stream->write(stream_head());
+    writer.on_request = [&](RawEngine&, RawEngine::Link& engine) {
+        flood = &engine;
+        engine.stream->write(stream_head());
         const auto more = [&] {
             if (flood->stream->queued() < 65536) flood->stream->write(delta(std::string(8000, 'x')));
         };
-        l.stream->on_drain = more;
+        engine.stream->on_drain = more;
         for (int i = 0; i < 4; ++i) more();
     };
     begin();
@@ -368,9 +368,9 @@
 
 TEST_F(GatewayTest, DrainLetsStreamsEndAndTakesNoMore) {
     RawEngine::Link* open = nullptr;
-    writer.on_request = [&](RawEngine&, RawEngine::Link& l) {
-        open = &l;
-        l.stream->write(stream_head() + delta("a"));
+    writer.on_request = [&](RawEngine&, RawEngine::Link& engine) {
+        open = &engine;
+        engine.stream->write(stream_head() + delta("a"));
     };
     begin();
     RawClient streaming(loop, address(), post(true));
@@ -404,19 +404,21 @@
     unaccepted.send(post(false));
     resting.send(post(false));
     gate->drain([] {});
-    const auto over = [](BlockingClient& c) { return c.look(), c.ended || c.reset; };
+    const auto over = [](BlockingClient& client) { return client.look(), client.ended || client.reset; };
     EXPECT_TRUE(until([&] { return over(unaccepted) && over(resting); }));
-    for (const BlockingClient* c : {&unaccepted, &resting}) {
-        EXPECT_EQ(c->text.rfind("HTTP/1.1 529", 0), 0u) << c->text;
-        EXPECT_FALSE(c->reset);
+    for (const BlockingClient* client : {&unaccepted, &resting}) {
+        EXPECT_EQ(client->text.rfind("HTTP/1.1 529", 0), 0u) << client->text;
+        EXPECT_FALSE(client->reset);
     }
 }
 
 TEST_F(GatewayTest, DrainEndsWhatDoesNotEnd) {
     p.limits.drain_ms = 100;
-    writer.on_request = [&](RawEngine&, RawEngine::Link& l) { l.stream->write(stream_head() + delta("a")); };
-    reader.on_request = [&](RawEngine& e, RawEngine::Link& l) {
-        if (l.body.find("stuck") == std::string::npos) RawEngine::read_done(e, l);
+    writer.on_request = [&](RawEngine&, RawEngine::Link& engine) {
+        engine.stream->write(stream_head() + delta("a"));
+    };
+    reader.on_request = [&](RawEngine& e, RawEngine::Link& engine) {
+        if (engine.body.find("stuck") == std::string::npos) RawEngine::read_done(e, engine);
     };
     begin();
     RawClient streaming(loop, address(), post(true)), reading(loop, address(), post(false, "", "stuck"));
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -181,14 +181,14 @@
     const Millis began = world.clock;
     arrive(client);
     for (int i = 0; i < 4000 && client.finals == 0; ++i) {
-        for (auto& s : world.sent) s.exchange->on_first_byte_sent();
+        for (auto& sent : world.sent) sent.exchange->on_first_byte_sent();
         advance(1);
     }
     EXPECT_EQ(client.finals, 1);
     EXPECT_LE(world.clock - began, p.router.classes[0].deadline + p.router.answer_slack);
     EXPECT_GE(world.sent.size(), 2u);
     std::size_t reads = 0;
-    for (const auto& s : world.sent) reads += s.read();
+    for (const auto& sent : world.sent) reads += sent.read();
     EXPECT_EQ(world.let_go.size(), reads);
     expect_no_more(world.sent.size());
 }
@@ -303,7 +303,7 @@
     last().exchange->on_first_byte_sent();
     arrive(reading);
     core->end_all();
-    for (auto* c : {&reading, &waiting, &streaming, &once}) EXPECT_EQ(c->finals, 1);
+    for (auto* client : {&reading, &waiting, &streaming, &once}) EXPECT_EQ(client->finals, 1);
     EXPECT_EQ(reading.status, 529);
     EXPECT_EQ(once.status, 500);
     EXPECT_EQ(once.retry, false);
@@ -329,29 +329,29 @@
     std::vector<Known> all;
     std::map<std::string, std::size_t> settled;  // reads whose state went: by a write's first token or let go
     std::map<std::string, int> script;           // what an attempt's engine has done so far
-    const auto step = [&](Sent& s, int what) {
-        const auto e = s.exchange;
-        if (e->is_over() || s.closed) return;
-        int& at = script[s.id()];
-        if (what == 0) return at == 0 ? e->on_connect_failed() : e->on_connection_closed();
-        if (what == 1) return e->on_first_byte_sent(), e->on_connection_closed();
-        e->on_first_byte_sent();
-        if (what == 2) return e->on_data(http_answer(dice(2) ? 500 : 429, "application/json", "{}"));
-        if (what == 3 && at == 0) return e->on_data("HTTP/1.1 200 OK\r\ncontent-le");
-        if (s.read()) return e->on_data(at++ ? "" : read_answer(s.id()));
+    const auto step = [&](Sent& sent, int what) {
+        const auto exchange = sent.exchange;
+        if (exchange->is_over() || sent.closed) return;
+        int& at = script[sent.id()];
+        if (what == 0) return at == 0 ? exchange->on_connect_failed() : exchange->on_connection_closed();
+        if (what == 1) return exchange->on_first_byte_sent(), exchange->on_connection_closed();
+        exchange->on_first_byte_sent();
+        if (what == 2) return exchange->on_data(http_answer(dice(2) ? 500 : 429, "application/json", "{}"));
+        if (what == 3 && at == 0) return exchange->on_data("HTTP/1.1 200 OK\r\ncontent-le");
+        if (sent.read()) return exchange->on_data(at++ ? "" : read_answer(sent.id()));
         switch (at++) {
             case 0:
-                return e->on_data(stream_head());
+                return exchange->on_data(stream_head());
             case 1:
-                return e->on_data(delta("a"));
+                return exchange->on_data(delta("a"));
             case 2:
-                return e->on_data(delta("b") + delta("c"));
+                return exchange->on_data(delta("b") + delta("c"));
             case 3:
-                return e->on_data(stop_event());
+                return exchange->on_data(stop_event());
             case 4:
-                return e->on_data(usage_event(3) + done_event());
+                return exchange->on_data(usage_event(3) + done_event());
             default:
-                return e->on_data(delta("late"));
+                return exchange->on_data(delta("late"));
         }
     };
     for (int i = 0; i < 400; ++i) {
@@ -367,17 +367,17 @@
             k.id = b.arrive(*k.client, cls, k.stream, patience);
         } else if (what < 13 && !b.world.sent.empty()) {
             const auto n = static_cast<std::size_t>(dice(static_cast<int>(b.world.sent.size())));
-            Sent s = b.world.sent[n];
-            step(s, 4 + dice(3) - (dice(6) ? 0 : 4 + dice(3)));
+            Sent sent = b.world.sent[n];
+            step(sent, 4 + dice(3) - (dice(6) ? 0 : 4 + dice(3)));
         } else if (what == 13 && !all.empty()) {
             auto& k = all[static_cast<std::size_t>(dice(static_cast<int>(all.size())))];
             if (k.client->finals == 0) k.client->gone = true;
             b.core->on_client_disconnected(k.id);
         } else if (what == 14) {
             auto engines = b.engines;
-            for (auto& e : engines) {
+            for (auto& engine : engines) {
                 if (dice(3) == 0)
-                    e.endpoint.status = dice(2) ? EndpointStatus::removed : EndpointStatus::draining;
+                    engine.endpoint.status = dice(2) ? EndpointStatus::removed : EndpointStatus::draining;
             }
             b.core->on_endpoint_list(engines, dice(2));
         } else if (what == 15 && !all.empty()) {
@@ -387,16 +387,16 @@
             b.advance(dice(4) ? dice(30) : dice(600));
         }
         std::map<std::string, int> out;
-        for (const auto& s : b.world.sent) {
-            const auto request = s.id().substr(0, s.id().rfind('.'));
-            if (!s.exchange->is_over() && ++out[request] > 1) FAIL() << "two attempts out for " << request;
+        for (const auto& sent : b.world.sent) {
+            const auto request = sent.id().substr(0, sent.id().rfind('.'));
+            if (!sent.exchange->is_over() && ++out[request] > 1) FAIL() << "two attempts out for " << request;
         }
         for (const auto& k : all) {
             EXPECT_LE(k.client->finals, 1) << k.id;
             // A whole answer that has begun counts as long as its client waits, which it may not have said.
             const bool writing = !k.stream && !k.patient &&
-                                 std::any_of(b.world.sent.begin(), b.world.sent.end(), [&](const Sent& s) {
-                                     return s.id().rfind(k.id + ".", 0) == 0 && s.exchange->begun();
+                                 std::any_of(b.world.sent.begin(), b.world.sent.end(), [&](const Sent& sent) {
+                                     return sent.id().rfind(k.id + ".", 0) == 0 && sent.exchange->begun();
                                  });
             const bool heard = k.client->finals > 0 || k.client->begun > 0 || k.client->gone || writing;
             if (!heard) {
@@ -410,18 +410,19 @@
     EXPECT_EQ(b.core->open(), 0u);
     for (const auto& k : all) EXPECT_EQ(k.client->finals + (k.client->gone ? 1 : 0), 1) << k.id;
     // A read that was delivered leaves no state: its request's write began, or it was let go of by its id.
-    for (const auto& s : b.world.sent) {
-        if (!s.read() || script[s.id()] == 0) continue;
-        const auto request = s.id().substr(0, s.id().rfind('.'));
-        bool gone = std::any_of(b.world.let_go.begin(), b.world.let_go.end(),
-                                [&](const auto& l) { return l.second == s.id() && l.first == s.address; });
+    for (const auto& sent : b.world.sent) {
+        if (!sent.read() || script[sent.id()] == 0) continue;
+        const auto request = sent.id().substr(0, sent.id().rfind('.'));
+        bool gone = std::any_of(b.world.let_go.begin(), b.world.let_go.end(), [&](const auto& l) {
+            return l.second == sent.id() && l.first == sent.address;
+        });
         for (const auto& w : b.world.sent) {
             if (w.id().rfind(request + ".", 0) == 0 && !w.read() &&
-                w.wanted.body.find("\"" + s.id() + "\"") != std::string::npos &&
+                w.wanted.body.find("\"" + sent.id() + "\"") != std::string::npos &&
                 (w.exchange->begun() || script[w.id()] >= 2))
                 gone = true;
         }
-        EXPECT_TRUE(gone) << s.id() << " may be pinned";
+        EXPECT_TRUE(gone) << sent.id() << " may be pinned";
     }
 }
 
--- a/tests/gateway/upstream_exchange_test.cpp
+++ b/tests/gateway/upstream_exchange_test.cpp
@@ -16,23 +16,23 @@
 // Feeds the bytes in pieces of `size`, then lets the connection do what `then` says.
 Seen run(bool read, const std::string& bytes, Then then, std::size_t size) {
     static const auto dialect = engine::vllm();
-    UpstreamExchange e(*dialect, read, 4096, 4096);
+    UpstreamExchange exchange(*dialect, read, 4096, 4096);
     Seen seen;
-    e.on_stream_begun = [&] {
+    exchange.on_stream_begun = [&] {
         ++seen.firsts;
         EXPECT_EQ(seen.overs, 0);
     };
-    e.on_text = [&](std::string_view t) {
+    exchange.on_text = [&](std::string_view t) {
         EXPECT_EQ(seen.firsts, 1);
         EXPECT_EQ(seen.overs, 0);
         seen.text += t;
     };
-    e.on_ended = [&](gateway::AttemptOutcome end) { ++seen.overs, seen.ending = std::move(end); };
-    e.on_first_byte_sent();
-    for (std::size_t at = 0; at < bytes.size(); at += size) e.on_data(bytes.substr(at, size));
-    if (then == Then::closes) e.on_connection_closed();
-    if (then == Then::expires) e.time_out();
-    seen.reusable = e.is_reusable(), seen.lingering = e.is_lingering();
+    exchange.on_ended = [&](gateway::AttemptOutcome end) { ++seen.overs, seen.ending = std::move(end); };
+    exchange.on_first_byte_sent();
+    for (std::size_t at = 0; at < bytes.size(); at += size) exchange.on_data(bytes.substr(at, size));
+    if (then == Then::closes) exchange.on_connection_closed();
+    if (then == Then::expires) exchange.time_out();
+    seen.reusable = exchange.is_reusable(), seen.lingering = exchange.is_lingering();
     return seen;
 }
 
@@ -165,11 +165,11 @@
 TEST(Exchange, OnlyAnUnopenedConnectionIsSurelyUndelivered) {
     const auto dialect = engine::vllm();
     const auto end = [&](bool sent, void (UpstreamExchange::*how)()) {
-        UpstreamExchange e(*dialect, false, 100, 100);
+        UpstreamExchange exchange(*dialect, false, 100, 100);
         AttemptResult r = AttemptResult::served;
-        e.on_ended = [&](gateway::AttemptOutcome x) { r = x.result; };
-        if (sent) e.on_first_byte_sent();
-        (e.*how)();
+        exchange.on_ended = [&](gateway::AttemptOutcome x) { r = x.result; };
+        if (sent) exchange.on_first_byte_sent();
+        (exchange.*how)();
         return r;
     };
     EXPECT_EQ(end(false, &UpstreamExchange::on_connect_failed), AttemptResult::unreachable);
@@ -182,40 +182,41 @@
 
 TEST(Exchange, NothingAfterItsEnd) {
     const auto dialect = engine::vllm();
-    UpstreamExchange e(*dialect, false, 4096, 4096);
+    UpstreamExchange exchange(*dialect, false, 4096, 4096);
     int overs = 0, texts = 0;
-    e.on_ended = [&](gateway::AttemptOutcome) { ++overs; };
-    e.on_text = [&](std::string_view) { ++texts; };
-    e.on_first_byte_sent();
-    e.on_data(stream_head() + delta("a"));
-    e.cancel();
-    e.on_data(delta("b") + stop_event() + done_event());
-    e.on_connection_closed();
-    e.time_out();
+    exchange.on_ended = [&](gateway::AttemptOutcome) { ++overs; };
+    exchange.on_text = [&](std::string_view) { ++texts; };
+    exchange.on_first_byte_sent();
+    exchange.on_data(stream_head() + delta("a"));
+    exchange.cancel();
+    exchange.on_data(delta("b") + stop_event() + done_event());
+    exchange.on_connection_closed();
+    exchange.time_out();
     EXPECT_EQ(overs, 1);
     EXPECT_EQ(texts, 1);
 }
 
 TEST(Vllm, RequestsCarryWhatTheEngineNeeds) {
     const auto d = engine::vllm();
-    api::ChatRequest r;
-    r.model = "m", r.messages = {{"system", "s"}, {"user", "u"}}, r.max_tokens = 7, r.stop = {"x"};
-    const auto read = d->prefill_request(r, {"id.0", "t/k", "chat", 0});
+    api::ChatRequest chat;
+    chat.model = "m", chat.messages = {{"system", "s"}, {"user", "u"}}, chat.max_tokens = 7,
+    chat.stop = {"x"};
+    const auto read = d->prefill_request(chat, {"id.0", "t/k", "chat", 0});
     auto j = api::Json::parse(read.body);
     EXPECT_EQ(j["max_tokens"], 1);
     EXPECT_EQ(j["stream"], false);
     EXPECT_EQ(j["kv_transfer_params"]["do_remote_decode"], true);
     EXPECT_EQ(*http::find(read.headers, "x-request-id"), "id.0");
     EXPECT_EQ(*http::find(read.headers, "idempotency-key"), "t/k");
-    const auto v =
+    const auto parsed =
         d->judge_prefill(200, "{\"kv_transfer_params\":{\"do_remote_prefill\":true,\"remote_port\":9}}");
-    j = api::Json::parse(d->decode_request(r, {"id.1", "", "", 0}, v.parameters).body);
+    j = api::Json::parse(d->decode_request(chat, {"id.1", "", "", 0}, parsed.parameters).body);
     EXPECT_EQ(j["max_tokens"], 7);
     EXPECT_EQ(j["stream_options"]["include_usage"], true);
     EXPECT_EQ(j["kv_transfer_params"]["remote_port"], 9);
     EXPECT_EQ(j["stop"][0], "x");
-    EXPECT_FALSE(
-        api::Json::parse(d->decode_request(r, {"id.1", "", "", 0}, "").body).contains("kv_transfer_params"));
+    EXPECT_FALSE(api::Json::parse(d->decode_request(chat, {"id.1", "", "", 0}, "").body)
+                     .contains("kv_transfer_params"));
 }
 
 TEST(Vllm, LoadReports) {
@@ -223,12 +224,13 @@
     const auto of = [&](const std::string& text) {
         return d->load_report({{"endpoint-load-metrics", text}});
     };
-    auto r = of("TEXT named_metrics.kv_cache_usage_perc=0.25, named_metrics.waiting_ktokens=3.5,cpu=0.1");
-    EXPECT_DOUBLE_EQ(r.memory_utilization, 0.25);
-    EXPECT_DOUBLE_EQ(r.queued_kilotokens, 3.5);
-    r = of("JSON {\"mem_utilization\":0.5,\"named_metrics\":{\"latency_ms\":12}}");
-    EXPECT_DOUBLE_EQ(r.memory_utilization, 0.5);
-    EXPECT_DOUBLE_EQ(r.latency, 12);
+    auto report =
+        of("TEXT named_metrics.kv_cache_usage_perc=0.25, named_metrics.waiting_ktokens=3.5,cpu=0.1");
+    EXPECT_DOUBLE_EQ(report.memory_utilization, 0.25);
+    EXPECT_DOUBLE_EQ(report.queued_kilotokens, 3.5);
+    report = of("JSON {\"mem_utilization\":0.5,\"named_metrics\":{\"latency_ms\":12}}");
+    EXPECT_DOUBLE_EQ(report.memory_utilization, 0.5);
+    EXPECT_DOUBLE_EQ(report.latency, 12);
     for (const char* bad :
          {"", "TEXT", "TEXT =", "TEXT mem_utilization=nan", "TEXT mem_utilization=-1", "JSON {", "JSON 3",
           "TEXT mem_utilization=1e999", "BIN x", "JSON {\"mem_utilization\":\"x\"}"})
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -12,20 +12,20 @@
 };
 
 Got parse(const std::string& bytes, std::size_t size, Limits limits = {}) {
-    Parser p(Parser::Kind::request, limits);
+    Parser parser(Parser::Kind::request, limits);
     Got got;
     std::string body;
-    p.on_body = [&](std::string_view b) { body += b; };
-    p.on_complete = [&] {
-        got.messages.push_back(p.method + " " + p.target + " " + std::to_string(p.headers.size()) + " " +
-                               body);
+    parser.on_body = [&](std::string_view b) { body += b; };
+    parser.on_complete = [&] {
+        got.messages.push_back(parser.method + " " + parser.target + " " +
+                               std::to_string(parser.headers.size()) + " " + body);
         body.clear();
     };
     for (std::size_t at = 0; at < bytes.size(); at += size) {
         std::string_view piece = std::string_view(bytes).substr(at, size);
-        while (!piece.empty() && p.fault() == Fault::none) piece.remove_prefix(p.feed(piece));
+        while (!piece.empty() && parser.fault() == Fault::none) piece.remove_prefix(parser.feed(piece));
     }
-    got.fault = p.fault();
+    got.fault = parser.fault();
     return got;
 }
 
@@ -67,15 +67,15 @@
 }
 
 TEST(Parser, ResponseUntilTheConnectionCloses) {
-    Parser p(Parser::Kind::response, {});
+    Parser parser(Parser::Kind::response, {});
     std::string body;
     int ends = 0;
-    p.on_body = [&](std::string_view b) { body += b; };
-    p.on_complete = [&] { ++ends; };
-    EXPECT_TRUE(p.finish());  // nothing has begun
-    p.feed("HTTP/1.1 200 OK\r\n\r\nall of it");
+    parser.on_body = [&](std::string_view b) { body += b; };
+    parser.on_complete = [&] { ++ends; };
+    EXPECT_TRUE(parser.finish());  // nothing has begun
+    parser.feed("HTTP/1.1 200 OK\r\n\r\nall of it");
     EXPECT_EQ(ends, 0);
-    EXPECT_TRUE(p.finish());
+    EXPECT_TRUE(parser.finish());
     EXPECT_EQ(ends, 1);
     EXPECT_EQ(body, "all of it");
     Parser q(Parser::Kind::response, {});
--- a/tests/invariants/record_checker_test.cpp
+++ b/tests/invariants/record_checker_test.cpp
@@ -11,14 +11,16 @@
 namespace {
 
 CheckerSettings terms() {
-    CheckerSettings t;
-    t.classes = {"chat", "pay", "order"};
-    t.class_settings.resize(3);
-    for (auto& c : t.class_settings) c.latency_objective = 500, c.deadline = 2000, c.priority_weight = 1;
-    t.class_settings[1].idempotency = Idempotency::unsafe;
-    t.class_settings[2].idempotency = Idempotency::with_key,
-    t.class_settings[2].dedup_scope = DedupScope::cell;
-    return t;
+    CheckerSettings settings;
+    settings.classes = {"chat", "pay", "order"};
+    settings.class_settings.resize(3);
+    for (auto& class_settings : settings.class_settings)
+        class_settings.latency_objective = 500, class_settings.deadline = 2000,
+        class_settings.priority_weight = 1;
+    settings.class_settings[1].idempotency = Idempotency::unsafe;
+    settings.class_settings[2].idempotency = Idempotency::with_key,
+    settings.class_settings[2].dedup_scope = DedupScope::cell;
+    return settings;
 }
 
 const std::string kRequest = "req_0123456789abcdef00000001";
@@ -76,19 +78,21 @@
     }
 };
 
-std::vector<std::string> broken(const Story& s) {
-    auto records = s.records;
+std::vector<std::string> broken(const Story& story) {
+    auto records = story.records;
     std::stable_sort(records.begin(), records.end(),
-                     [](const Record& a, const Record& b) { return a.t < b.t; });
+                     [](const Record& record, const Record& b) { return record.t < b.t; });
     std::vector<std::string> all;
-    for (const auto& f : check_records(records, terms()).findings) {
-        if (f.broken > 0) all.push_back(f.rule.substr(0, 1) + " " + f.what.substr(0, 12) + ": " + f.example);
+    for (const auto& finding : check_records(records, terms()).findings) {
+        if (finding.broken > 0)
+            all.push_back(finding.rule.substr(0, 1) + " " + finding.what.substr(0, 12) + ": " +
+                          finding.example);
     }
     return all;
 }
 
-void expect(const Story& s, const std::string& rule) {
-    const auto all = broken(s);
+void expect(const Story& story, const std::string& rule) {
+    const auto all = broken(story);
     if (rule.empty()) {
         EXPECT_TRUE(all.empty()) << all[0];
         return;
@@ -99,12 +103,12 @@
 
 TEST(Checker, GoodStories) {
     for (const char* cls : {"chat", "pay", "order"}) expect(Story().good(cls), "");
-    const auto v = check_records(Story().good().records, terms());
-    EXPECT_EQ(v.service.answered, 1);
-    EXPECT_DOUBLE_EQ(v.service.value, 1);
-    EXPECT_DOUBLE_EQ(v.service.p50, 40);
-    EXPECT_TRUE(v.kept());
-    EXPECT_NE(format_verdict(v).find("each ask has one final answer"), std::string::npos);
+    const auto verdict = check_records(Story().good().records, terms());
+    EXPECT_EQ(verdict.service.answered, 1);
+    EXPECT_DOUBLE_EQ(verdict.service.value, 1);
+    EXPECT_DOUBLE_EQ(verdict.service.p50, 40);
+    EXPECT_TRUE(verdict.kept());
+    EXPECT_NE(format_verdict(verdict).find("each ask has one final answer"), std::string::npos);
 }
 
 TEST(Checker, OneAnswerInTime) {
@@ -128,11 +132,11 @@
 }
 
 TEST(Checker, TheExampleHasItsTrace) {
-    Story s = Story().good().attempt(2, 3, "write", 1200);
-    const auto f = check_records(s.records, terms()).findings[1];
-    ASSERT_EQ(f.broken, 1);
-    EXPECT_EQ(f.trace.size(), s.records.size());
-    EXPECT_NE(f.trace.back().find("\"op\":\"write\""), std::string::npos);
+    Story story = Story().good().attempt(2, 3, "write", 1200);
+    const auto finding = check_records(story.records, terms()).findings[1];
+    ASSERT_EQ(finding.broken, 1);
+    EXPECT_EQ(finding.trace.size(), story.records.size());
+    EXPECT_NE(finding.trace.back().find("\"op\":\"write\""), std::string::npos);
 }
 
 TEST(Checker, NothingAfterTheAnswer) {
@@ -141,9 +145,9 @@
 }
 
 TEST(Checker, TheEnginesText) {
-    Story s = Story().good();
-    s.records.back().fields["text"] = "wrong";
-    expect(s, "1 the text ");
+    Story story = Story().good();
+    story.records.back().fields["text"] = "wrong";
+    expect(story, "1 the text ");
 }
 
 TEST(Checker, NoEffectTwice) {
@@ -159,16 +163,16 @@
     Story keyed = Story().ask("order").read(1001, "order").write(1, 1030, "order");
     keyed.attempt(2, 3, "write", 1050, "order").at(3, 1053, "repeat", 2).at(3, 1059, "end", 2).answer(1070);
     expect(keyed, "");
-    for (auto& r : keyed.records) {
-        if (r.event == "repeat") r.event = "run";
+    for (auto& record : keyed.records) {
+        if (record.event == "repeat") record.event = "run";
     }
     expect(keyed, "2 once and b");
 }
 
 TEST(Checker, NeverTwoAtOnce) {
-    Story s = Story().ask().attempt(0, 1, "read", 1001).attempt(1, 2, "read", 1200);
-    s.at(1, 1400, "end", 0, "cancelled").at(2, 1210, "end", 1, "cancelled").answer(1500, 529, "refused");
-    expect(s, "2 never two ");
+    Story story = Story().ask().attempt(0, 1, "read", 1001).attempt(1, 2, "read", 1200);
+    story.at(1, 1400, "end", 0, "cancelled").at(2, 1210, "end", 1, "cancelled").answer(1500, 529, "refused");
+    expect(story, "2 never two ");
     Story late = Story().ask().attempt(0, 1, "read", 1001).attempt(1, 2, "read", 1200);
     late.at(1, 1230, "end", 0, "cancelled").at(2, 1210, "end", 1, "cancelled").answer(1500, 529, "refused");
     expect(late, "");  // the engine's note of the close crosses the next send
@@ -190,15 +194,15 @@
 TEST(Checker, ColdEngines) {
     // 0.3 of its capacity for 2 s, 2.5 times: 1.5 s of work at its start, growing.
     const auto flooded = [](int sends) {
-        Story s;
-        s.add("engine", 1000, "up", {{"server", 9}, {"cold", true}, {"start", 0.3}, {"warm", 10000}});
+        Story story;
+        story.add("engine", 1000, "up", {{"server", 9}, {"cold", true}, {"start", 0.3}, {"warm", 10000}});
         for (int i = 0; i < sends; ++i) {
             const std::string id = "req_0123456789abcdef000000" + std::to_string(10 + i) + ".0";
-            s.add("engine", 1010 + i, "recv",
-                  {{"server", 9}, {"id", id}, {"op", "read"}, {"work", 0.1}, {"cls", "chat"}});
-            s.add("engine", 1500 + i, "end", {{"server", 9}, {"id", id}});
+            story.add("engine", 1010 + i, "recv",
+                      {{"server", 9}, {"id", id}, {"op", "read"}, {"work", 0.1}, {"cls", "chat"}});
+            story.add("engine", 1500 + i, "end", {{"server", 9}, {"id", id}});
         }
-        return s;
+        return story;
     };
     expect(flooded(15), "");
     expect(flooded(17), "4 work sent b");
@@ -243,8 +247,8 @@
     // An attempt that is out holds the clock.
     Story waits = story(4500, "let_go");
     waits.attempt(1, 2, "write", 1500).at(2, 4000, "end", 1, "cancelled");
-    for (auto& r : waits.records) {
-        if (r.event == "answer") r.t = 2900;
+    for (auto& record : waits.records) {
+        if (record.event == "answer") record.t = 2900;
     }
     expect(waits, "");
 }
@@ -276,52 +280,52 @@
 
 // The gateway is stopped from 1100 to 4100, over the deadline at 3000.
 Story stopped() {
-    Story s;
-    s.ask().read();
-    s.add("runner", 1100, "stop_gateway", {{"gateway", "g"}, {"until", 4100}});
-    return s;
+    Story story;
+    story.ask().read();
+    story.add("runner", 1100, "stop_gateway", {{"gateway", "g"}, {"until", 4100}});
+    return story;
 }
 
 TEST(Standstills, ExcuseWhatFellIntoThemAndNoMore) {
     const auto late = [](double t) {
-        Story s = stopped();
-        s.at(1, t, "let_go", 0)
+        Story story = stopped();
+        story.at(1, t, "let_go", 0)
             .add("client-0", t, "answer",
                  {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
-        return check_records(s.records, terms());
+        return check_records(story.records, terms());
     };
     const auto good = late(4200);
     EXPECT_TRUE(good.kept()) << format_verdict(good);
     EXPECT_EQ(good.findings[0].excused, 1);
     EXPECT_FALSE(late(5300).kept());  // more than a second to be as before
     // Another's standstill excuses nothing.
-    Story s;
-    s.ask().read().at(1, 1100, "let_go", 0);
-    s.add("runner", 1100, "stop_gateway", {{"gateway", "other"}, {"until", 4100}});
-    s.add("client-0", 4200, "answer",
-          {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
-    EXPECT_FALSE(check_records(s.records, terms()).kept());
+    Story story;
+    story.ask().read().at(1, 1100, "let_go", 0);
+    story.add("runner", 1100, "stop_gateway", {{"gateway", "other"}, {"until", 4100}});
+    story.add("client-0", 4200, "answer",
+              {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
+    EXPECT_FALSE(check_records(story.records, terms()).kept());
 }
 
 TEST(Standstills, SendsPastTheDeadlineAreBreachesAfterThemToo) {
-    Story s = stopped();
-    s.attempt(1, 2, "write", 4150).at(1, 4151, "taken", 0).at(2, 4160, "end", 1, "cancelled");
-    s.add("client-0", 4200, "answer",
-          {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
-    const auto v = check_records(s.records, terms());
-    ASSERT_FALSE(v.kept());
-    EXPECT_EQ(v.findings[1].broken, 1);
-    EXPECT_NE(v.findings[1].example.find("its client left"), std::string::npos);
+    Story story = stopped();
+    story.attempt(1, 2, "write", 4150).at(1, 4151, "taken", 0).at(2, 4160, "end", 1, "cancelled");
+    story.add("client-0", 4200, "answer",
+              {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
+    const auto verdict = check_records(story.records, terms());
+    ASSERT_FALSE(verdict.kept());
+    EXPECT_EQ(verdict.findings[1].broken, 1);
+    EXPECT_NE(verdict.findings[1].example.find("its client left"), std::string::npos);
 }
 
 TEST(Standstills, OneClosedAsTheOtherWasSentIsNoOverlapEitherWayRound) {
     const auto with = [](double end) {
-        Story s;
-        s.ask().read().attempt(2, 3, "write", 1100).attempt(1, 2, "write", 1101);
-        s.at(2, end, "end", 1, "cancelled").at(1, 1102, "taken", 0).at(3, 1400, "end", 2);
-        s.add("client-0", 1400, "answer",
-              {{"c", "1.0"}, {"id", kRequest}, {"status", 200}, {"ending", "whole"}, {"text", "right"}});
-        return check_records(s.records, terms()).findings[4].broken;
+        Story story;
+        story.ask().read().attempt(2, 3, "write", 1100).attempt(1, 2, "write", 1101);
+        story.at(2, end, "end", 1, "cancelled").at(1, 1102, "taken", 0).at(3, 1400, "end", 2);
+        story.add("client-0", 1400, "answer",
+                  {{"c", "1.0"}, {"id", kRequest}, {"status", 200}, {"ending", "whole"}, {"text", "right"}});
+        return check_records(story.records, terms()).findings[4].broken;
     };
     EXPECT_EQ(with(1102), 0);
     EXPECT_EQ(with(1300), 1);
@@ -329,19 +333,19 @@
 
 TEST(Standstills, CountWhatTheGatewayCutThough) {
     // Out at an engine that is well, its client waiting: cut off after the standstill.
-    Story s;
-    s.ask().attempt(0, 1, "read", 1001);
-    s.add("runner", 1100, "stop_gateway", {{"gateway", "g"}, {"until", 1900}});
-    s.at(1, 1905, "left", 0).at(1, 1906, "let_go", 0);
-    s.attempt(1, 3, "read", 1910).at(3, 1930, "held", 1).at(3, 1930, "end", 1).at(3, 1940, "let_go", 1);
-    s.add("client-0", 1950, "answer",
-          {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
-    const auto v = check_records(s.records, terms());
-    EXPECT_EQ(v.service.attempts_during_stall, 1);
-    EXPECT_EQ(v.service.cut_during_stall, 1);
-    EXPECT_EQ(v.service.attempts_after_stall, 1);
-    EXPECT_EQ(v.service.cut_after_stall, 0);
-    EXPECT_NE(format_verdict(v).find("cut off by it 1; begun within a second after 1, cut off 0"),
+    Story story;
+    story.ask().attempt(0, 1, "read", 1001);
+    story.add("runner", 1100, "stop_gateway", {{"gateway", "g"}, {"until", 1900}});
+    story.at(1, 1905, "left", 0).at(1, 1906, "let_go", 0);
+    story.attempt(1, 3, "read", 1910).at(3, 1930, "held", 1).at(3, 1930, "end", 1).at(3, 1940, "let_go", 1);
+    story.add("client-0", 1950, "answer",
+              {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
+    const auto verdict = check_records(story.records, terms());
+    EXPECT_EQ(verdict.service.attempts_during_stall, 1);
+    EXPECT_EQ(verdict.service.cut_during_stall, 1);
+    EXPECT_EQ(verdict.service.attempts_after_stall, 1);
+    EXPECT_EQ(verdict.service.cut_after_stall, 0);
+    EXPECT_NE(format_verdict(verdict).find("cut off by it 1; begun within a second after 1, cut off 0"),
               std::string::npos);
 }
 
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -40,8 +40,8 @@
         SignalWatcher signal(loop, SIGUSR2, [] {});
         TcpListener listener(loop);
         ASSERT_EQ(listener.listen("127.0.0.1:0"), 0);
-        TcpStream a(loop), b(loop);
-        ASSERT_EQ(a.connect("127.0.0.1:" + std::to_string(listener.port()), "", [](int) { FAIL(); }), 0);
+        TcpStream stream(loop), b(loop);
+        ASSERT_EQ(stream.connect("127.0.0.1:" + std::to_string(listener.port()), "", [](int) { FAIL(); }), 0);
         // Two timers, a turn's two handles, a signal, a listener's socket and poll, two streams.
         EXPECT_EQ(loop.open_handles().size(), 9u);
     }
--- a/tests/platform/access_log_test.cpp
+++ b/tests/platform/access_log_test.cpp
@@ -9,37 +9,37 @@
 using namespace gorsenotch::platform;
 
 Settings chat() {
-    Settings s;
-    ClassSettings c;
-    c.latency_objective = 1000, c.latency_objective_per_1000_tokens = 100, c.deadline = 5000,
-    c.inter_token_objective = 50;
-    s.classes = {c};
-    return s;
+    Settings settings;
+    ClassSettings class_settings;
+    class_settings.latency_objective = 1000, class_settings.latency_objective_per_1000_tokens = 100,
+    class_settings.deadline = 5000, class_settings.inter_token_objective = 50;
+    settings.classes = {class_settings};
+    return settings;
 }
 
 TEST(AccessLog, AWholeAnswerIsInTimeLateOrSlow) {
-    const Settings s = chat();
-    const AccessLog log(s);
-    RequestRecord p;
-    p.prompt_tokens = 2000;  // aim: 1,200 ms
-    p.attempts = {{"r", true, false, AttemptResult::prefill_done, 0, 100},
-                  {"w", false, false, AttemptResult::served, 100, 2000}};
-    p.first = 200, p.ended = 2000, p.tokens = 100;
-    EXPECT_EQ(log.served(p), Disposition::in_time);
-    p.tokens = 20;
-    EXPECT_EQ(log.served(p), Disposition::slow_stream);
-    p.tokens = 0;
-    EXPECT_EQ(log.served(p), Disposition::in_time)
+    const Settings settings = chat();
+    const AccessLog log(settings);
+    RequestRecord record;
+    record.prompt_tokens = 2000;  // aim: 1,200 ms
+    record.attempts = {{"r", true, false, AttemptResult::prefill_done, 0, 100},
+                       {"w", false, false, AttemptResult::served, 100, 2000}};
+    record.first = 200, record.ended = 2000, record.tokens = 100;
+    EXPECT_EQ(log.served(record), Disposition::in_time);
+    record.tokens = 20;
+    EXPECT_EQ(log.served(record), Disposition::slow_stream);
+    record.tokens = 0;
+    EXPECT_EQ(log.served(record), Disposition::in_time)
         << "an answer that does not say its length is not judged by pace";
-    p.first = 1300;
-    EXPECT_EQ(log.served(p), Disposition::late_write);
-    p.attempts[0].ended = 1250;
-    EXPECT_EQ(log.served(p), Disposition::late_read);
+    record.first = 1300;
+    EXPECT_EQ(log.served(record), Disposition::late_write);
+    record.attempts[0].ended = 1250;
+    EXPECT_EQ(log.served(record), Disposition::late_read);
 }
 
 TEST(AccessLog, LinesAreBoundedAndWhatIsLeftOutCounts) {
-    const Settings s = chat();
-    AccessLog log(s);
+    const Settings settings = chat();
+    AccessLog log(settings);
     int told = 0;
     for (int i = 0; i < 1000; ++i) told += log.count(i, Disposition::refused, EndCause::shed_load);
     EXPECT_EQ(told, AccessLog::kLinesPerSecond);
@@ -48,12 +48,12 @@
     EXPECT_FALSE(log.count(5000, Disposition::in_time)) << "what ended well is only counted";
     EXPECT_EQ(log.dispositions()[static_cast<std::size_t>(Disposition::refused)], 1001u);
     EXPECT_EQ(log.causes()[static_cast<std::size_t>(EndCause::shed_load)], 1000u);
-    RequestRecord p;
-    p.txn = "t1", p.ended = 900;
-    p.cause = EndCause::retry_budget;
+    RequestRecord record;
+    record.txn = "t1", record.ended = 900;
+    record.cause = EndCause::retry_budget;
     for (int i = 0; i < 500; ++i)
-        p.attempts.push_back({"w1", false, false, AttemptResult::unreachable, 1, 251});
-    const std::string line = log.line(p, Disposition::refused);
+        record.attempts.push_back({"w1", false, false, AttemptResult::unreachable, 1, 251});
+    const std::string line = log.line(record, Disposition::refused);
     EXPECT_EQ(line.rfind("t1 refused cause retry_budget class 0", 0), 0u) << line;
     EXPECT_NE(line.find("write w1 1 +250 unreachable"), std::string::npos) << line;
     EXPECT_LT(line.size(), 400u);
--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -54,14 +54,14 @@
     // Serves whatever is out: reads are done, writes stream one event.
     void serve() {
         for (std::size_t i = 0; i < world.sent.size(); ++i) {
-            const auto s = world.sent[i];
-            if (s.attempt->is_over() || s.closed) continue;
-            if (s.request.rfind("DELETE", 0) == 0) {
-                s.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
-            } else if (s.address == "10.0.0.3:1") {
-                s.attempt->on_data(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
+            const auto sent = world.sent[i];
+            if (sent.attempt->is_over() || sent.closed) continue;
+            if (sent.request.rfind("DELETE", 0) == 0) {
+                sent.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
+            } else if (sent.address == "10.0.0.3:1") {
+                sent.attempt->on_data(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
             } else {
-                s.attempt->on_data("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}");
+                sent.attempt->on_data("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}");
             }
         }
     }
@@ -226,7 +226,7 @@
     }
     until([&] {
         std::size_t answered = 0;
-        for (auto& p : flood) p->look(), answered += p->text.rfind("HTTP/1.1 503", 0) == 0;
+        for (auto& client : flood) client->look(), answered += client->text.rfind("HTTP/1.1 503", 0) == 0;
         return answered == flood.size();
     });
     flood.clear();
--- a/tests/platform/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoint_watcher_test.cpp
@@ -18,11 +18,11 @@
 class Discovery {
 public:
     explicit Discovery(EventLoop& loop) : loop_(loop), listener_(loop) {
-        listener_.on_stream = [this](std::unique_ptr<TcpStream> s) {
+        listener_.on_stream = [this](std::unique_ptr<TcpStream> stream) {
             if (refuses) return;
             conns_.emplace_back();
             Conn& c = conns_.back();
-            c.stream = std::move(s);
+            c.stream = std::move(stream);
             // The time that it waits is over: nothing new.
             c.hold = std::make_unique<Timer>(loop_, [this, &c] {
                 if (c.waits && !silent) answer(c);
@@ -329,7 +329,7 @@
     EventLoop loop;
     TcpListener listener(loop);
     std::unique_ptr<TcpStream> taken;
-    listener.on_stream = [&](std::unique_ptr<TcpStream> s) { taken = std::move(s); };
+    listener.on_stream = [&](std::unique_ptr<TcpStream> stream) { taken = std::move(stream); };
     ASSERT_EQ(listener.listen("127.0.0.1:0"), 0);
     auto client = std::make_unique<TcpStream>(loop);
     ASSERT_EQ(client->connect("127.0.0.1:" + std::to_string(listener.port()), "",
--- a/tests/platform/lease_test.cpp
+++ b/tests/platform/lease_test.cpp
@@ -62,10 +62,10 @@
         made_now();
         EXPECT_GE(released_by(kInTime), 1u);
         world.dials_wait = false;
-        for (const auto& s : world.sent) {
-            const bool write = s.address == "10.0.0.3:1" && s.request.rfind("DELETE", 0) != 0;
+        for (const auto& sent : world.sent) {
+            const bool write = sent.address == "10.0.0.3:1" && sent.request.rfind("DELETE", 0) != 0;
             if (!write) continue;
-            EXPECT_FALSE(s.attempt->may_start()) << "there is nothing for it to take any more";
+            EXPECT_FALSE(sent.attempt->may_start()) << "there is nothing for it to take any more";
         }
         finish();
     }
@@ -122,9 +122,9 @@
         if (released >= 0) break;
         last().attempt->on_connect_failed();
     }
-    for (const auto& s : world.sent) {
-        const bool read = s.address == "10.0.0.1:1" && s.request.rfind("DELETE", 0) != 0;
-        read_again |= read && &s != &world.sent.front();
+    for (const auto& sent : world.sent) {
+        const bool read = sent.address == "10.0.0.1:1" && sent.request.rfind("DELETE", 0) != 0;
+        read_again |= read && &sent != &world.sent.front();
     }
     EXPECT_GE(released, 0);
     EXPECT_LE(released - made, 400);
@@ -161,7 +161,7 @@
             << last().request;
         answer("HTTP/1.1 204 No Content\r\n\r\n");
     }
-    for (const auto& s : world.sent) EXPECT_EQ(s.request.find("rooms/t4"), std::string::npos);
+    for (const auto& sent : world.sent) EXPECT_EQ(sent.request.find("rooms/t4"), std::string::npos);
     pass(290);  // and now it says nothing
     pass(155);
     EXPECT_NE(last().request.find("rooms/t4"), std::string::npos);
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -7,26 +7,26 @@
 std::string fault(const std::string& text) {
     try {
         parse_config(text, "127.0.0.1:1", "127.0.0.1:2");
-    } catch (const ConfigError& e) {
-        return e.what();
+    } catch (const ConfigError& error) {
+        return error.what();
     }
     return "";
 }
 
 TEST(PlatformConfig, SettingsUnderTheSimulatorsNames) {
-    const Config c = parse_config(kConfig, "", "");
-    EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
-    EXPECT_EQ(c.sockets, 512u);
-    const Settings& s = c.named.settings;
-    ASSERT_EQ(s.classes.size(), 2u);
-    EXPECT_EQ(s.classes[0].latency_objective_per_1000_tokens, 40);
-    EXPECT_EQ(s.classes[1].inter_token_objective, 50);
-    EXPECT_EQ(s.classes[1].idempotency, Idempotency::unsafe);
-    EXPECT_EQ(c.named.classes.at("bulk job"), 1);
-    EXPECT_EQ(s.own_zone, 1);
-    EXPECT_EQ(s.kinds[1].role, Role::decode);
-    EXPECT_TRUE(s.stream_migration && s.slot_reservation && s.cancellation);
-    EXPECT_EQ(c.named.idle_close, 15000);
+    const Config config = parse_config(kConfig, "", "");
+    EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
+    EXPECT_EQ(config.sockets, 512u);
+    const Settings& settings = config.named.settings;
+    ASSERT_EQ(settings.classes.size(), 2u);
+    EXPECT_EQ(settings.classes[0].latency_objective_per_1000_tokens, 40);
+    EXPECT_EQ(settings.classes[1].inter_token_objective, 50);
+    EXPECT_EQ(settings.classes[1].idempotency, Idempotency::unsafe);
+    EXPECT_EQ(config.named.classes.at("bulk job"), 1);
+    EXPECT_EQ(settings.own_zone, 1);
+    EXPECT_EQ(settings.kinds[1].role, Role::decode);
+    EXPECT_TRUE(settings.stream_migration && settings.slot_reservation && settings.cancellation);
+    EXPECT_EQ(config.named.idle_close, 15000);
 }
 
 TEST(PlatformConfig, FaultsNameTheirPath) {
@@ -131,9 +131,9 @@
     ASSERT_TRUE(take(list(1, true, row("w1", "up", 5000) + "," + row("w2", "up"))));
     for (const long born : {7000L, 3600000L, 6000L}) {
         clock += 1000;
-        const auto e = take(list(2, false, row("w1", "up", born)));
-        ASSERT_TRUE(e) << why;
-        EXPECT_EQ(e->endpoints[0].started_at, clock) << "another start of w1";
+        const auto update = take(list(2, false, row("w1", "up", born)));
+        ASSERT_TRUE(update) << why;
+        EXPECT_EQ(update->endpoints[0].started_at, clock) << "another start of w1";
         clock += 500;
         EXPECT_EQ(take(list(2, false, row("w1", "draining", born)))->endpoints[0].started_at, clock - 500)
             << "the same";
@@ -148,10 +148,10 @@
 
 TEST_F(List, OfTheFirstListTheClocksTell) {
     ASSERT_TRUE(take(config.known, EndpointList::Source::cached));
-    const auto e = take(list(5, true, row("w1", "up", 5000) + "," + row("w2", "up", 3600000)));
-    ASSERT_TRUE(e) << why;
-    EXPECT_EQ(e->endpoints[0].started_at, 4000);
-    EXPECT_EQ(e->endpoints[1].started_at, 3599000) << "the Router takes no start to be later than now";
+    const auto update = take(list(5, true, row("w1", "up", 5000) + "," + row("w2", "up", 3600000)));
+    ASSERT_TRUE(update) << why;
+    EXPECT_EQ(update->endpoints[0].started_at, 4000);
+    EXPECT_EQ(update->endpoints[1].started_at, 3599000) << "the Router takes no start to be later than now";
 }
 
 // ---- a client's request ---------------------------------------------------------------------------------
@@ -159,14 +159,14 @@
 struct Heads : ::testing::Test {
     Config config = parse_config(kConfig, "", "");
     std::variant<Refusal, Inbound> read(const std::string& head) {
-        http::Parser p(http::Parser::Kind::request, http::Limits{16 * 1024, 64, kMaxBody});
-        p.feed("POST /v1/chat/completions HTTP/1.1\r\n" + head + "content-length: 0\r\n\r\n");
-        EXPECT_EQ(p.fault(), http::Fault::none) << head;
-        return read_head(config.named, p);
+        http::Parser parser(http::Parser::Kind::request, http::Limits{16 * 1024, 64, kMaxBody});
+        parser.feed("POST /v1/chat/completions HTTP/1.1\r\n" + head + "content-length: 0\r\n\r\n");
+        EXPECT_EQ(parser.fault(), http::Fault::none) << head;
+        return read_head(config.named, parser);
     }
     std::string why(const std::string& head) {
-        const auto r = read(head);
-        return std::holds_alternative<Refusal>(r) ? std::get<Refusal>(r).why : "";
+        const auto result = read(head);
+        return std::holds_alternative<Refusal>(result) ? std::get<Refusal>(result).why : "";
     }
 };
 
@@ -175,9 +175,9 @@
     "X-Labels: prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800\r\nX-Estimate: 12000\r\n";
 
 TEST_F(Heads, AllThatTheRouterNeeds) {
-    const auto r = read(kHead + "Host: here\r\nConnection: keep-alive\r\nX-Resent: again\r\n");
-    ASSERT_TRUE(std::holds_alternative<Inbound>(r));
-    const Inbound& in = std::get<Inbound>(r);
+    const auto result = read(kHead + "Host: here\r\nConnection: keep-alive\r\nX-Resent: again\r\n");
+    ASSERT_TRUE(std::holds_alternative<Inbound>(result));
+    const Inbound& in = std::get<Inbound>(result);
     EXPECT_EQ(in.txn, "9b1f");
     EXPECT_EQ(in.arrival.deadline, 4800);
     EXPECT_EQ(in.arrival.prompt_tokens, 5120);
@@ -195,12 +195,12 @@
 }
 
 TEST_F(Heads, EndToEndHeadersAreForwardedAndThoseOfTheConnectionAreNot) {
-    const auto r =
+    const auto result =
         read(kHead + "Idempotency-Key: k-17\r\nTraceparent: 00-ab-cd-01\r\nAccept: text/event-stream\r\n" +
              "Host: here\r\nConnection: keep-alive\r\nKeep-Alive: timeout=5\r\nTE: trailers\r\n" +
              "Expect: 100-continue\r\n");
-    ASSERT_TRUE(std::holds_alternative<Inbound>(r));
-    const std::string& head = std::get<Inbound>(r).head;
+    ASSERT_TRUE(std::holds_alternative<Inbound>(result));
+    const std::string& head = std::get<Inbound>(result).head;
     for (const char* kept :
          {"idempotency-key: k-17\r\n", "traceparent: 00-ab-cd-01\r\n", "accept: text/event-stream\r\n"})
         EXPECT_NE(head.find(kept), std::string::npos) << kept;
@@ -212,9 +212,9 @@
 // value may hold tabs and bytes above 127. A control character may not (the parser refuses it): another
 // reader might end the line there.
 TEST_F(Heads, ValuesMayHoldAllThatHttpAllows) {
-    const auto r = read(kHead + "X-Note: a\tb caf\xc3\xa9 \xe9\r\n");
-    ASSERT_TRUE(std::holds_alternative<Inbound>(r)) << std::get<Refusal>(r).why;
-    EXPECT_NE(std::get<Inbound>(r).head.find("x-note: a\tb caf\xc3\xa9 \xe9\r\n"), std::string::npos);
+    const auto result = read(kHead + "X-Note: a\tb caf\xc3\xa9 \xe9\r\n");
+    ASSERT_TRUE(std::holds_alternative<Inbound>(result)) << std::get<Refusal>(result).why;
+    EXPECT_NE(std::get<Inbound>(result).head.find("x-note: a\tb caf\xc3\xa9 \xe9\r\n"), std::string::npos);
     for (const char control : {'\x01', '\x0b', '\x7f'}) {
         http::Parser parser(http::Parser::Kind::request, http::Limits{16 * 1024, 64, kMaxBody});
         parser.feed("POST /v1/chat/completions HTTP/1.1\r\nX-Note: a" + std::string(1, control) +
@@ -258,9 +258,9 @@
     explicit Told(platform::UpstreamExchange::Kind kind)
         : attempt(std::make_shared<platform::UpstreamExchange>(kind)) {
         attempt->on_first_event = attempt->on_more_events = [this](std::string_view b) { events.append(b); };
-        attempt->on_ended = [this](const AttemptOutcome& e) {
+        attempt->on_ended = [this](const AttemptOutcome& outcome) {
             EXPECT_FALSE(end);
-            end = e;
+            end = outcome;
         };
         attempt->on_first_byte_sent();
         attempt->on_request_written();
@@ -343,20 +343,20 @@
 }
 
 TEST(PlatformAttempt, WhatBrokeBeforeTheLastByteNeverRan) {
-    platform::UpstreamExchange a(Kind::decode);
+    platform::UpstreamExchange exchange(Kind::decode);
     AttemptResult r = AttemptResult::served;
-    a.on_ended = [&](const AttemptOutcome& e) { r = e.result; };
-    a.on_first_byte_sent();
-    a.on_connection_closed();
+    exchange.on_ended = [&](const AttemptOutcome& outcome) { r = outcome.result; };
+    exchange.on_first_byte_sent();
+    exchange.on_connection_closed();
     EXPECT_EQ(r, AttemptResult::unreachable);
     platform::UpstreamExchange b(Kind::decode);
-    b.on_ended = [&](const AttemptOutcome& e) { r = e.result; };
+    b.on_ended = [&](const AttemptOutcome& outcome) { r = outcome.result; };
     b.on_first_byte_sent();
     b.on_request_written();
     b.on_connection_closed();
     EXPECT_EQ(r, AttemptResult::reset);
     platform::UpstreamExchange c(Kind::decode);
-    c.on_ended = [&](const AttemptOutcome& e) { r = e.result; };
+    c.on_ended = [&](const AttemptOutcome& outcome) { r = outcome.result; };
     c.abort(AttemptResult::timed_out, "");
     EXPECT_EQ(r, AttemptResult::unreachable) << "no connection came up in its time";
 }
--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -61,21 +61,21 @@
     std::vector<Sent> sent;
     Millis now() override { return clock; }
     void start_exchange(const std::string& address, std::string request,
-                        std::shared_ptr<platform::UpstreamExchange> a, Connection) override {
-        if (dials_wait) return sent.push_back({address, std::move(request), std::move(a), false});
-        if (!a->may_start()) {
-            sent.push_back({address, "", a, true});
-            return a->on_not_sent();
+                        std::shared_ptr<platform::UpstreamExchange> exchange, Connection) override {
+        if (dials_wait) return sent.push_back({address, std::move(request), std::move(exchange), false});
+        if (!exchange->may_start()) {
+            sent.push_back({address, "", exchange, true});
+            return exchange->on_not_sent();
         }
         clock += dial;
-        a->stamp_request(request);
-        a->on_first_byte_sent();
-        a->on_request_written();
-        sent.push_back({address, std::move(request), std::move(a), false});
+        exchange->stamp_request(request);
+        exchange->on_first_byte_sent();
+        exchange->on_request_written();
+        sent.push_back({address, std::move(request), std::move(exchange), false});
     }
     void pause(const platform::UpstreamExchange&, bool) override {}
-    void close(const platform::UpstreamExchange& a) override {
-        for (auto& s : sent) s.closed |= s.attempt.get() == &a;
+    void close(const platform::UpstreamExchange& exchange) override {
+        for (auto& s : sent) s.closed |= s.attempt.get() == &exchange;
     }
     bool has_idle_connection(const std::string&) override { return false; }
     void log(const char*, const char*, const std::string&) override {}
@@ -97,17 +97,17 @@
     }
     void list(const std::string& text) {
         std::string why;
-        auto e = hosts.take(text, EndpointList::Source::same_address, world.clock, why);
-        ASSERT_TRUE(e) << why;
-        relay.on_endpoint_update(std::move(*e));
+        auto update = hosts.take(text, EndpointList::Source::same_address, world.clock, why);
+        ASSERT_TRUE(update) << why;
+        relay.on_endpoint_update(std::move(*update));
     }
-    std::uint64_t ask(const std::string& txn, PlatformClient& c, int cls = 0) {
+    std::uint64_t ask(const std::string& txn, PlatformClient& client, int cls = 0) {
         Inbound in;
         in.txn = txn, in.head = "POST /v1/chat/completions HTTP/1.1\r\nx-txn: " + txn + "\r\n",
         in.body = "{}";
         in.arrival.cls = cls, in.arrival.deadline = 5000, in.arrival.tenant = 0,
         in.arrival.prompt_tokens = 100;
-        return relay.on_request(std::move(in), 0, &c);
+        return relay.on_request(std::move(in), 0, &client);
     }
     void pass(Millis ms) {
         for (const Millis until = world.clock + ms; world.clock < until;) {
@@ -135,9 +135,9 @@
     void settle() {
         for (int i = 0; i < 2; ++i) {
             for (std::size_t n = 0; n < world.sent.size(); ++n) {
-                auto& s = world.sent[n];
-                if (s.request.rfind("DELETE", 0) == 0 && !s.attempt->is_over())
-                    s.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
+                auto& sent = world.sent[n];
+                if (sent.request.rfind("DELETE", 0) == 0 && !sent.attempt->is_over())
+                    sent.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
             }
             pass(400);
         }
--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -107,8 +107,8 @@
     ASSERT_EQ(releases(), 2u);
     const auto reads = [](const std::string& address) { return address < std::string("10.0.1.6"); };
     std::vector<std::string> asked;
-    for (const auto& s : world.sent) {
-        if (s.request.rfind("DELETE", 0) == 0) asked.push_back(s.address);
+    for (const auto& sent : world.sent) {
+        if (sent.request.rfind("DELETE", 0) == 0) asked.push_back(sent.address);
     }
     EXPECT_NE(reads(asked[0]), reads(asked[1])) << asked[0] << " " << asked[1];
     pass(350);
@@ -120,7 +120,7 @@
 TEST_F(RelayTest, NothingGoesToAServerThatIsToldToDrainMeanwhile) {
     drain_writer();
     ask("t1", client);
-    for (const auto& s : world.sent) EXPECT_NE(s.address, "10.0.0.3:1");
+    for (const auto& sent : world.sent) EXPECT_NE(sent.address, "10.0.0.3:1");
     EXPECT_EQ(client.status, 503);
 }
 
@@ -129,9 +129,9 @@
     pass(5100);
     EXPECT_EQ(client.ended, 1);
     EXPECT_EQ(client.status, 503);
-    for (auto& s : world.sent) {
-        if (s.request.rfind("DELETE", 0) == 0 && !s.attempt->is_over())
-            s.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
+    for (auto& sent : world.sent) {
+        if (sent.request.rfind("DELETE", 0) == 0 && !sent.attempt->is_over())
+            sent.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
     }
     pass(3000);
 }
@@ -222,8 +222,8 @@
 // The connection of an attempt takes its whole dial time to come up, and meanwhile its reason goes away.
 TEST_F(RelayTest, AnAttemptWhoseConnectionComesUpTooLateIsNotSent) {
     world.dials_wait = true;
-    const auto write_of = [&](const std::string& txn, PlatformClient& c) {
-        const auto handle = ask(txn, c);
+    const auto write_of = [&](const std::string& txn, PlatformClient& client) {
+        const auto handle = ask(txn, client);
         last().attempt->may_start();
         last().attempt->on_request_written();
         read_done();
@@ -277,7 +277,7 @@
     EXPECT_EQ(once_sent.status, 502);
     EXPECT_EQ(once_unsent.status, 503) << "it never ran";
     EXPECT_EQ(safe.status, 503);
-    for (const PlatformClient* c : {&once_sent, &once_unsent, &safe}) EXPECT_EQ(c->ended, 1);
+    for (const PlatformClient* client : {&once_sent, &once_unsent, &safe}) EXPECT_EQ(client->ended, 1);
     settle();
 }
 
@@ -373,25 +373,27 @@
         world.sent.clear();
         std::size_t seen = 0;
         bool drained = false;
-        const auto txn = [](const PlatformWorld::Sent& s) {
-            const auto at = s.request.find("x-txn: ") + 7;
-            return s.request.substr(at, s.request.find("\r\n", at) - at);
+        const auto txn = [](const PlatformWorld::Sent& sent) {
+            const auto at = sent.request.find("x-txn: ") + 7;
+            return sent.request.substr(at, sent.request.find("\r\n", at) - at);
+        };
+        const auto release = [](const PlatformWorld::Sent& sent) {
+            return sent.request.rfind("DELETE", 0) == 0;
         };
-        const auto release = [](const PlatformWorld::Sent& s) { return s.request.rfind("DELETE", 0) == 0; };
         const auto look = [&] {  // at what was sent since
             for (; seen < world.sent.size(); ++seen) {
-                const auto& s = world.sent[seen];
-                if (release(s)) {  // it counts once it has reached a server, answered or not
-                    const auto from = s.request.find("rooms/") + 6;
-                    held.erase(s.request.substr(from, s.request.find(' ', from) - from));
+                const auto& sent = world.sent[seen];
+                if (release(sent)) {  // it counts once it has reached a server, answered or not
+                    const auto from = sent.request.find("rooms/") + 6;
+                    held.erase(sent.request.substr(from, sent.request.find(' ', from) - from));
                 }
-                if (s.request.empty() || release(s)) continue;
-                EXPECT_FALSE(drained && s.address == "10.0.0.3:1");
+                if (sent.request.empty() || release(sent)) continue;
+                EXPECT_FALSE(drained && sent.address == "10.0.0.3:1");
                 for (std::size_t i = 0; i < seen; ++i) {
                     const auto& o = world.sent[i];
-                    EXPECT_FALSE(!o.request.empty() && !release(o) && txn(o) == txn(s) && !o.closed &&
+                    EXPECT_FALSE(!o.request.empty() && !release(o) && txn(o) == txn(sent) && !o.closed &&
                                  !o.attempt->is_over())
-                        << "two attempts of " << txn(s);
+                        << "two attempts of " << txn(sent);
                 }
             }
         };
@@ -404,28 +406,28 @@
             }
             if (out.empty()) return false;
             // Copies: an answer may send more.
-            const auto s = world.sent[out[below(out.size())]];
+            const auto sent = world.sent[out[below(out.size())]];
             const std::size_t how = kindly ? 0 : below(6);
-            if (release(s)) {
+            if (release(sent)) {
                 if (how > 4)
-                    s.attempt->on_connection_closed();
+                    sent.attempt->on_connection_closed();
                 else
-                    s.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
+                    sent.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
             } else if (how == 5) {
-                s.attempt->on_connection_closed();
+                sent.attempt->on_connection_closed();
             } else if (how == 4) {
-                s.attempt->on_data("HTTP/1.1 503 no\r\nx-turned-away: 1\r\ncontent-length: 0\r\n\r\n");
-            } else if (s.address != "10.0.0.3:1") {
-                held.insert(txn(s));
-                s.attempt->on_data("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}");
+                sent.attempt->on_data("HTTP/1.1 503 no\r\nx-turned-away: 1\r\ncontent-length: 0\r\n\r\n");
+            } else if (sent.address != "10.0.0.3:1") {
+                held.insert(txn(sent));
+                sent.attempt->on_data("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}");
             } else if (how == 3) {
-                s.attempt->on_data("noise");
+                sent.attempt->on_data("noise");
             } else {
-                held.erase(txn(s));  // the write has taken it
+                held.erase(txn(sent));  // the write has taken it
                 if (how < 2)
-                    s.attempt->on_data(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
+                    sent.attempt->on_data(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
                 else
-                    s.attempt->on_data(kStream + chunked("data: a\n\n") + "zz");
+                    sent.attempt->on_data(kStream + chunked("data: a\n\n") + "zz");
             }
             return true;
         };
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -63,9 +63,9 @@
     ConnectionPool upstream{loop, config()};
 
     static ConnectionPool::Config config() {
-        ConnectionPool::Config c;
-        c.cooldown = c.learn_reuse = true;
-        return c;
+        ConnectionPool::Config pool;
+        pool.cooldown = pool.learn_reuse = true;
+        return pool;
     }
     void run(net::Millis ms) {
         net::Timer end(loop, [this] { loop.stop(); });
@@ -75,7 +75,7 @@
     std::shared_ptr<platform::UpstreamExchange> start(std::optional<platform::AttemptOutcome>& end) {
         auto call =
             std::make_shared<platform::UpstreamExchange>(platform::UpstreamExchange::Kind::lease_call);
-        call->on_ended = [&end](const platform::AttemptOutcome& e) { end = e; };
+        call->on_ended = [&end](const platform::AttemptOutcome& outcome) { end = outcome; };
         upstream.start(server.address(), "DELETE /x HTTP/1.1\r\n\r\n", call);
         return call;
     }
