--- a/tests/router/guards_test.cpp
+++ b/tests/router/guards_test.cpp
@@ -12,24 +12,24 @@
 
 class Guards : public ::testing::Test {
 protected:
-    void start(Settings s, const std::vector<Endpoint>& servers) {
-        bench = std::make_unique<Bench>(s);
+    void start(Settings settings, const std::vector<Endpoint>& servers) {
+        bench = std::make_unique<Bench>(settings);
         bench->feed(0, list(servers));
     }
     EndpointId read_at(const RequestId& id, Millis now) {
         bench->feed(now, arrival(id, now));
-        const auto a = bench->all<StartAttempt>();
-        return a.empty() ? 0 : a[0].endpoint;
+        const auto start = bench->all<StartAttempt>();
+        return start.empty() ? 0 : start[0].endpoint;
     }
     // Takes a request through read and stream, `pace` ms a stage, wherever the Router sends it.
     EndpointId serve(const RequestId& id, Millis now) {
         const EndpointId r = read_at(id, now);
         if (!r) return 0;
         bench->feed(now + 5, outcome(id, 0, r, AttemptResult::prefill_done));
-        const auto a = bench->all<StartAttempt>();
-        if (a.empty()) return r;
-        bench->feed(now + 8, FirstToken{id, 1, a[0].endpoint, 3});
-        bench->feed(now + 9, outcome(id, 1, a[0].endpoint, AttemptResult::served, true));
+        const auto start = bench->all<StartAttempt>();
+        if (start.empty()) return r;
+        bench->feed(now + 8, FirstToken{id, 1, start[0].endpoint, 3});
+        bench->feed(now + 9, outcome(id, 1, start[0].endpoint, AttemptResult::served, true));
         return r;
     }
     static constexpr Millis kNever = 1e18;
@@ -49,19 +49,20 @@
                 where.erase(id);
             }
             bench->run_to(now);
-            for (const auto& m : bench->all<MigrateStream>()) {
-                moved(where[m.request]);
-                bench->feed(now, outcome(m.request, 1, where[m.request], AttemptResult::cancelled, true));
-                where.erase(m.request);
+            for (const auto& migrate : bench->all<MigrateStream>()) {
+                moved(where[migrate.request]);
+                bench->feed(
+                    now, outcome(migrate.request, 1, where[migrate.request], AttemptResult::cancelled, true));
+                where.erase(migrate.request);
             }
             const RequestId id = "s" + std::to_string(i);
             if (!read_at(id, now)) continue;
             bench->feed(now + 1, outcome(id, 0, 1, AttemptResult::prefill_done));
-            const auto a = bench->all<StartAttempt>();
-            if (a.empty()) continue;
-            bench->feed(now + 2, FirstToken{id, 1, a[0].endpoint, 1});
-            where[id] = a[0].endpoint;
-            ends.emplace(now + length(a[0].endpoint, now), id);
+            const auto start = bench->all<StartAttempt>();
+            if (start.empty()) continue;
+            bench->feed(now + 2, FirstToken{id, 1, start[0].endpoint, 1});
+            where[id] = start[0].endpoint;
+            ends.emplace(now + length(start[0].endpoint, now), id);
         }
     }
     void TearDown() override { EXPECT_EQ(bench->checker.breaches, std::vector<std::string>{}); }
@@ -118,9 +119,9 @@
 // The gateway stands still for two seconds: no timer comes, then all that waited comes at once. None of the
 // servers whose work was out is left for it, and the key's window still counts from the send.
 TEST_F(Guards, AnOwnStandstillIsBlamedOnNobody) {
-    Settings s = plain_settings();
-    s.classes[0].deadline = 10000;
-    start(s, {reader(1), reader(2), reader(3), writer(11), writer(12)});
+    Settings settings = plain_settings();
+    settings.classes[0].deadline = 10000;
+    start(settings, {reader(1), reader(2), reader(3), writer(11), writer(12)});
     for (int i = 0; i < 40; ++i) {
         bench->run_to(9 + 20 * i);
         serve("w" + std::to_string(i), 10 + 20 * i);
@@ -290,17 +291,17 @@
 }
 
 TEST_F(Guards, OnlyColdServersStillGetATrickle) {
-    Endpoint r = reader(1), w = writer(11);
-    r.started_at = w.started_at = 1;
-    start(plain_settings(), {r, w});
+    Endpoint endpoint = reader(1), w = writer(11);
+    endpoint.started_at = w.started_at = 1;
+    start(plain_settings(), {endpoint, w});
     EXPECT_EQ(read_at("a", 10), 1u);
 }
 
 TEST_F(Guards, DrainingServersGetNothing) {
     start(plain_settings(), {reader(1), reader(2), writer(11)});
-    Endpoint d = reader(1);
-    d.status = EndpointStatus::draining;
-    bench->feed(5, EndpointUpdate{EndpointUpdate::Kind::incremental, {d}});
+    Endpoint endpoint = reader(1);
+    endpoint.status = EndpointStatus::draining;
+    bench->feed(5, EndpointUpdate{EndpointUpdate::Kind::incremental, {endpoint}});
     for (int i = 0; i < 6; ++i) EXPECT_EQ(read_at("a" + std::to_string(i), 10 + i), 2u);
     bench->feed(20, list({reader(1), writer(11)}));  // 2 is missing from a full list: removed
     EXPECT_EQ(read_at("z", 30), 1u);
@@ -411,9 +412,9 @@
 }
 
 TEST_F(Guards, AOnceRequestThatMayHaveRunIsFailedNotRefused) {
-    Settings s = plain_settings();
-    s.classes[0].idempotency = Idempotency::unsafe;
-    start(s, {reader(1), writer(11), writer(12)});
+    Settings settings = plain_settings();
+    settings.classes[0].idempotency = Idempotency::unsafe;
+    start(settings, {reader(1), writer(11), writer(12)});
     const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
     const EndpointId w = bench->all<StartAttempt>().at(0).endpoint;
@@ -423,11 +424,11 @@
 }
 
 TEST_F(Guards, AKeyedRequestStaysInItsGroup) {
-    Settings s = plain_settings();
-    s.classes[0].idempotency = Idempotency::with_key;
-    s.classes[0].dedup_scope = DedupScope::zone;
-    s.classes[0].dedup_window = 5000;
-    start(s, {reader(1, 0), writer(11, 0), writer(12, 1), writer(13, 0)});
+    Settings settings = plain_settings();
+    settings.classes[0].idempotency = Idempotency::with_key;
+    settings.classes[0].dedup_scope = DedupScope::zone;
+    settings.classes[0].dedup_window = 5000;
+    start(settings, {reader(1, 0), writer(11, 0), writer(12, 1), writer(13, 0)});
     const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
     const EndpointId w = bench->all<StartAttempt>().at(0).endpoint;
@@ -436,11 +437,11 @@
 }
 
 TEST_F(Guards, AKeyedRequestIsReadAnewInItsGroupOnly) {
-    Settings s = plain_settings();
-    s.classes[0].idempotency = Idempotency::with_key;
-    s.classes[0].dedup_scope = DedupScope::zone;
-    s.classes[0].dedup_window = 5000;
-    start(s, {reader(1, 0), writer(11, 1), reader(2, 0), reader(3, 0)});
+    Settings settings = plain_settings();
+    settings.classes[0].idempotency = Idempotency::with_key;
+    settings.classes[0].dedup_scope = DedupScope::zone;
+    settings.classes[0].dedup_window = 5000;
+    start(settings, {reader(1, 0), writer(11, 1), reader(2, 0), reader(3, 0)});
     const EndpointId r = read_at("a", 10);
     bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
     bench->feed(30, outcome("a", 1, 11, AttemptResult::reset));
@@ -455,12 +456,12 @@
 }
 
 TEST_F(Guards, AKeyedRequestIsNotRepeatedWhereItsWindowMayCloseOnTheWay) {
-    Settings s = plain_settings();
-    s.classes[0].idempotency = Idempotency::with_key;
-    s.classes[0].dedup_window = 1000;
-    s.connect_timeout = 250;
+    Settings settings = plain_settings();
+    settings.classes[0].idempotency = Idempotency::with_key;
+    settings.classes[0].dedup_window = 1000;
+    settings.connect_timeout = 250;
     for (const Millis reset_at : {600.0, 700.0}) {
-        start(s, {reader(1), reader(2), writer(11), writer(12)});
+        start(settings, {reader(1), reader(2), writer(11), writer(12)});
         const EndpointId r = read_at("a", 10);
         bench->feed(20, outcome("a", 0, r, AttemptResult::prefill_done));
         const EndpointId w = bench->all<StartAttempt>().at(0).endpoint;
@@ -490,10 +491,10 @@
                           {Idempotency::with_key, DedupScope::cell, true, false},
                           {Idempotency::unsafe, DedupScope::all, true, false}};
     for (const Case& c : cases) {
-        Settings s = plain_settings();
-        s.classes[0].idempotency = c.effect, s.classes[0].dedup_scope = c.group,
-        s.classes[0].dedup_window = 5000;
-        start(s, {reader(1), reader(2), writer(11), writer(12)});
+        Settings settings = plain_settings();
+        settings.classes[0].idempotency = c.effect, settings.classes[0].dedup_scope = c.group,
+        settings.classes[0].dedup_window = 5000;
+        start(settings, {reader(1), reader(2), writer(11), writer(12)});
         // One was read and its connection to the writer did not come up; one waits for the writer's answer.
         const EndpointId unsent = read_at("unsent", 10);
         const EndpointId sent = read_at("sent", 11);
@@ -505,7 +506,8 @@
         bench->feed(30, Shutdown{});
         const auto refused = [this](const RequestId& id) {
             const auto all = bench->all<Reject>();
-            return std::any_of(all.begin(), all.end(), [&](const Reject& r) { return r.request == id; });
+            return std::any_of(all.begin(), all.end(),
+                               [&](const Reject& reject) { return reject.request == id; });
         };
         EXPECT_EQ(bench->all<Reject>().size() + bench->all<Fail>().size(), 2u);
         EXPECT_EQ(refused("sent"), c.refused_sent);
@@ -525,10 +527,10 @@
 }
 
 TEST_F(Guards, WhereTheListMustBeAskedForItIs) {
-    Settings s = plain_settings();
-    s.discovery = Discovery::poll;
-    s.poll_interval = 10000;
-    start(s, {reader(1), writer(11)});
+    Settings settings = plain_settings();
+    settings.discovery = Discovery::poll;
+    settings.poll_interval = 10000;
+    start(settings, {reader(1), writer(11)});
     EXPECT_EQ(bench->all<WatchEndpoints>().size(), 1u);
     bench->feed(100, EndpointUpdate{EndpointUpdate::Kind::failed, {}});
     bench->run_to(1000);
@@ -536,10 +538,10 @@
 }
 
 TEST_F(Guards, OverloadShedsOverShareTenantsFirst) {
-    Settings s = plain_settings();
-    s.tenants = {{1}, {1000}};
-    s.over_quota_weight = 0.05;
-    start(s, {reader(1), writer(11)});
+    Settings settings = plain_settings();
+    settings.tenants = {{1}, {1000}};
+    settings.over_quota_weight = 0.05;
+    start(settings, {reader(1), writer(11)});
     int refused[2] = {0, 0};
     for (int i = 0; i < 26; ++i) {
         Arrival a = arrival("r" + std::to_string(i), 10 + i);
@@ -646,10 +648,10 @@
 // than 8,000 tokens, as the wait foreseen was the usual time for a thousand tokens, queue and all, times
 // their length.
 TEST_F(Guards, ALongPromptIsNotRefusedForItsLength) {
-    Settings s = plain_settings();
-    s.classes[1].priority_weight = s.classes[0].priority_weight / 3;
-    for (auto& c : s.classes) c.latency_objective_per_1000_tokens = 40;
-    start(s, {reader(1), reader(2), writer(11), writer(12)});
+    Settings settings = plain_settings();
+    settings.classes[1].priority_weight = settings.classes[0].priority_weight / 3;
+    for (auto& class_settings : settings.classes) class_settings.latency_objective_per_1000_tokens = 40;
+    start(settings, {reader(1), reader(2), writer(11), writer(12)});
     Millis now = 10;
     for (int i = 0; i < 40; ++i, now += 150) {
         const std::string id = "s" + std::to_string(i);
@@ -696,23 +698,23 @@
 }
 
 TEST(Settings, WhatCannotBeMetIsRefusedByName) {
-    const auto why = [](const Settings& s) -> std::string {
+    const auto why = [](const Settings& settings) -> std::string {
         try {
-            Router r(s, 1);
+            Router router(settings, 1);
         } catch (const std::invalid_argument& e) {
             return e.what();
         }
         return "";
     };
-    Settings s = plain_settings();
-    s.classes.clear();
-    EXPECT_NE(why(s).find("classes"), std::string::npos);
-    s = plain_settings();
-    s.kinds = {{Role::prefill, 1000}};
-    EXPECT_NE(why(s).find("kinds"), std::string::npos);
-    s = plain_settings();
-    s.classes[1].latency_objective = 0;
-    EXPECT_NE(why(s).find("aim"), std::string::npos);
+    Settings settings = plain_settings();
+    settings.classes.clear();
+    EXPECT_NE(why(settings).find("classes"), std::string::npos);
+    settings = plain_settings();
+    settings.kinds = {{Role::prefill, 1000}};
+    EXPECT_NE(why(settings).find("kinds"), std::string::npos);
+    settings = plain_settings();
+    settings.classes[1].latency_objective = 0;
+    EXPECT_NE(why(settings).find("aim"), std::string::npos);
     EXPECT_EQ(why(plain_settings()), "");
 }
 
--- a/tests/router/hung_endpoint_test.cpp
+++ b/tests/router/hung_endpoint_test.cpp
@@ -56,12 +56,13 @@
         const std::vector<Action> actions = std::exchange(bench_.actions, {});
         for (const Action& action : actions) {
             if (const auto* a = std::get_if<StartAttempt>(&action)) start(now, *a);
-            if (const auto* s = std::get_if<StopAttempt>(&action)) {
-                if (!out_[s->request].streams) end(now, s->request, AttemptResult::cancelled);
+            if (const auto* stop = std::get_if<StopAttempt>(&action)) {
+                if (!out_[stop->request].streams) end(now, stop->request, AttemptResult::cancelled);
             }
-            if (const auto* m = std::get_if<MigrateStream>(&action))
-                end(now, m->request, AttemptResult::cancelled, true);
-            if (const auto* r = std::get_if<Reject>(&action)) shed += r->cause == EndCause::shed_load;
+            if (const auto* migrate = std::get_if<MigrateStream>(&action))
+                end(now, migrate->request, AttemptResult::cancelled, true);
+            if (const auto* reject = std::get_if<Reject>(&action))
+                shed += reject->cause == EndCause::shed_load;
         }
     }
     void start(Millis now, const StartAttempt& a) {
--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -71,9 +71,9 @@
 }
 
 TEST_F(Planted, SentToADrainedServer) {
-    Endpoint d = reader(1);
-    d.status = EndpointStatus::draining;
-    c.event(1, EndpointUpdate{EndpointUpdate::Kind::incremental, {d}});
+    Endpoint endpoint = reader(1);
+    endpoint.status = EndpointStatus::draining;
+    c.event(1, EndpointUpdate{EndpointUpdate::Kind::incremental, {endpoint}});
     c.event(300, arrival("a", 300));
     c.action(300, StartAttempt{"a", 1, 0});
     EXPECT_EQ(c.breaches.size(), 1u);
@@ -115,23 +115,23 @@
 void run_random(std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const auto dice = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
-    Settings s = plain_settings();
-    s.hedging = dice(2);
-    s.health_checks = dice(2);
-    s.local_prefill = dice(2);
-    s.slot_reservation = dice(2);
-    s.cancellation = dice(4) > 0;
-    s.stream_migration = dice(2);
-    s.retry_after = dice(2);
-    s.max_retry_after = 500;
-    s.connect_timeout = 100;
-    s.discovery = dice(2) ? Discovery::poll : Discovery::watch;
-    s.poll_interval = 10000;
-    s.tenants = {{5}, {5}};
-    for (auto& c : s.classes) {
-        c.idempotency = static_cast<Idempotency>(dice(3));
-        c.dedup_scope = static_cast<DedupScope>(dice(3));
-        c.dedup_window = 200 + 1000 * dice(4);
+    Settings settings = plain_settings();
+    settings.hedging = dice(2);
+    settings.health_checks = dice(2);
+    settings.local_prefill = dice(2);
+    settings.slot_reservation = dice(2);
+    settings.cancellation = dice(4) > 0;
+    settings.stream_migration = dice(2);
+    settings.retry_after = dice(2);
+    settings.max_retry_after = 500;
+    settings.connect_timeout = 100;
+    settings.discovery = dice(2) ? Discovery::poll : Discovery::watch;
+    settings.poll_interval = 10000;
+    settings.tenants = {{5}, {5}};
+    for (auto& class_settings : settings.classes) {
+        class_settings.idempotency = static_cast<Idempotency>(dice(3));
+        class_settings.dedup_scope = static_cast<DedupScope>(dice(3));
+        class_settings.dedup_window = 200 + 1000 * dice(4);
     }
     std::vector<Endpoint> entries;
     for (EndpointId i = 0; i < 4; ++i) entries.push_back(reader(1 + i, dice(2)));
@@ -147,7 +147,7 @@
         bool begun = false, reads = false;
         Millis sent = 0;
     };
-    auto bench = std::make_unique<Bench>(s, seed);
+    auto bench = std::make_unique<Bench>(settings, seed);
     Millis now = 0;
     std::vector<Out> outs;
     std::map<RequestId, int> attempts;
@@ -155,23 +155,23 @@
     std::map<RequestId, Arrival> open;
     int next = 0;
     const auto take = [&](const std::vector<Action>& actions) {
-        for (const auto& a : actions) {
-            if (const auto* t = std::get_if<StartAttempt>(&a)) {
-                outs.push_back({t->request, attempts[t->request]++, t->endpoint});
+        for (const auto& reject : actions) {
+            if (const auto* start = std::get_if<StartAttempt>(&reject)) {
+                outs.push_back({start->request, attempts[start->request]++, start->endpoint});
                 outs.back().sent = now;
-                for (const auto& e : entries) {
-                    if (e.id == t->endpoint) outs.back().reads = e.kind == 0;
+                for (const auto& endpoint : entries) {
+                    if (endpoint.id == start->endpoint) outs.back().reads = endpoint.kind == 0;
                 }
-            } else if (const auto* r = std::get_if<Reject>(&a)) {
+            } else if (const auto* r = std::get_if<Reject>(&reject)) {
                 ended[r->request] = true;
-            } else if (const auto* f = std::get_if<Fail>(&a)) {
-                ended[f->request] = true;
-            } else if (const auto* m = std::get_if<MigrateStream>(&a)) {
-                ended[m->request] = true;
+            } else if (const auto* fail = std::get_if<Fail>(&reject)) {
+                ended[fail->request] = true;
+            } else if (const auto* migrate = std::get_if<MigrateStream>(&reject)) {
+                ended[migrate->request] = true;
             }
         }
     };
-    const auto feed = [&](const Event& e) { take(bench->feed(now, e)); };
+    const auto feed = [&](const Event& event) { take(bench->feed(now, event)); };
     feed(EndpointUpdate{EndpointUpdate::Kind::cached, entries});
     for (int step = 0; step < 1500; ++step) {
         now += dice(20);
@@ -205,7 +205,7 @@
             // A host tells within the dial timeout that no connection came up.
             const bool never_up =
                 e.result == AttemptResult::unreachable || e.result == AttemptResult::not_sent;
-            if (never_up && now > o.sent + s.connect_timeout) e.result = AttemptResult::reset;
+            if (never_up && now > o.sent + settings.connect_timeout) e.result = AttemptResult::reset;
             if (o.begun) e.result = dice(3) ? AttemptResult::served : AttemptResult::reset;
             if (e.result == AttemptResult::rejected) e.detail = dice(2);
             e.report.memory_utilization = dice(3) ? 0.01 * dice(100) : -1;
@@ -217,20 +217,21 @@
             const RequestId id = "r" + std::to_string(dice(next));
             if (!ended[id] && now < open[id].deadline) ended[id] = true, feed(ClientDisconnected{id});
         } else if (what < 98) {
-            EndpointUpdate e;
-            e.kind = dice(3) ? EndpointUpdate::Kind::incremental : EndpointUpdate::Kind::full;
-            if (dice(6) == 0) e.kind = EndpointUpdate::Kind::failed;
+            EndpointUpdate update;
+            update.kind = dice(3) ? EndpointUpdate::Kind::incremental : EndpointUpdate::Kind::full;
+            if (dice(6) == 0) update.kind = EndpointUpdate::Kind::failed;
             for (auto& entry : entries) {
                 if (dice(5) == 0) entry.status = static_cast<EndpointStatus>(dice(3));
                 if (dice(12) == 0) entry.status = EndpointStatus::healthy, entry.started_at = now - dice(500);
-                if (e.kind == EndpointUpdate::Kind::failed) continue;
-                if (e.kind == EndpointUpdate::Kind::full && entry.status == EndpointStatus::removed) continue;
-                e.endpoints.push_back(entry);
+                if (update.kind == EndpointUpdate::Kind::failed) continue;
+                if (update.kind == EndpointUpdate::Kind::full && entry.status == EndpointStatus::removed)
+                    continue;
+                update.endpoints.push_back(entry);
             }
-            feed(e);
+            feed(update);
         } else if (dice(10) == 0) {  // the gateway dies and comes back with its last list
             ASSERT_EQ(bench->checker.breaches, std::vector<std::string>{}) << "seed " << seed;
-            bench = std::make_unique<Bench>(s, seed + static_cast<std::uint64_t>(step));
+            bench = std::make_unique<Bench>(settings, seed + static_cast<std::uint64_t>(step));
             outs.clear(), attempts.clear(), ended.clear(), open.clear();
             next = 0;
             feed(EndpointUpdate{EndpointUpdate::Kind::cached, entries});
--- a/tests/router/large_fleet_test.cpp
+++ b/tests/router/large_fleet_test.cpp
@@ -26,9 +26,9 @@
         routers_[static_cast<std::size_t>(g)] = std::make_unique<Bench>(settings, ++seed_);
         routers_[static_cast<std::size_t>(g)]->feed(now, list(servers_));
     }
-    void add(const Endpoint& e, Millis now) {
-        servers_.push_back(e);
-        for (auto& r : routers_) r->feed(now, EndpointUpdate{EndpointUpdate::Kind::incremental, {e}});
+    void add(const Endpoint& endpoint, Millis now) {
+        servers_.push_back(endpoint);
+        for (auto& r : routers_) r->feed(now, EndpointUpdate{EndpointUpdate::Kind::incremental, {endpoint}});
     }
     // One request through gateway g; false if it got no answer.
     bool serve(int g, Millis now, std::uint64_t session, int cls = 0) {
@@ -100,15 +100,15 @@
     Fleet fleet(gateways, pairs(10));
     // 120 requests a second over eleven readers in the end: 10.9 each, at 60% of what a warm one can do.
     const double capacity = 120 / 11.0 / 0.6, per_ms = 0.12;
-    const auto& s = fleet.settings;
-    const Millis started = 5000, warm = started + s.slow_start_duration, end = warm + 5000;
+    const auto& settings = fleet.settings;
+    const Millis started = 5000, warm = started + settings.slow_start_duration, end = warm + 5000;
     int next = 0;
     bool cold = false;
     for (Millis now = 10; now < end; now += 1 / per_ms) {
         if (now >= started && !cold) {
-            Endpoint e = reader(50);
-            e.started_at = started;
-            fleet.add(e, now);
+            Endpoint endpoint = reader(50);
+            endpoint.started_at = started;
+            fleet.add(endpoint, now);
             cold = true;
             for (int i = 0; GetParam().herd && i < gateways; ++i) {
                 if (i % 10 < 7) fleet.restart(i, now);
@@ -121,10 +121,10 @@
     const auto& at = fleet.sent_at[50];
     std::size_t first = 0, in_warm_up = 0;
     for (std::size_t i = 0; i < at.size(); ++i) {
-        while (at[first] <= at[i] - s.overload_window) ++first;
+        while (at[first] <= at[i] - settings.overload_window) ++first;
         // Even if it gains nothing: the present capacity is at least that of the start.
-        EXPECT_LE(static_cast<double>(i - first + 1),
-                  s.overload_factor * s.initial_capacity * capacity * s.overload_window / 1000)
+        EXPECT_LE(static_cast<double>(i - first + 1), settings.overload_factor * settings.initial_capacity *
+                                                          capacity * settings.overload_window / 1000)
             << "at " << at[i];
         if (at[i] > warm) break;
         ++in_warm_up;
@@ -152,9 +152,9 @@
 TEST_P(SlowStartAtAnySize, KeepsTheBudget) {
     const Size& size = GetParam();
     Fleet fleet(size.gateways, pairs(10));
-    const auto& s = fleet.settings;
+    const auto& settings = fleet.settings;
     const double capacity = size.per_second / 11.0 / 0.6;
-    const Millis started = 8000, warm = started + s.slow_start_duration;
+    const Millis started = 8000, warm = started + settings.slow_start_duration;
     Endpoint cold = reader(50);
     cold.started_at = started;
     bool listed = false;
@@ -169,10 +169,10 @@
     const auto& at = fleet.sent_at[50];
     std::size_t first = 0;
     for (std::size_t i = 0; i < at.size(); ++i) {
-        while (at[first] <= at[i] - s.overload_window) ++first;
-        const double share =
-            s.initial_capacity + (1 - s.initial_capacity) * (at[i] - started) / s.slow_start_duration;
-        const double n = s.overload_factor * share * capacity * s.overload_window / 1000;
+        while (at[first] <= at[i] - settings.overload_window) ++first;
+        const double share = settings.initial_capacity + (1 - settings.initial_capacity) * (at[i] - started) /
+                                                             settings.slow_start_duration;
+        const double n = settings.overload_factor * share * capacity * settings.overload_window / 1000;
         EXPECT_LE(static_cast<double>(i - first + 1), n + 3 * std::sqrt(n) + 3) << "at " << at[i];
     }
     EXPECT_EQ(fleet.breaches(), std::vector<std::string>{});
@@ -206,17 +206,17 @@
 // Found on the fleet bench (calm day, a burst and forgotten texts): reads given up after 0.4 of the aim were
 // read anew elsewhere, the jam stayed, and a third of the attempts timed out.
 TEST(Many, AReadIsNotGivenUpWhileItsAnswerIsStillWanted) {
-    Settings s = plain_settings();
-    s.gateways = 100;
-    Bench bench(s);
+    Settings settings = plain_settings();
+    settings.gateways = 100;
+    Bench bench(settings);
     bench.feed(0, list(pairs(6)));
     bench.feed(10, arrival("a", 10));
     ASSERT_EQ(bench.all<StartAttempt>().size(), 1u);
     const StartAttempt read = bench.all<StartAttempt>()[0];
-    EXPECT_GE(read.timeout, 2 * s.classes[0].latency_objective);
+    EXPECT_GE(read.timeout, 2 * settings.classes[0].latency_objective);
     bench.feed(30, outcome("a", 0, read.endpoint, AttemptResult::prefill_done));
     ASSERT_EQ(bench.all<StartAttempt>().size(), 1u);
-    EXPECT_LT(bench.all<StartAttempt>()[0].timeout, s.classes[0].latency_objective)
+    EXPECT_LT(bench.all<StartAttempt>()[0].timeout, settings.classes[0].latency_objective)
         << "a wait is short work, and is moved soon";
     // Where servers report their load the next pick is an informed one, and a read is moved sooner.
     AttemptEnded heard = outcome("a", 1, bench.all<StartAttempt>()[0].endpoint, AttemptResult::served, true);
@@ -225,17 +225,17 @@
     bench.feed(50, heard);
     bench.feed(60, arrival("b", 60));
     ASSERT_EQ(bench.all<StartAttempt>().size(), 1u);
-    EXPECT_LT(bench.all<StartAttempt>()[0].timeout, 2 * s.classes[0].latency_objective);
+    EXPECT_LT(bench.all<StartAttempt>()[0].timeout, 2 * settings.classes[0].latency_objective);
 }
 
 // Found there too: the gateways of a zone whose readers jam never looked into the other zone, as what they
 // knew nothing of counted as no better than what they had.
 TEST(Many, AZoneThatJamsGivesItsReadsAway) {
-    Settings s = plain_settings();
-    s.gateways = 100;
+    Settings settings = plain_settings();
+    settings.gateways = 100;
     int away = 0, first = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        Bench bench(s, seed);
+        Bench bench(settings, seed);
         std::vector<Endpoint> servers;
         for (EndpointId i = 1; i <= 6; ++i) {
             servers.push_back(reader(i, i > 3));
@@ -253,12 +253,12 @@
             if (sends.size() != 1) continue;
             const EndpointId at = sends[0].endpoint;
             (i < 3 ? first : away) += i < 3 || i >= 20 ? at > 3 : 0;
-            const Millis took = at > 3 ? 30 : 1.2 * s.classes[0].latency_objective;
+            const Millis took = at > 3 ? 30 : 1.2 * settings.classes[0].latency_objective;
             bench.run_to(now + took);
             bench.feed(now + took, outcome(id, 0, at, AttemptResult::prefill_done));
-            for (const auto& w : bench.all<StartAttempt>()) {
-                bench.feed(now + took + 1, FirstToken{id, 1, w.endpoint, 1});
-                bench.feed(now + took + 2, outcome(id, 1, w.endpoint, AttemptResult::served, true));
+            for (const auto& start : bench.all<StartAttempt>()) {
+                bench.feed(now + took + 1, FirstToken{id, 1, start.endpoint, 1});
+                bench.feed(now + took + 2, outcome(id, 1, start.endpoint, AttemptResult::served, true));
             }
         }
     }
@@ -269,19 +269,19 @@
 // Guards against refusals for a long time after one jammed reader was met, while others idle: a gateway that
 // has one read out and knows of nothing else refuses only when that read has long been too late.
 TEST(Many, OneReadThatIsLateRefusesNobodySoon) {
-    Settings s = plain_settings();
-    s.gateways = 100;
+    Settings settings = plain_settings();
+    settings.gateways = 100;
     const auto refuses_after = [&](Millis age) {
-        Bench bench(s);
+        Bench bench(settings);
         bench.feed(0, list(pairs(6)));
         bench.feed(10, arrival("a", 10));
         bench.run_to(10 + age);
         bench.feed(10 + age, arrival("b", 10 + age));
         return !bench.all<Reject>().empty();
     };
-    EXPECT_FALSE(refuses_after(0.5 * s.classes[0].latency_objective));
-    EXPECT_FALSE(refuses_after(1.2 * s.classes[0].latency_objective));
-    EXPECT_TRUE(refuses_after(4 * s.classes[0].latency_objective)) << "and then it does";
+    EXPECT_FALSE(refuses_after(0.5 * settings.classes[0].latency_objective));
+    EXPECT_FALSE(refuses_after(1.2 * settings.classes[0].latency_objective));
+    EXPECT_TRUE(refuses_after(4 * settings.classes[0].latency_objective)) << "and then it does";
 }
 
 TEST(Many, ASessionKeepsItsReaderAtAllGateways) {
@@ -301,14 +301,14 @@
 // Found on a deployment with one class and few openings: six readers jammed on a calm day while forty idled,
 // as each opening had one home and no gateway saw enough of it to notice.
 TEST(Many, AHotOpeningIsSharedByReadersAndARareOneHasOneHome) {
-    Settings s = plain_settings();
-    s.gateways = 100;
+    Settings settings = plain_settings();
+    settings.gateways = 100;
     const std::uint64_t hot = 7;
     std::map<EndpointId, int> hot_reads;
     std::map<std::uint64_t, std::map<EndpointId, int>> rare_reads;
     int hot_sum = 0;
     for (std::uint64_t gateway = 1; gateway <= 30; ++gateway) {
-        Bench bench(s, gateway);
+        Bench bench(settings, gateway);
         bench.feed(0, list(pairs(20)));
         for (std::uint64_t i = 0; i < 80; ++i) {
             const Millis now = 10 + 600.0 * static_cast<double>(i);
@@ -421,9 +421,9 @@
         fleet.serve(static_cast<int>(session % 100), now, session);
     }
     for (EndpointId id = 1; id <= 4; ++id) {
-        Endpoint e = reader(id);
-        e.started_at = 4000;
-        fleet.add(e, 4010);
+        Endpoint endpoint = reader(id);
+        endpoint.started_at = 4000;
+        fleet.add(endpoint, 4010);
     }
     fleet.sent.clear();
     int served = 0, asked = 0;
--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -18,38 +18,39 @@
 }
 
 void Checker::event(Millis now, const Event& event) {
-    if (const auto* e = std::get_if<Arrival>(&event)) {
-        requests_[e->request].a = *e;
-    } else if (const auto* g = std::get_if<ClientDisconnected>(&event)) {
-        if (const auto it = requests_.find(g->request); it != requests_.end()) it->second.ended = true;
-    } else if (const auto* f = std::get_if<FirstToken>(&event)) {
-        Request& r = requests_.at(f->request);
+    if (const auto* arrival = std::get_if<Arrival>(&event)) {
+        requests_[arrival->request].a = *arrival;
+    } else if (const auto* gone = std::get_if<ClientDisconnected>(&event)) {
+        if (const auto it = requests_.find(gone->request); it != requests_.end()) it->second.ended = true;
+    } else if (const auto* first_token = std::get_if<FirstToken>(&event)) {
+        Request& r = requests_.at(first_token->request);
         r.ended = r.begun = true;
         r.state = r.place = false;
-    } else if (const auto* o = std::get_if<AttemptEnded>(&event)) {
-        Request& r = requests_.at(o->request);
-        Try& t = r.tries.at(static_cast<std::size_t>(o->attempt));
+    } else if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
+        Request& r = requests_.at(ended->request);
+        Try& t = r.tries.at(static_cast<std::size_t>(ended->attempt));
         t.out = false;
-        t.proven_not_run = t.reader || o->result == AttemptResult::rejected ||
-                           o->result == AttemptResult::unreachable || o->result == AttemptResult::not_sent;
-        if (o->result == AttemptResult::prefill_done) r.state = true;
-        if (o->result == AttemptResult::rejected && o->detail == 1) r.state = false;
-        if (o->result == AttemptResult::served) r.state = r.place = false;
-        if (o->request_closed) r.ended = true;
+        t.proven_not_run = t.reader || ended->result == AttemptResult::rejected ||
+                           ended->result == AttemptResult::unreachable ||
+                           ended->result == AttemptResult::not_sent;
+        if (ended->result == AttemptResult::prefill_done) r.state = true;
+        if (ended->result == AttemptResult::rejected && ended->detail == 1) r.state = false;
+        if (ended->result == AttemptResult::served) r.state = r.place = false;
+        if (ended->request_closed) r.ended = true;
         // One whose connection did not come up was never out, as far as the server can tell.
-        if (o->result != AttemptResult::unreachable && o->result != AttemptResult::not_sent)
+        if (ended->result != AttemptResult::unreachable && ended->result != AttemptResult::not_sent)
             r.pinned_since = now;
         if ((r.state || r.place) && now > r.pinned_since + s_.lease_release_timeout)
-            breach(now, "pinned: state or place held for " + o->request);
+            breach(now, "pinned: state or place held for " + ended->request);
     } else if (const auto* released = std::get_if<LeaseReleased>(&event)) {
         const auto it = requests_.find(released->request);
         if (it != requests_.end()) it->second.state = it->second.place = false;
-    } else if (const auto* l = std::get_if<EndpointUpdate>(&event)) {
-        if (l->kind == EndpointUpdate::Kind::failed) return;
-        if (l->kind != EndpointUpdate::Kind::incremental) {
+    } else if (const auto* update = std::get_if<EndpointUpdate>(&event)) {
+        if (update->kind == EndpointUpdate::Kind::failed) return;
+        if (update->kind != EndpointUpdate::Kind::incremental) {
             for (auto& [id, s] : servers_) s.entry.status = EndpointStatus::removed;
         }
-        for (const auto& entry : l->endpoints) servers_[entry.id].entry = entry;
+        for (const auto& entry : update->endpoints) servers_[entry.id].entry = entry;
         for (auto& [id, s] : servers_) {
             if (s.entry.status == EndpointStatus::healthy) {
                 s.told_gone = -1;
@@ -73,48 +74,49 @@
 }
 
 void Checker::action(Millis now, const Action& action) {
-    if (const auto* a = std::get_if<StartAttempt>(&action)) {
-        const auto it = requests_.find(a->request);
+    if (const auto* start = std::get_if<StartAttempt>(&action)) {
+        const auto it = requests_.find(start->request);
         if (it == requests_.end()) return breach(now, "lost: attempt for an unknown request");
         Request& r = it->second;
         if (r.ended) breach(now, "lost: attempt after the end");
-        send(now, a->endpoint);
-        if (!servers_.count(a->endpoint)) return;
+        send(now, start->endpoint);
+        if (!servers_.count(start->endpoint)) return;
         if (out(r) > 0 && !s_.hedging) breach(now, "twice: two attempts out");
-        const ClassSettings& c = s_.classes[static_cast<std::size_t>(r.a.cls)];
-        const Endpoint& to = servers_.at(a->endpoint).entry;
+        const ClassSettings& class_settings = s_.classes[static_cast<std::size_t>(r.a.cls)];
+        const Endpoint& to = servers_.at(start->endpoint).entry;
         for (const Try& t : r.tries) {
             if (t.proven_not_run) continue;
-            if (c.idempotency == Idempotency::unsafe) breach(now, "twice: a once request sent again");
-            if (c.idempotency != Idempotency::with_key) continue;
+            if (class_settings.idempotency == Idempotency::unsafe)
+                breach(now, "twice: a once request sent again");
+            if (class_settings.idempotency != Idempotency::with_key) continue;
             const Endpoint& ran = servers_.at(t.server).entry;
-            if (now - t.sent > c.dedup_window) breach(now, "twice: sent again after the window");
-            if (c.dedup_scope == DedupScope::zone && ran.zone != to.zone)
+            if (now - t.sent > class_settings.dedup_window) breach(now, "twice: sent again after the window");
+            if (class_settings.dedup_scope == DedupScope::zone && ran.zone != to.zone)
                 breach(now, "twice: sent to another zone");
-            if (c.dedup_scope == DedupScope::cell && ran.cell != to.cell)
+            if (class_settings.dedup_scope == DedupScope::cell && ran.cell != to.cell)
                 breach(now, "twice: sent to another cell");
         }
         Try t;
-        t.server = a->endpoint, t.sent = now, t.reader = role(a->endpoint) == Role::prefill;
+        t.server = start->endpoint, t.sent = now, t.reader = role(start->endpoint) == Role::prefill;
         r.tries.push_back(t);
         const double budget =
             s_.overload_factor * s_.initial_capacity * capacity_per_s * s_.overload_window / 1000;
-        if (static_cast<double>(servers_.at(a->endpoint).sends.size()) > budget)
+        if (static_cast<double>(servers_.at(start->endpoint).sends.size()) > budget)
             breach(now, "cold: pushed over");
-    } else if (const auto* h = std::get_if<ReserveSlot>(&action)) {
-        Request& r = requests_.at(h->request);
+    } else if (const auto* reserve = std::get_if<ReserveSlot>(&action)) {
+        Request& r = requests_.at(reserve->request);
         if (!s_.slot_reservation) breach(now, "place held where that is forbidden");
         r.place = true;
         r.pinned_since = now;
-        send(now, h->endpoint);
-    } else if (const auto* d = std::get_if<ReleaseLease>(&action)) {
-        if (const auto it = requests_.find(d->request); it != requests_.end()) {
+        send(now, reserve->endpoint);
+    } else if (const auto* release = std::get_if<ReleaseLease>(&action)) {
+        if (const auto it = requests_.find(release->request); it != requests_.end()) {
             it->second.state = it->second.place = false;
         }
-    } else if (const auto* f = std::get_if<Fail>(&action)) {
-        end(now, f->request, false);
-    } else if (const auto* e = std::get_if<Reject>(&action)) {
-        end(now, e->request, true);
+    } else if (const auto* fail = std::get_if<Fail>(&action)) {
+        end(now, fail->request, false);
+    } else if (const auto* reject = std::get_if<Reject>(&action)) {
+        end(now, reject->request, true);
     } else if (std::get_if<StopAttempt>(&action)) {
         if (!s_.cancellation) breach(now, "attempt stopped where that is forbidden");
     } else if (std::get_if<HealthCheck>(&action)) {
@@ -129,13 +131,14 @@
     if (r.ended) return breach(now, "lost: a second final answer");
     r.ended = true;
     if (now > r.a.deadline + s_.answer_slack && r.a.deadline > 0) breach(now, "lost: answered too late");
-    const ClassSettings& c = s_.classes[static_cast<std::size_t>(r.a.cls)];
-    if (!refusal || c.idempotency == Idempotency::idempotent) return;
+    const ClassSettings& class_settings = s_.classes[static_cast<std::size_t>(r.a.cls)];
+    if (!refusal || class_settings.idempotency == Idempotency::idempotent) return;
     for (const Try& t : r.tries) {
         if (t.proven_not_run || (t.reader && !t.out)) continue;
-        if (c.idempotency == Idempotency::unsafe)
+        if (class_settings.idempotency == Idempotency::unsafe)
             breach(now, "twice: a once request refused that may have run");
-        if (c.idempotency == Idempotency::with_key && c.dedup_scope != DedupScope::all)
+        if (class_settings.idempotency == Idempotency::with_key &&
+            class_settings.dedup_scope != DedupScope::all)
             breach(now, "twice: a keyed request refused");
     }
 }
@@ -158,9 +161,10 @@
     checker.event(now, event);
     actions.clear();
     router.handle(now, event, actions);
-    for (const auto& a : actions) {
-        checker.action(now, a);
-        if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(t->at, t->timer);
+    for (const auto& reject : actions) {
+        checker.action(now, reject);
+        if (const auto* set_timer = std::get_if<SetTimer>(&reject))
+            timers.emplace(set_timer->at, set_timer->timer);
     }
     return actions;
 }
@@ -178,40 +182,42 @@
 }
 
 Settings plain_settings() {
-    Settings s;
-    ClassSettings c;
-    c.latency_objective = 1000, c.deadline = 5000, c.priority_weight = 3, c.inter_token_objective = 60;
-    s.classes = {c, c};
-    s.classes[1].priority_weight = 1;
-    s.kinds = {{Role::prefill, 100000}, {Role::decode, 100000}, {Role::mixed, 100000}};
-    s.zones = 2;
-    s.gateways = 2;
-    s.max_attempts = 6;
-    s.cancellation = true;
-    s.stream_migration = true;
-    s.answer_slack = 16;
-    s.drain_grace = 250;
-    s.lease_release_timeout = 500;
-    s.overload_factor = 2.5;
-    s.overload_window = 2000;
-    s.initial_capacity = 0.3;
-    s.slow_start_duration = 10000;
-    s.event_interval = 4;
-    return s;
+    Settings settings;
+    ClassSettings class_settings;
+    class_settings.latency_objective = 1000, class_settings.deadline = 5000,
+    class_settings.priority_weight = 3, class_settings.inter_token_objective = 60;
+    settings.classes = {class_settings, class_settings};
+    settings.classes[1].priority_weight = 1;
+    settings.kinds = {{Role::prefill, 100000}, {Role::decode, 100000}, {Role::mixed, 100000}};
+    settings.zones = 2;
+    settings.gateways = 2;
+    settings.max_attempts = 6;
+    settings.cancellation = true;
+    settings.stream_migration = true;
+    settings.answer_slack = 16;
+    settings.drain_grace = 250;
+    settings.lease_release_timeout = 500;
+    settings.overload_factor = 2.5;
+    settings.overload_window = 2000;
+    settings.initial_capacity = 0.3;
+    settings.slow_start_duration = 10000;
+    settings.event_interval = 4;
+    return settings;
 }
 
 EndpointUpdate list(const std::vector<Endpoint>& entries) { return {EndpointUpdate::Kind::full, entries}; }
 
 Endpoint reader(EndpointId id, int zone) {
-    Endpoint e;
-    e.id = id, e.zone = zone, e.kind = 0, e.cell = static_cast<std::uint64_t>(zone);
-    return e;
+    Endpoint endpoint;
+    endpoint.id = id, endpoint.zone = zone, endpoint.kind = 0,
+    endpoint.cell = static_cast<std::uint64_t>(zone);
+    return endpoint;
 }
 
 Endpoint writer(EndpointId id, int zone) {
-    Endpoint e = reader(id, zone);
-    e.kind = 1;
-    return e;
+    Endpoint endpoint = reader(id, zone);
+    endpoint.kind = 1;
+    return endpoint;
 }
 
 Arrival arrival(const RequestId& id, Millis now, double prompt) {
@@ -224,9 +230,10 @@
 }
 
 AttemptEnded outcome(const RequestId& id, int attempt, EndpointId server, AttemptResult result, bool closed) {
-    AttemptEnded o;
-    o.request = id, o.attempt = attempt, o.endpoint = server, o.result = result, o.request_closed = closed;
-    return o;
+    AttemptEnded ended;
+    ended.request = id, ended.attempt = attempt, ended.endpoint = server, ended.result = result,
+    ended.request_closed = closed;
+    return ended;
 }
 
 }  // namespace gorsenotch::test
--- a/tests/router/router_harness.h
+++ b/tests/router/router_harness.h
@@ -62,8 +62,8 @@
     template <class T>
     std::vector<T> all() const {
         std::vector<T> found;
-        for (const auto& a : actions) {
-            if (const T* t = std::get_if<T>(&a)) found.push_back(*t);
+        for (const auto& reject : actions) {
+            if (const T* t = std::get_if<T>(&reject)) found.push_back(*t);
         }
         return found;
     }
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -43,10 +43,10 @@
     start({reader(1), reader(2), writer(11)});
     // Reader 1 tells 50,000 of 100,000 tokens held, reader 2 tells 10,000; two prompts are the margin.
     for (const EndpointId id : {1u, 2u}) {
-        AttemptEnded o = outcome("gone", 0, id, AttemptResult::prefill_done);
-        o.report.memory_utilization = id == 1 ? 0.5 : 0.1;
+        AttemptEnded ended = outcome("gone", 0, id, AttemptResult::prefill_done);
+        ended.report.memory_utilization = id == 1 ? 0.5 : 0.1;
         bench.actions.clear();
-        bench.router.handle(5, o, bench.actions);  // of a request long forgotten: only its report counts
+        bench.router.handle(5, ended, bench.actions);  // of a request long forgotten: only its report counts
     }
     for (int i = 0; i < 4; ++i) EXPECT_EQ(arrive("r" + std::to_string(i), 10 + i), 2u);
 }
@@ -54,10 +54,10 @@
 TEST_F(Logic, AnUnheardReaderCountsAsAverage) {
     start({reader(1), reader(2), reader(3), writer(11)});
     for (const EndpointId id : {1u, 2u}) {
-        AttemptEnded o = outcome("gone", 0, id, AttemptResult::prefill_done);
-        o.report.memory_utilization = id == 1 ? 0.9 : 0.1;
+        AttemptEnded ended = outcome("gone", 0, id, AttemptResult::prefill_done);
+        ended.report.memory_utilization = id == 1 ? 0.9 : 0.1;
         bench.actions.clear();
-        bench.router.handle(5, o, bench.actions);
+        bench.router.handle(5, ended, bench.actions);
     }
     for (int i = 0; i < 4; ++i) EXPECT_EQ(arrive("r" + std::to_string(i), 10 + i), 2u);  // 3 counts as 0.5
 }
@@ -193,9 +193,9 @@
 }
 
 TEST_F(Logic, NoPlaceIsHeldAhead) {
-    Settings s = plain_settings();
-    s.slot_reservation = true;
-    Bench b(s);
+    Settings settings = plain_settings();
+    settings.slot_reservation = true;
+    Bench b(settings);
     b.feed(0, list({reader(1), writer(11)}));
     b.feed(10, arrival("a", 10));
     b.feed(20, outcome("a", 0, 1, AttemptResult::prefill_done));
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -36,14 +36,14 @@
     EXPECT_EQ(faults_of(kGood), "");
     EXPECT_EQ(faults_of(slurp("days/settings.xml")), "");
     std::vector<FileFault> faults;
-    const auto p = parse(kGood, "dir/f.xml", faults);
-    EXPECT_EQ(p->engines.size(), 10u);
-    EXPECT_EQ(p->router.classes[0].deadline, 5000);
-    EXPECT_EQ(p->router.connect_timeout, 250);
-    EXPECT_EQ(p->limits.stream_buffer, 32768u);  // defaults of the schema
-    EXPECT_EQ(tenant_of(*p, "local-key"), 0);
-    EXPECT_EQ(tenant_of(*p, "local-kez"), -1);
-    EXPECT_EQ(tenant_of(*p, ""), -1);
+    const auto program = parse(kGood, "dir/f.xml", faults);
+    EXPECT_EQ(program->engines.size(), 10u);
+    EXPECT_EQ(program->router.classes[0].deadline, 5000);
+    EXPECT_EQ(program->router.connect_timeout, 250);
+    EXPECT_EQ(program->limits.stream_buffer, 32768u);  // defaults of the schema
+    EXPECT_EQ(tenant_of(*program, "local-key"), 0);
+    EXPECT_EQ(tenant_of(*program, "local-kez"), -1);
+    EXPECT_EQ(tenant_of(*program, ""), -1);
 }
 
 TEST(SettingsFile, BadOnesAreRefusedWithLineAndReason) {
@@ -100,30 +100,31 @@
 
 TEST(SettingsFile, KeyedClassesHaveATwinThatRunsOnce) {
     std::vector<FileFault> faults;
-    const auto p = parse(slurp("days/settings.xml"), "f.xml", faults);
-    ASSERT_TRUE(p);
-    ASSERT_EQ(p->unkeyed_class.size(), 1u);
-    const auto [keyed, twin] = *p->unkeyed_class.begin();
-    EXPECT_EQ(p->classes[static_cast<std::size_t>(keyed)], p->classes[static_cast<std::size_t>(twin)]);
-    EXPECT_EQ(p->router.classes[static_cast<std::size_t>(twin)].idempotency, Idempotency::unsafe);
+    const auto program = parse(slurp("days/settings.xml"), "f.xml", faults);
+    ASSERT_TRUE(program);
+    ASSERT_EQ(program->unkeyed_class.size(), 1u);
+    const auto [keyed, twin] = *program->unkeyed_class.begin();
+    EXPECT_EQ(program->classes[static_cast<std::size_t>(keyed)],
+              program->classes[static_cast<std::size_t>(twin)]);
+    EXPECT_EQ(program->router.classes[static_cast<std::size_t>(twin)].idempotency, Idempotency::unsafe);
 }
 
 TEST(FleetFile, ReadBackAndRefused) {
     std::vector<FileFault> faults;
-    const auto p = parse(kGood, "f.xml", faults);
-    auto engines = p->engines;
+    const auto program = parse(kGood, "f.xml", faults);
+    auto engines = program->engines;
     engines[1].endpoint.status = EndpointStatus::draining,
     engines[2].endpoint.status = EndpointStatus::removed, engines[2].endpoint.started_at = 1.7e12;
-    const auto back = parse_fleet(write_fleet(engines, *p), *p, faults);
+    const auto back = parse_fleet(write_fleet(engines, *program), *program, faults);
     ASSERT_TRUE(back) << render("", faults);
     EXPECT_EQ(back->size(), engines.size());
     EXPECT_EQ((*back)[1].endpoint.status, EndpointStatus::draining);
     EXPECT_EQ((*back)[2].endpoint.started_at, 1.7e12);
     EXPECT_EQ((*back)[2].address, engines[2].address);
-    const std::string whole = write_fleet(engines, *p);
+    const std::string whole = write_fleet(engines, *program);
     for (std::size_t n = 0; n + 2 < whole.size(); n += 7) {  // a file that is being written
         faults.clear();
-        EXPECT_FALSE(parse_fleet(whole.substr(0, n), *p, faults)) << n;
+        EXPECT_FALSE(parse_fleet(whole.substr(0, n), *program, faults)) << n;
         EXPECT_FALSE(faults.empty());
     }
 }
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -25,8 +25,8 @@
 std::string refusal(const std::string& input) {
     try {
         play(input);
-    } catch (const WireError& e) {
-        return e.what();
+    } catch (const WireError& error) {
+        return error.what();
     }
     return "";
 }
--- a/tests/state/state_test.cpp
+++ b/tests/state/state_test.cpp
@@ -30,87 +30,87 @@
 };
 
 TEST(Saved, NewestWholeGeneration) {
-    Folder f;
-    SnapshotStore s(f.path, "x");
+    Folder folder;
+    SnapshotStore store(folder.path, "x");
     std::string why;
-    EXPECT_FALSE(s.load(why));
+    EXPECT_FALSE(store.load(why));
     EXPECT_EQ(why, "");
     for (const char* text : {"one", "", "three\nlines\n", "four"}) {
-        ASSERT_TRUE(s.save(text, why)) << why;
-        EXPECT_EQ(SnapshotStore(f.path, "x").load(why), text);
+        ASSERT_TRUE(store.save(text, why)) << why;
+        EXPECT_EQ(SnapshotStore(folder.path, "x").load(why), text);
     }
 }
 
 // The newer file cut short or with one byte changed anywhere: the older generation serves, and it is said so.
 TEST(Saved, DamageAnywhereGivesTheOtherGeneration) {
-    Folder f;
-    SnapshotStore s(f.path, "x");
+    Folder folder;
+    SnapshotStore store(folder.path, "x");
     std::string why;
-    s.save("older", why), s.save("newer text", why);
-    const std::string newer = f.text("x.a").find("newer") != std::string::npos ? "x.a" : "x.b";
-    const std::string whole = f.text(newer);
+    store.save("older", why), store.save("newer text", why);
+    const std::string newer = folder.text("x.a").find("newer") != std::string::npos ? "x.a" : "x.b";
+    const std::string whole = folder.text(newer);
     for (std::size_t n = 0; n < whole.size(); ++n) {
-        f.put(newer, whole.substr(0, n));
-        EXPECT_EQ(s.load(why), "older") << n;
+        folder.put(newer, whole.substr(0, n));
+        EXPECT_EQ(store.load(why), "older") << n;
         EXPECT_NE(why, "");
         std::string flipped = whole;
         flipped[n] = static_cast<char>(flipped[n] ^ 1);
-        f.put(newer, flipped);
-        EXPECT_EQ(s.load(why), "older") << n;
+        folder.put(newer, flipped);
+        EXPECT_EQ(store.load(why), "older") << n;
     }
     // What is saved next replaces the damaged file, never the good one.
-    ASSERT_TRUE(s.save("newest", why));
-    EXPECT_EQ(s.load(why), "newest");
+    ASSERT_TRUE(store.save("newest", why));
+    EXPECT_EQ(store.load(why), "newest");
     EXPECT_EQ(why, "");
-    f.put("x.a", "junk"), f.put("x.b", "");
-    EXPECT_FALSE(s.load(why));
-    EXPECT_TRUE(s.save("again", why));
-    EXPECT_EQ(s.load(why), "again");
+    folder.put("x.a", "junk"), folder.put("x.b", "");
+    EXPECT_FALSE(store.load(why));
+    EXPECT_TRUE(store.save("again", why));
+    EXPECT_EQ(store.load(why), "again");
 }
 
 TEST(Saved, ARefusalOfTheSystemIsToldAndHarmless) {
-    Folder f;
-    SnapshotStore s(f.path, "x");
+    Folder folder;
+    SnapshotStore store(folder.path, "x");
     std::string why;
-    s.save("kept", why);
-    std::filesystem::create_directory(f.path + "/x.new");  // nothing can be written aside
-    EXPECT_FALSE(s.save("lost", why));
+    store.save("kept", why);
+    std::filesystem::create_directory(folder.path + "/x.new");  // nothing can be written aside
+    EXPECT_FALSE(store.save("lost", why));
     EXPECT_NE(why, "");
-    EXPECT_EQ(s.load(why), "kept");
+    EXPECT_EQ(store.load(why), "kept");
     EXPECT_FALSE(SnapshotStore("/nowhere/at/all", "x").save("y", why));
 }
 
 Settings plain() {
-    Settings s;
-    s.classes = {{.latency_objective = 500, .deadline = 3000}};
-    s.kinds = {{Role::prefill, 1000}, {Role::decode, 1000}};
-    s.max_attempts = 4, s.cancellation = true;
-    return s;
+    Settings settings;
+    settings.classes = {{.latency_objective = 500, .deadline = 3000}};
+    settings.kinds = {{Role::prefill, 1000}, {Role::decode, 1000}};
+    settings.max_attempts = 4, settings.cancellation = true;
+    return settings;
 }
 
 // A life of a Router under the journal: a list, a few requests and timers.
 void live(DecisionObserver& w, std::uint64_t seed) {
     Router router(plain(), seed);
     std::vector<Action> actions;
-    const auto feed = [&](Millis now, const Event& e) {
+    const auto feed = [&](Millis now, const Event& event) {
         actions.clear();
-        w.on_event(now, e);
-        router.handle(now, e, actions);
-        for (const auto& a : actions) w.on_action(a);
+        w.on_event(now, event);
+        router.handle(now, event, actions);
+        for (const auto& reject : actions) w.on_action(reject);
     };
     EndpointUpdate list;
     for (EndpointId id : {1u, 2u, 11u, 12u}) list.endpoints.push_back({.id = id, .kind = id > 10});
     feed(1.25, list);
     for (int i = 0; i < 20; ++i) {
-        Arrival a;
-        a.request = "r" + std::to_string(i), a.deadline = 3000 + i, a.prompt_tokens = 100;
-        a.session = 0xFFFFFFFFFFFFFFF0ULL + static_cast<unsigned>(i);
-        feed(2 + i / 3.0, a);
-        AttemptEnded o;
-        o.request = a.request, o.endpoint = 1,
-        o.result = i % 3 ? AttemptResult::prefill_done : AttemptResult::reset;
-        o.report.memory_utilization = 0.1 * i;
-        feed(10 + i / 7.0, o);
+        Arrival arrival;
+        arrival.request = "r" + std::to_string(i), arrival.deadline = 3000 + i, arrival.prompt_tokens = 100;
+        arrival.session = 0xFFFFFFFFFFFFFFF0ULL + static_cast<unsigned>(i);
+        feed(2 + i / 3.0, arrival);
+        AttemptEnded ended;
+        ended.request = arrival.request, ended.endpoint = 1,
+        ended.result = i % 3 ? AttemptResult::prefill_done : AttemptResult::reset;
+        ended.report.memory_utilization = 0.1 * i;
+        feed(10 + i / 7.0, ended);
     }
     feed(30, TimerFired{0});
     feed(31, ClientDisconnected{"r3"});
@@ -127,8 +127,8 @@
 }
 
 TEST(Journal, ReplaysToTheSameActions) {
-    Folder f;
-    std::istringstream in(journal(f.path + "/j", 7));
+    Folder folder;
+    std::istringstream in(journal(folder.path + "/j", 7));
     const auto r = replay(in, plain());
     EXPECT_EQ(r.difference, "");
     EXPECT_EQ(r.events, 43);
@@ -136,23 +136,23 @@
 }
 
 TEST(Journal, TellsADifference) {
-    Folder f;
-    const std::string text = journal(f.path + "/j", 7);
+    Folder folder;
+    const std::string text = journal(folder.path + "/j", 7);
     std::string other = text;
     const auto at = other.find("\"a\":\"attempt\"");
     const auto server = other.find("\"s\":", at);
     other[server + 4] = other[server + 4] == '1' ? '2' : '1';
     std::istringstream in(other);
     EXPECT_NE(replay(in, plain()).difference, "");
-    Settings s = plain();
-    s.max_attempts = 1;
+    Settings settings = plain();
+    settings.max_attempts = 1;
     std::istringstream again(text);
-    EXPECT_NE(replay(again, s).difference, "");
+    EXPECT_NE(replay(again, settings).difference, "");
 }
 
 TEST(Journal, TornByAKillAndGoneOnByTheNextLife) {
-    Folder f;
-    const std::string file = f.path + "/j";
+    Folder folder;
+    const std::string file = folder.path + "/j";
     const std::string text = journal(file, 7);
     std::filesystem::resize_file(file, text.size() * 2 / 3);
     const std::string both = journal(file, 8);
