--- a/bench/cost.cpp
+++ b/bench/cost.cpp
@@ -237,7 +237,7 @@
     std::ifstream log(setup.folder + "/gateway.log");
     int lines = 0;
     for (std::string text; std::getline(log, text) && lines < 20;) {
-        if (text.find("slow_turn") == std::string::npos && text.find("stood_still") == std::string::npos)
+        if (text.find("slow_turn") == std::string::npos && text.find("stalled") == std::string::npos)
             continue;
         std::printf("  %s\n", text.c_str());
         ++lines;
--- a/src/control/invariant_checker.h
+++ b/src/control/invariant_checker.h
@@ -30,8 +30,9 @@
     late_answer,    // may be this process's standstill, so it is counted and never fatal
 };
 constexpr std::array<const char*, 10> kInvariantNames = {
-    "sent_after_end", "sent_to_drained",   "two_out",       "repeated_effect", "outside_group",
-    "outside_window", "harmless_promised", "second_answer", "held_too_long",   "late_answer"};
+    "sent_after_end",      "sent_while_draining",  "overlapping_attempts",        "duplicate_execution",
+    "outside_dedup_scope", "outside_dedup_window", "rejected_after_possible_run", "duplicate_answer",
+    "lease_overrun",       "late_answer"};
 
 class InvariantChecker {
 public:
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -29,8 +29,8 @@
     prefill_unanswered,  // a read is out: it may have ended, and its answer may be lost on the way
     slot_requested       // a place was asked for
 };
-constexpr std::array<const char*, 4> kLeaseOriginNames = {"read_done", "read_lost", "read_unanswered",
-                                                          "place_asked"};
+constexpr std::array<const char*, 4> kLeaseOriginNames = {"prefill_done", "prefill_lost",
+                                                          "prefill_unanswered", "slot_requested"};
 
 class KvLease {
 public:
--- a/src/control/send_preconditions.h
+++ b/src/control/send_preconditions.h
@@ -25,7 +25,8 @@
     lease_released
 };
 constexpr std::array<const char*, 7> kSendBlockReasonNames = {
-    "request_over", "client_left", "not_listed", "not_up", "window_over", "deadline_over", "state_released"};
+    "request_over",     "client_disconnected", "not_listed",    "not_healthy",
+    "send_window_over", "deadline_exceeded",   "lease_released"};
 
 struct SendPreconditions {
     bool request_over = false;         // its client has its final answer
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -81,7 +81,7 @@
 void Gateway::on_stall(Millis for_ms) {
     // Guards against sends by a list that was replaced meanwhile: drains are counted from then.
     if (watch_) watch_->check_now();
-    if (for_ms >= 100) log("warn", "stood_still", {{"ms", std::round(for_ms)}});
+    if (for_ms >= 100) log("warn", "stalled", {{"ms", std::round(for_ms)}});
 }
 
 int Gateway::start() {
@@ -96,7 +96,7 @@
         std::string why;
         if (const auto text = saved_->load(why)) engines = settings::parse_fleet(*text, p_, faults);
         if (!faults.empty()) why = settings::render("saved list", faults);
-        if (!why.empty()) log("warn", "saved_list", {{"why", why}});
+        if (!why.empty()) log("warn", "cached_endpoint_list", {{"why", why}});
     }
     if (engines) {
         lifecycle_->on_endpoint_list(*engines, true);
@@ -124,9 +124,10 @@
         engines = settings::parse_fleet(text, p_, faults);
     }
     // Guards against a half-written or wrong list: the one in force stays.
-    if (!engines) return log("error", "fleet_refused", {{"faults", settings::render(p_.fleet_file, faults)}});
+    if (!engines)
+        return log("error", "endpoint_list_refused", {{"faults", settings::render(p_.fleet_file, faults)}});
     lifecycle_->on_endpoint_list(*engines, false);
-    log("info", "fleet", {{"engines", engines->size()}});
+    log("info", "endpoint_list", {{"engines", engines->size()}});
     if (saved_) save_list(std::move(text));
 }
 
@@ -145,7 +146,7 @@
             // Guards against an old list at the next start, as the folder was full or failing for a while.
             if (!why->empty()) {
                 if (!std::exchange(save_failed_, true))
-                    log("warn", "saved_list", {{"why", *why + "; tried again"}});
+                    log("warn", "cached_endpoint_list", {{"why", *why + "; tried again"}});
                 if (!to_save_) to_save_ = std::move(*list);
                 return save_again_.fire_after(kSaveAgain);
             }
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -15,9 +15,9 @@
         case AttemptResult::error:
             return "error";
         case AttemptResult::rejected:
-            return "full";
+            return "rejected";
         case AttemptResult::timed_out:
-            return "late";
+            return "timed_out";
         case AttemptResult::unreachable:
             return "unreachable";
         case AttemptResult::reset:
@@ -27,7 +27,7 @@
         case AttemptResult::not_sent:
             return "not_sent";
         case AttemptResult::prefill_done:
-            return "read_done";
+            return "prefill_done";
     }
     return "unknown";
 }
@@ -416,7 +416,7 @@
         environment_.log("info", "attempt",
                          {{"request", id},
                           {"attempt", attempt},
-                          {"server", t->endpoint},
+                          {"endpoint", t->endpoint},
                           {"result", word(outcome.result)},
                           {"why", outcome.why}});
     }
--- a/src/platform/access_log.cpp
+++ b/src/platform/access_log.cpp
@@ -7,8 +7,9 @@
 namespace gorsenotch::platform {
 namespace {
 
-constexpr std::array<const char*, 9> kResults = {"served", "error",     "full",     "late",     "unreachable",
-                                                 "reset",  "cancelled", "not_sent", "read_done"};
+constexpr std::array<const char*, 9> kResults = {"served",    "error",       "rejected",
+                                                 "timed_out", "unreachable", "reset",
+                                                 "cancelled", "not_sent",    "prefill_done"};
 constexpr std::size_t kAttemptsLogged = 8;
 
 std::string whole(Millis t) { return std::to_string(std::lround(t)); }
@@ -27,21 +28,21 @@
 
 std::string describe_timeline(const control::KvLease::Timeline& timeline, Millis arrived, Millis now,
                               const std::string& holder, const std::string& awaited) {
-    std::string s("held ");
+    std::string s("lease ");
     s.append(whole(now - timeline.acquired)).append(" ");
     s.append(control::kLeaseOriginNames[static_cast<std::size_t>(timeline.origin)])
         .append(" at ")
         .append(holder);
-    s.append(", made ").append(whole(timeline.acquired - arrived));
-    if (timeline.expiring >= 0) s.append(", at_risk ").append(whole(timeline.expiring - arrived));
+    s.append(", acquired ").append(whole(timeline.acquired - arrived));
+    if (timeline.expiring >= 0) s.append(", expiring ").append(whole(timeline.expiring - arrived));
     if (timeline.released >= 0) s.append(", release ").append(whole(timeline.released - arrived));
     if (timeline.written < timeline.acquired) return s;
     s.append("; ").append(awaited).append(" sent ").append(whole(timeline.written - arrived));
-    if (timeline.arrived < 0) return s.append(" unproved");
+    if (timeline.arrived < 0) return s.append(" unconfirmed");
     return s.append(" arrived ").append(whole(timeline.arrived - arrived));
 }
 
-Disposition AccessLog::served(const RequestRecord& record) const {
+RequestOutcome AccessLog::served(const RequestRecord& record) const {
     const ClassSettings& class_settings = settings_.classes[static_cast<std::size_t>(record.cls)];
     const Millis aim = class_settings.latency_objective +
                        class_settings.latency_objective_per_1000_tokens * record.prompt_tokens / 1000;
@@ -50,24 +51,24 @@
             std::any_of(record.attempts.begin(), record.attempts.end(), [&](const AttemptRecord& l) {
                 return l.result == AttemptResult::prefill_done && !l.out && l.ended > aim;
             });
-        return read_late ? Disposition::late_read : Disposition::late_write;
+        return read_late ? RequestOutcome::late_prefill : RequestOutcome::late_decode;
     }
     const bool slow =
         record.tokens > 1 && class_settings.inter_token_objective > 0 &&
         record.ended - record.first > class_settings.inter_token_objective * (record.tokens - 1);
-    return slow ? Disposition::slow_stream : Disposition::in_time;
+    return slow ? RequestOutcome::slow_stream : RequestOutcome::in_time;
 }
 
-bool AccessLog::count(Millis now, Disposition disposition, std::optional<EndCause> cause) {
-    ++dispositions_[static_cast<std::size_t>(disposition)];
+bool AccessLog::count(Millis now, RequestOutcome disposition, std::optional<EndCause> cause) {
+    ++outcomes_[static_cast<std::size_t>(disposition)];
     if (cause) ++causes_[static_cast<std::size_t>(*cause)];
-    if (disposition == Disposition::in_time) return false;
+    if (disposition == RequestOutcome::in_time) return false;
     return lines_.take(now);
 }
 
-std::string AccessLog::line(const RequestRecord& record, Disposition disposition) {
+std::string AccessLog::line(const RequestRecord& record, RequestOutcome disposition) {
     std::string s(record.txn);
-    s.append(" ").append(kDispositions[static_cast<std::size_t>(disposition)]);
+    s.append(" ").append(kOutcomeNames[static_cast<std::size_t>(disposition)]);
     if (record.cause) s.append(" cause ").append(kEndCauseNames[static_cast<std::size_t>(*record.cause)]);
     s.append(" class ").append(std::to_string(record.cls));
     s.append(" prompt ").append(whole(record.prompt_tokens));
@@ -75,9 +76,12 @@
     s.append(" end ").append(whole(record.ended));
     for (std::size_t i = 0; i < std::min(kAttemptsLogged, record.attempts.size()); ++i) {
         const AttemptRecord& l = record.attempts[i];
-        s.append(l.is_prefill ? "; read " : "; write ").append(l.server).append(" ").append(whole(l.sent));
+        s.append(l.is_prefill ? "; prefill " : "; decode ")
+            .append(l.server)
+            .append(" ")
+            .append(whole(l.sent));
         if (l.out) {
-            s.append(" out");
+            s.append(" in_flight");
         } else {
             s.append(" +")
                 .append(whole(l.ended - l.sent))
--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -30,27 +30,28 @@
     std::uint64_t not_logged_ = 0;
 };
 
-// Where the worth of a request went. `late_read`: the prompt was read only after the aim; `late_write`: it
-// was read in time, and the first token came after the aim; `slow_stream`: tokens came slower than wanted.
-enum class Disposition {
+// Where the worth of a request went. `late_prefill`: the prompt was read only after the aim; `late_decode`:
+// it was read in time, and the first token came after the aim; `slow_stream`: tokens came slower than wanted.
+enum class RequestOutcome {
     in_time,
-    late_read,
-    late_write,
+    late_prefill,
+    late_decode,
     slow_stream,
-    refused_unsent,
-    refused,
+    rejected_unsent,
+    rejected,
     failed,
     broken,
-    moved,
-    gone
+    migrated,
+    client_disconnected
 };
-constexpr std::array<const char*, 10> kDispositions = {
-    "in_time", "late_read", "late_write", "slow_stream", "refused_unsent",
-    "refused", "failed",    "broken",     "moved",       "gone"};
+constexpr std::array<const char*, 10> kOutcomeNames = {
+    "in_time",  "late_prefill", "late_decode", "slow_stream", "rejected_unsent",
+    "rejected", "failed",       "broken",      "migrated",    "client_disconnected"};
 
 constexpr std::array<const char*, kEndCauses> kEndCauseNames = {
-    "deadline",     "load",      "no_writer",  "attempts_used", "may_have_run",
-    "retry_budget", "no_server", "late_write", "shutdown"};
+    "deadline",           "load_shed",       "no_decode_endpoint",
+    "attempts_exhausted", "may_have_run",    "retry_budget",
+    "no_endpoint",        "decode_too_late", "shutdown"};
 
 // One attempt as the log tells of it; times are ms since the request's first byte.
 struct AttemptRecord {
@@ -76,18 +77,18 @@
     explicit AccessLog(const Settings& settings) : settings_(settings) {}
 
     // A whole answer is in time, late or slow.
-    Disposition served(const RequestRecord& record) const;
+    RequestOutcome served(const RequestRecord& record) const;
     // Counts it; true if it is to be logged.
-    bool count(Millis now, Disposition disposition, std::optional<EndCause> cause = std::nullopt);
-    static std::string line(const RequestRecord& record, Disposition disposition);
+    bool count(Millis now, RequestOutcome disposition, std::optional<EndCause> cause = std::nullopt);
+    static std::string line(const RequestRecord& record, RequestOutcome disposition);
 
-    const std::array<std::uint64_t, kDispositions.size()>& dispositions() const { return dispositions_; }
+    const std::array<std::uint64_t, kOutcomeNames.size()>& outcomes() const { return outcomes_; }
     const std::array<std::uint64_t, kEndCauses>& causes() const { return causes_; }
     std::uint64_t not_logged() const { return lines_.not_logged(); }
 
 private:
     const Settings& settings_;
-    std::array<std::uint64_t, kDispositions.size()> dispositions_{};
+    std::array<std::uint64_t, kOutcomeNames.size()> outcomes_{};
     std::array<std::uint64_t, kEndCauses> causes_{};
     LineBudget lines_{kLinesPerSecond};
 };
--- a/src/platform/client_connections.cpp
+++ b/src/platform/client_connections.cpp
@@ -67,7 +67,7 @@
         of.send(*this, http::last_chunk);
         handle = 0;
         // Guards against a client that has asked for the close and waits for it, in a place that others need.
-        if (!parser.keep_alive) return of.end(*this, EndReason::asked_for);
+        if (!parser.keep_alive) return of.end(*this, EndReason::close_requested);
         of.next(*this);
     }
     // What came is passed on before the connection ends, and a close over unread bytes would reset it.
@@ -117,7 +117,7 @@
     if (listener_ && listener_->accept_all_pending()) listener_.reset();
     for (auto it = all_.begin(); it != all_.end();) {
         Connection& connection = **it++;
-        if (connection.resting()) retire(connection, EndReason::departing);
+        if (connection.resting()) retire(connection, EndReason::draining);
     }
 }
 
@@ -164,7 +164,7 @@
     if (room) return;
     // Nothing of it is read, so its client may come again.
     connection.out = "HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
-    end(connection, EndReason::no_room);
+    end(connection, EndReason::at_capacity);
 }
 
 ClientConnections::Connection& ClientConnections::adopt(std::unique_ptr<net::TcpStream> stream) {
@@ -281,8 +281,8 @@
                                bool close) {
     if (connection.gone) return;
     const EndReason reason = close                           ? EndReason::bad_request
-                             : !connection.parser.keep_alive ? EndReason::asked_for
-                                                             : EndReason::departing;
+                             : !connection.parser.keep_alive ? EndReason::close_requested
+                                                             : EndReason::draining;
     close |= connection.last_answer();
     http::Headers headers = {{"content-type", "text/plain"},
                              {"content-length", std::to_string(why.size() + 1)}};
@@ -305,7 +305,7 @@
     connection.since = net::now(), connection.began = 0;
     connection.fresh = false;
     if (!connection.ahead.empty()) return send(connection, {});  // read in the turn's flush
-    if (stopped_accepting_) retire(connection, EndReason::departing);
+    if (stopped_accepting_) retire(connection, EndReason::draining);
 }
 
 void ClientConnections::end(Connection& connection, EndReason reason) {
@@ -347,14 +347,14 @@
 void ClientConnections::lose(Connection& connection) {
     const std::uint64_t handle = std::exchange(connection.handle, 0);
     if (!connection.gone && connection.state != Connection::State::ending)
-        ++counters_.ended[static_cast<std::size_t>(EndReason::peer)];
+        ++counters_.ended[static_cast<std::size_t>(EndReason::closed_by_peer)];
     erase(connection);
     if (handle) lifecycle_.on_client_disconnected(handle);
 }
 
 void ClientConnections::abandon(Connection& connection) {
     const std::uint64_t handle = std::exchange(connection.handle, 0);
-    end(connection, EndReason::too_much_ahead);
+    end(connection, EndReason::pipeline_overflow);
     if (handle) lifecycle_.on_client_disconnected(handle);
 }
 
@@ -404,7 +404,7 @@
             answer(connection, 408, "the request did not end in time", 0, true);
         } else if (connection.fresh) {
             if (now - connection.since < config_.patience) continue;
-            retire(connection, EndReason::silent);
+            retire(connection, EndReason::request_timeout);
         } else if (now - connection.since > (crowded ? config_.least_idle : config_.most_idle)) {
             retire(connection, EndReason::idle);
         }
--- a/src/platform/client_connections.h
+++ b/src/platform/client_connections.h
@@ -23,20 +23,20 @@
 
 // Why a connection ended; all but `peer` are this side's doing.
 enum class EndReason {
-    peer,            // its client closed it, or it broke
-    asked_for,       // its client had asked for the close
-    idle,            // it had rested for long
-    silent,          // new, and nothing had come
-    evicted,         // it made room
-    no_room,         // refused unread
-    departing,       // this process stops
-    bad_request,     // what came can't be read, or did not end in time
-    too_much_ahead,  // behind an open request
-    stream_broken    // or handed back
+    closed_by_peer,     // its client closed it, or it broke
+    close_requested,    // its client had asked for the close
+    idle,               // it had rested for long
+    request_timeout,    // new, and nothing had come
+    evicted,            // it made room
+    at_capacity,        // refused unread
+    draining,           // this process stops
+    bad_request,        // what came can't be read, or did not end in time
+    pipeline_overflow,  // behind an open request
+    stream_broken       // or handed back
 };
-constexpr std::array<const char*, 10> kEndReasons = {
-    "peer",    "asked_for", "idle",        "silent",         "evicted",
-    "no_room", "departing", "bad_request", "too_much_ahead", "stream_broken"};
+constexpr std::array<const char*, 10> kEndReasonNames = {
+    "closed_by_peer", "close_requested", "idle",        "request_timeout",   "evicted",
+    "at_capacity",    "draining",        "bad_request", "pipeline_overflow", "stream_broken"};
 
 class ClientConnections {
 public:
@@ -64,7 +64,7 @@
 
     struct Counters {
         std::uint64_t accepted = 0, bad = 0, accept_failed = 0;
-        std::array<std::uint64_t, kEndReasons.size()> ended{};
+        std::array<std::uint64_t, kEndReasonNames.size()> ended{};
         std::uint64_t of(EndReason reason) const { return ended[static_cast<std::size_t>(reason)]; }
         std::array<std::uint64_t, control::kCloseBlockReasonNames.size()> close_denials{};
     };
--- a/src/platform/lease_releaser.h
+++ b/src/platform/lease_releaser.h
@@ -32,7 +32,8 @@
     lease_expiring,     // no proof that its write has arrived came in time
     prefill_unanswered  // a read is out for long: it may have ended, its answer lost
 };
-constexpr std::array<const char*, 3> kReleaseReasons = {"request_over", "at_risk", "read_unanswered"};
+constexpr std::array<const char*, 3> kReleaseReasons = {"request_over", "lease_expiring",
+                                                        "prefill_unanswered"};
 
 enum class ReleaseEnd { answered, unanswered, withdrawn };
 constexpr std::array<const char*, 3> kReleaseEnds = {"answered", "unanswered", "withdrawn"};
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -150,7 +150,7 @@
 void RequestLifecycle::record_client_disconnect(Request& request) {
     ++counters_.client_disconnected;
     invariant_checker_.on_client_disconnected(request.handle);
-    log_request(request, Disposition::gone);
+    log_request(request, RequestOutcome::client_disconnected);
     request.client = nullptr;
     close_request(request);
 }
@@ -447,7 +447,7 @@
 }
 
 // `disposition`: nothing for a whole answer, whose times say how it fared.
-void RequestLifecycle::log_request(const Request& request, std::optional<Disposition> disposition,
+void RequestLifecycle::log_request(const Request& request, std::optional<RequestOutcome> disposition,
                                    std::optional<EndCause> cause) {
     RequestRecord record;
     record.txn = request.inbound.txn, record.cls = request.inbound.arrival.cls,
@@ -465,7 +465,7 @@
                                    attempt.sent - request.arrived,
                                    attempt.ended - request.arrived});
     }
-    const Disposition f = disposition ? *disposition : access_log_.served(record);
+    const RequestOutcome f = disposition ? *disposition : access_log_.served(record);
     if (!access_log_.count(environment_.now(), f, cause)) return;
     for (std::size_t i = 0; i < record.attempts.size(); ++i) {
         const DiscoveredEndpoint* host = endpoints_.find(request.attempts[i].endpoint);
@@ -478,10 +478,10 @@
                                   EndCause cause) {
     if (request.closed) return;
     log_request(request,
-                stream_begun(request)      ? Disposition::broken
-                : status != 503            ? Disposition::failed
-                : request.attempts.empty() ? Disposition::refused_unsent
-                                           : Disposition::refused,
+                stream_begun(request)      ? RequestOutcome::broken
+                : status != 503            ? RequestOutcome::failed
+                : request.attempts.empty() ? RequestOutcome::rejected_unsent
+                                           : RequestOutcome::rejected,
                 cause);
     Client* client = request.client;
     request.client = nullptr;
@@ -507,7 +507,7 @@
 
 void RequestLifecycle::migrate(Request& request, const char* why) {
     ++counters_.migrated;
-    log_request(request, Disposition::moved);
+    log_request(request, RequestOutcome::migrated);
     abort_stream(request);
     stop_reading_stream(request, why);
 }
@@ -580,8 +580,9 @@
     ended.result = outcome.result;
     ended.took = now - t->sent, ended.detail = outcome.detail;
     if (outcome.begun && !request->closed) {
-        log_request(*request, outcome.result == AttemptResult::served ? std::nullopt
-                                                                      : std::optional(Disposition::broken));
+        log_request(*request, outcome.result == AttemptResult::served
+                                  ? std::nullopt
+                                  : std::optional(RequestOutcome::broken));
         Client* client = request->client;
         request->client = nullptr;
         close_request(*request);
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -155,7 +155,7 @@
     void record_client_disconnect(Request& request);
     void close_request(Request& request);
     void on_violation(control::Invariant rule, std::uint64_t handle, const std::string& what);
-    void log_request(const Request& request, std::optional<Disposition> disposition,
+    void log_request(const Request& request, std::optional<RequestOutcome> disposition,
                      std::optional<EndCause> cause = std::nullopt);
     void on_timer(const Driver::Timer& timer);
     void on_router_idle();
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -29,7 +29,7 @@
     evicted
 };
 constexpr std::array<const char*, 7> kConnectionEndNames = {
-    "dial_failed", "peer", "unasked_bytes", "not_reusable", "called_off", "idle", "made_room"};
+    "connect_failed", "closed_by_peer", "unexpected_bytes", "not_reusable", "cancelled", "idle", "evicted"};
 
 class ConnectionPool {
 public:
--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -244,11 +244,11 @@
 TEST_F(Standstill, NoAlarmOfAnEndedRequestStaysQueued) {
     const auto before = core->pending_timers();
     for (int i = 0; i < 50; ++i) {
-        FakeClient client;
-        arrive(client);
+        FakeClient impatient;
+        arrive(impatient);
         read_done();
         answer(last(), stream_head() + delta("a") + stop_event() + usage_event(1) + done_event());
-        EXPECT_EQ(client.finals, 1);
+        EXPECT_EQ(impatient.finals, 1);
     }
     // What is left are the Router's own timers, which must come: one a request until its deadline.
     EXPECT_LE(core->pending_timers(), before + 50);
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -303,7 +303,7 @@
     last().exchange->on_first_byte_sent();
     arrive(reading);
     core->end_all();
-    for (auto* client : {&reading, &waiting, &streaming, &once}) EXPECT_EQ(client->finals, 1);
+    for (auto* each : {&reading, &waiting, &streaming, &once}) EXPECT_EQ(each->finals, 1);
     EXPECT_EQ(reading.status, 529);
     EXPECT_EQ(once.status, 500);
     EXPECT_EQ(once.retry, false);
--- a/tests/platform/access_log_test.cpp
+++ b/tests/platform/access_log_test.cpp
@@ -25,37 +25,37 @@
     record.attempts = {{"r", true, false, AttemptResult::prefill_done, 0, 100},
                        {"w", false, false, AttemptResult::served, 100, 2000}};
     record.first = 200, record.ended = 2000, record.tokens = 100;
-    EXPECT_EQ(log.served(record), Disposition::in_time);
+    EXPECT_EQ(log.served(record), RequestOutcome::in_time);
     record.tokens = 20;
-    EXPECT_EQ(log.served(record), Disposition::slow_stream);
+    EXPECT_EQ(log.served(record), RequestOutcome::slow_stream);
     record.tokens = 0;
-    EXPECT_EQ(log.served(record), Disposition::in_time)
+    EXPECT_EQ(log.served(record), RequestOutcome::in_time)
         << "an answer that does not say its length is not judged by pace";
     record.first = 1300;
-    EXPECT_EQ(log.served(record), Disposition::late_write);
+    EXPECT_EQ(log.served(record), RequestOutcome::late_decode);
     record.attempts[0].ended = 1250;
-    EXPECT_EQ(log.served(record), Disposition::late_read);
+    EXPECT_EQ(log.served(record), RequestOutcome::late_prefill);
 }
 
 TEST(AccessLog, LinesAreBoundedAndWhatIsLeftOutCounts) {
     const Settings settings = chat();
     AccessLog log(settings);
     int told = 0;
-    for (int i = 0; i < 1000; ++i) told += log.count(i, Disposition::refused, EndCause::shed_load);
+    for (int i = 0; i < 1000; ++i) told += log.count(i, RequestOutcome::rejected, EndCause::shed_load);
     EXPECT_EQ(told, AccessLog::kLinesPerSecond);
     EXPECT_EQ(log.not_logged(), 1000u - AccessLog::kLinesPerSecond);
-    EXPECT_TRUE(log.count(1001, Disposition::refused));
-    EXPECT_FALSE(log.count(5000, Disposition::in_time)) << "what ended well is only counted";
-    EXPECT_EQ(log.dispositions()[static_cast<std::size_t>(Disposition::refused)], 1001u);
+    EXPECT_TRUE(log.count(1001, RequestOutcome::rejected));
+    EXPECT_FALSE(log.count(5000, RequestOutcome::in_time)) << "what ended well is only counted";
+    EXPECT_EQ(log.outcomes()[static_cast<std::size_t>(RequestOutcome::rejected)], 1001u);
     EXPECT_EQ(log.causes()[static_cast<std::size_t>(EndCause::shed_load)], 1000u);
     RequestRecord record;
     record.txn = "t1", record.ended = 900;
     record.cause = EndCause::retry_budget;
     for (int i = 0; i < 500; ++i)
         record.attempts.push_back({"w1", false, false, AttemptResult::unreachable, 1, 251});
-    const std::string line = log.line(record, Disposition::refused);
-    EXPECT_EQ(line.rfind("t1 refused cause retry_budget class 0", 0), 0u) << line;
-    EXPECT_NE(line.find("write w1 1 +250 unreachable"), std::string::npos) << line;
+    const std::string line = log.line(record, RequestOutcome::rejected);
+    EXPECT_EQ(line.rfind("t1 rejected cause retry_budget class 0", 0), 0u) << line;
+    EXPECT_NE(line.find("decode w1 1 +250 unreachable"), std::string::npos) << line;
     EXPECT_LT(line.size(), 400u);
 }
 
@@ -70,14 +70,15 @@
     control::KvLease::Timeline timeline;
     timeline.acquired = 1023, timeline.expiring = 1623, timeline.written = 1024;
     EXPECT_EQ(describe_timeline(timeline, 1000, 1700, "r1", "w1"),
-              "held 677 read_done at r1, made 23, at_risk 623; w1 sent 24 unproved");
+              "lease 677 prefill_done at r1, acquired 23, expiring 623; w1 sent 24 unconfirmed");
     timeline.arrived = 1650, timeline.released = 1640;
     timeline.origin = control::LeaseOrigin::slot_requested;
-    EXPECT_EQ(describe_timeline(timeline, 1000, 1700, "w2", "w1"),
-              "held 677 place_asked at w2, made 23, at_risk 623, release 640; w1 sent 24 arrived 650");
+    EXPECT_EQ(
+        describe_timeline(timeline, 1000, 1700, "w2", "w1"),
+        "lease 677 slot_requested at w2, acquired 23, expiring 623, release 640; w1 sent 24 arrived 650");
     timeline.written = -1;
     EXPECT_EQ(describe_timeline(timeline, 1000, 1700, "w2", "w1"),
-              "held 677 place_asked at w2, made 23, at_risk 623, release 640");
+              "lease 677 slot_requested at w2, acquired 23, expiring 623, release 640");
 }
 
 TEST(LineBudget, SoManyASecondAndTheRestIsCounted) {
--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -101,13 +101,13 @@
         ASSERT_TRUE(update) << why;
         relay.on_endpoint_update(std::move(*update));
     }
-    std::uint64_t ask(const std::string& txn, PlatformClient& client, int cls = 0) {
+    std::uint64_t ask(const std::string& txn, PlatformClient& asker, int cls = 0) {
         Inbound in;
         in.txn = txn, in.head = "POST /v1/chat/completions HTTP/1.1\r\nx-txn: " + txn + "\r\n",
         in.body = "{}";
         in.arrival.cls = cls, in.arrival.deadline = 5000, in.arrival.tenant = 0,
         in.arrival.prompt_tokens = 100;
-        return relay.on_request(std::move(in), 0, &client);
+        return relay.on_request(std::move(in), 0, &asker);
     }
     void pass(Millis ms) {
         for (const Millis until = world.clock + ms; world.clock < until;) {
--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -222,8 +222,8 @@
 // The connection of an attempt takes its whole dial time to come up, and meanwhile its reason goes away.
 TEST_F(RelayTest, AnAttemptWhoseConnectionComesUpTooLateIsNotSent) {
     world.dials_wait = true;
-    const auto write_of = [&](const std::string& txn, PlatformClient& client) {
-        const auto handle = ask(txn, client);
+    const auto write_of = [&](const std::string& txn, PlatformClient& asker) {
+        const auto handle = ask(txn, asker);
         last().attempt->may_start();
         last().attempt->on_request_written();
         read_done();
@@ -277,7 +277,7 @@
     EXPECT_EQ(once_sent.status, 502);
     EXPECT_EQ(once_unsent.status, 503) << "it never ran";
     EXPECT_EQ(safe.status, 503);
-    for (const PlatformClient* client : {&once_sent, &once_unsent, &safe}) EXPECT_EQ(client->ended, 1);
+    for (const PlatformClient* each : {&once_sent, &once_unsent, &safe}) EXPECT_EQ(each->ended, 1);
     settle();
 }
 
--- a/tests/soak/gateways.mjs
+++ b/tests/soak/gateways.mjs
@@ -80,7 +80,7 @@
     // The program's own audit; a late answer is judged by the sockets.
     const audited = line.includes('"event":"violation"') && !line.includes('late_answer');
     if ((audited || /Sanitizer|runtime error/.test(line)) && !life.error) life.error = line;
-    if (line.includes('"event":"state"')) { try { life.state = { at: this.world.now(), ...JSON.parse(line) }; } catch { /* torn */ } }
+    if (line.includes('"event":"status"')) { try { life.state = { at: this.world.now(), ...JSON.parse(line) }; } catch { /* torn */ } }
   }
   stopped(on) {
     const last = this.stops[this.stops.length - 1];
--- a/tests/soak/oracle.mjs
+++ b/tests/soak/oracle.mjs
@@ -358,8 +358,8 @@
       const readyBy = (life.ready < 0 ? end : life.ready) - life.spawned - g.stoodStill(life.spawned, end);
       if (readyBy > 6000 && life.term < 0) this.violate('ready', '-', `gateway ${g.rank}, life ${i} not ready within 6 s`, end);
       if (life.state && life.ended < 0 && life.state.at > this.world.loadEndedAt + 7000 &&
-          (life.state.open > 0 || life.state.out > 0 || life.state.releases > 0))
-        this.violate('leak', '-', `gateway ${g.rank}: ${life.state.open} open, ${life.state.out} out, ${life.state.releases} releases long after the load`, life.state.at);
+          (life.state.open_requests > 0 || life.state.attempts_in_flight > 0 || life.state.releases_in_progress > 0))
+        this.violate('leak', '-', `gateway ${g.rank}: ${life.state.open_requests} open, ${life.state.attempts_in_flight} in flight, ${life.state.releases_in_progress} releases long after the load`, life.state.at);
     }
   }
 }
