--- a/src/control/drain_schedule.cpp
+++ b/src/control/drain_schedule.cpp
@@ -6,26 +6,29 @@
 namespace gorsenotch::control {
 
 namespace {
-constexpr double kOpen = 0.88;   // and in which new requests are taken
-constexpr double kLeft = 0.5;    // part of the time in which streams are left to end by themselves
-constexpr Millis kStrays = 500;  // new connections keep coming for a while after the order to stop
-constexpr Millis kSpare = 300;   // before the kill: the last answers have left, the last states are let go of
+constexpr double kAcceptFraction = 0.88;      // of the time until the kill, in which requests are accepted
+constexpr double kUndisturbedFraction = 0.5;  // in which streams are left to end by themselves
+// Without resumption: connections keep coming for this long after the order to stop.
+constexpr Millis kLateArrivals = 500;
+// Left before the kill, for the last responses and lease releases to go out.
+constexpr Millis kFinalMargin = 300;
 }  // namespace
 
-DrainSchedule::DrainSchedule(Millis told, Millis killed, bool resume)
-    : migrate_from_(told + kLeft * (killed - told)),
-      stop_accepting_at_(std::min(told + kOpen * (killed - told), resume ? killed : told + kStrays)),
-      answer_remaining_at_(std::max(migrate_from_, killed - kSpare)),
+DrainSchedule::DrainSchedule(Millis ordered_at, Millis kill_at, bool resume)
+    : migrate_from_(ordered_at + kUndisturbedFraction * (kill_at - ordered_at)),
+      stop_accepting_at_(std::min(ordered_at + kAcceptFraction * (kill_at - ordered_at),
+                                  resume ? kill_at : ordered_at + kLateArrivals)),
+      answer_remaining_at_(std::max(migrate_from_, kill_at - kFinalMargin)),
       last_migration_(migrate_from_) {}
 
 std::size_t DrainSchedule::streams_to_migrate(Millis now, std::size_t open) {
     if (now >= answer_remaining_at_) return open;
     if (now <= last_migration_ || open == 0) return 0;
-    // The same share of what is left in each stretch of the time that is left.
+    // The same share of the open streams in each stretch of the remaining time.
     const double share = (now - last_migration_) / (answer_remaining_at_ - last_migration_);
-    const auto n = static_cast<std::size_t>(std::floor(share * static_cast<double>(open)));
-    if (n > 0) last_migration_ = now;
-    return std::min(n, open);
+    const auto count = static_cast<std::size_t>(std::floor(share * static_cast<double>(open)));
+    if (count > 0) last_migration_ = now;
+    return std::min(count, open);
 }
 
 }  // namespace gorsenotch::control
--- a/src/control/kv_lease.cpp
+++ b/src/control/kv_lease.cpp
@@ -6,90 +6,106 @@
 namespace gorsenotch::control {
 namespace {
 
-constexpr Millis kAllowedUnset = 1000;  // where the settings name no time
-// Parts of the time allowed. Proof may come until the first; it leaves what a release takes that meets silent
-// servers one after another (0.45), and a process that is held up (150 ms). A write that begins late gets the
-// second to arrive, but not beyond the third, save where it began later than that.
-constexpr double kProofPart = 0.6, kArrivalPart = 0.1, kLatestPart = 0.8;
-// For a read the time is used up further, as a release costs its work: the platform allows 300 ms more than
-// the settings, of which half is left for a process that is held up. Its server is asked so long before.
-constexpr double kReadPart = 0.55, kAskPart = 0.25;
-constexpr Millis kReadMore = 150, kAskLeast = 150;
-
-// A read is unusual at so many times (far more than a jam makes of it) what nine in ten take for their
-// length, once so many have been seen. The first one seen stands for a quantile of so many times itself.
-constexpr double kUsualQuantile = 0.9, kQuantileStep = 0.5, kUnusual = 10, kAtFirst = 2;
-// Its server is not asked for an answer before so many times that: a question costs each server a call.
-constexpr double kUsual = 1.5;
-constexpr int kSeenEnough = 20;
-
-// What a read's time grows with: thousands of tokens, and a part that every read has.
-double work(double prompt_tokens) { return 1 + prompt_tokens / 1000; }
+constexpr Millis kDefaultDuration = 1000;  // where the settings name no time
+
+// Fractions of the duration. Proof may come until the first: the rest is what a release takes that meets
+// silent endpoints one after another (0.45), and a process that is held up (150 ms).
+constexpr double kProofFraction = 0.6;
+// A decode that begins late gets this to arrive,
+constexpr double kArrivalFraction = 0.1;
+// but not beyond this, unless it began later still.
+constexpr double kLatestFraction = 0.8;
+
+// For a prefill the duration is used up further, as a release costs its work: the platform allows 300 ms more
+// than the settings, of which half is left for a process that is held up.
+constexpr double kPrefillFraction = 0.55;
+constexpr Millis kPrefillExtra = 150;
+// Its endpoint is sent a health check this long before.
+constexpr double kHealthCheckFraction = 0.25;
+constexpr Millis kMinHealthCheckTime = 150;
 
 }  // namespace
 
-KvLease::KvLease(Millis release_within) : duration_(release_within > 0 ? release_within : kAllowedUnset) {}
+KvLease::KvLease(Millis release_within) : duration_(release_within > 0 ? release_within : kDefaultDuration) {}
+
+bool KvLease::decode_in_flight() const {
+    return attempt_ == Attempt::decode_unwritten || attempt_ == Attempt::decode_written;
+}
+
+bool KvLease::prefill_in_flight() const {
+    return attempt_ == Attempt::prefill_written && proof_ == Proof::none;
+}
 
 void KvLease::on_acquired(Millis now, LeaseOrigin origin, EndpointId holder) {
-    uncertain_ = origin == LeaseOrigin::prefill_lost || (held_ && uncertain_);
+    const bool held_before = held();
+    uncertain_ = origin == LeaseOrigin::prefill_lost || (held_before && uncertain_);
+    holding_ = origin == LeaseOrigin::prefill_unanswered ? Holding::unanswered_prefill : Holding::held;
     timeline_.origin = origin;
     timeline_.holder = holder;
-    tentative_ = origin == LeaseOrigin::prefill_unanswered;
-    if (held_) return;  // something older stands as well: the lease runs from that
-    held_ = true;
+    if (held_before) return;  // something older is held as well: the lease runs from that
     running_since_ = now;
     timeline_ = {origin, holder, now, -1, -1, -1, -1, timeline_.awaited};
 }
 
-void KvLease::on_attempt_begun(Millis now, EndpointId server, bool write) {
-    attempt_arrived_ = answer_begun_ = false;
-    decode_in_flight_ = write;
-    decode_written_ = prefill_written_ = health_check_sent_ = false;
+void KvLease::on_attempt_begun(Millis now, EndpointId endpoint, bool is_decode) {
+    attempt_ = is_decode ? Attempt::decode_unwritten : Attempt::none;
+    proof_ = Proof::none;
+    health_check_sent_ = false;
     kept_for_decode_ = false;
-    if (write) decode_begun_at_ = now;
-    timeline_.awaited = server;
-    timeline_.written = timeline_.arrived = -1;
+    if (is_decode) decode_begun_at_ = now;
+    timeline_.awaited = endpoint;
+    timeline_.written = -1;
+    timeline_.arrived = -1;
 }
 
 void KvLease::on_request_written(Millis now, Millis usual_until) {
     prefill_usual_until_ = usual_until;
-    decode_written_ = decode_in_flight_;
-    prefill_written_ = !decode_in_flight_;
-    if (prefill_written_ && !held_) on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.awaited);
+    attempt_ = decode_in_flight() ? Attempt::decode_written : Attempt::prefill_written;
+    if (attempt_ == Attempt::prefill_written && !held())
+        on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.awaited);
     timeline_.written = now;
 }
 
+void KvLease::on_endpoint_answered(Millis at) {
+    if (!prefill_in_flight() || at <= running_since_) return;
+    running_since_ = at;
+    health_check_sent_ = false;
+}
+
 void KvLease::on_attempt_answered(Millis now) {
     timeline_.arrived = now;
-    if (decode_in_flight_) {
-        attempt_arrived_ = true;
+    if (decode_in_flight()) {
+        proof_ = Proof::decode_arrived;
         return;
     }
-    // The read has ended: what it leaves stands from now on, though the rest of its answer may be lost.
-    answer_begun_ = true;
+    // The prefill has ended: what it leaves is held from now on, though the rest of its response may be lost.
+    proof_ = Proof::prefill_answered;
     running_since_ = now;
 }
 
 void KvLease::on_attempt_ended(Millis now, bool never_ran) {
-    if (never_ran && tentative_) held_ = tentative_ = false;
-    // It may have been waiting for what is held until now; if it had not arrived, the lease has run all
-    // along.
-    const bool answered = std::exchange(attempt_arrived_, false) || std::exchange(answer_begun_, false);
-    if (answered && held_) {
+    if (never_ran && only_unanswered_prefill()) holding_ = Holding::nothing;
+    // An attempt that had arrived may have been waiting for what is held until now; if it had not arrived,
+    // the lease has run all along.
+    const bool answered = std::exchange(proof_, Proof::none) != Proof::none;
+    if (answered && held()) {
         running_since_ = now;
         timeline_.acquired = now;
     }
     if (std::exchange(kept_for_decode_, false)) {
-        held_ = true;
+        if (!held()) holding_ = Holding::held;
         running_since_ = now;
     }
-    if (held_ && decode_written_ && !never_ran) uncertain_ = true;
-    decode_in_flight_ = decode_written_ = prefill_written_ = false;
+    if (held() && attempt_ == Attempt::decode_written && !never_ran) uncertain_ = true;
+    attempt_ = Attempt::none;
 }
 
 void KvLease::on_taken() {
-    held_ = uncertain_ = tentative_ = release_in_progress_ = kept_for_decode_ = false;
-    attempt_arrived_ = true;
+    holding_ = Holding::nothing;
+    uncertain_ = false;
+    release_in_progress_ = false;
+    kept_for_decode_ = false;
+    proof_ = Proof::decode_arrived;
 }
 
 void KvLease::on_release_begun(Millis now) {
@@ -100,9 +116,10 @@
 
 void KvLease::on_release_answered(Millis now) {
     release_in_progress_ = false;
-    if (!held_) return;
-    held_ = uncertain_ = tentative_ = false;
-    kept_for_decode_ = decode_in_flight_ && decode_written_;
+    if (!held()) return;
+    holding_ = Holding::nothing;
+    uncertain_ = false;
+    kept_for_decode_ = attempt_ == Attempt::decode_written;
     health_check_sent_ = false;
     if (prefill_in_flight()) on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.awaited);
 }
@@ -110,19 +127,21 @@
 void KvLease::on_release_failed() { release_in_progress_ = false; }
 
 std::optional<Millis> KvLease::release_at() const {
-    if (!held_ || attempt_arrived_ || release_in_progress_) return std::nullopt;
-    if (prefill_written_) {
-        const Millis due = running_since_ + kReadPart * duration_ + kReadMore;
+    if (!held() || proof_ == Proof::decode_arrived || release_in_progress_) return std::nullopt;
+    if (attempt_ == Attempt::prefill_written) {
+        const Millis due = running_since_ + kPrefillFraction * duration_ + kPrefillExtra;
         return prefill_in_flight() ? std::max(due, prefill_usual_until_ + health_check_time()) : due;
     }
-    const Millis due = running_since_ + kProofPart * duration_;
-    if (!decode_in_flight_) return due;
-    const Millis arrives = decode_begun_at_ + kArrivalPart * duration_;
-    const Millis latest = running_since_ + kLatestPart * duration_;
+    const Millis due = running_since_ + kProofFraction * duration_;
+    if (!decode_in_flight()) return due;
+    const Millis arrives = decode_begun_at_ + kArrivalFraction * duration_;
+    const Millis latest = running_since_ + kLatestFraction * duration_;
     return decode_begun_at_ > latest ? arrives : std::clamp(arrives, due, latest);
 }
 
-Millis KvLease::health_check_time() const { return std::max(kAskLeast, kAskPart * duration_); }
+Millis KvLease::health_check_time() const {
+    return std::max(kMinHealthCheckTime, kHealthCheckFraction * duration_);
+}
 
 std::optional<Millis> KvLease::health_check_at() const {
     const auto due = release_at();
@@ -130,27 +149,4 @@
     return *due - health_check_time();
 }
 
-void KvLease::on_endpoint_answered(Millis at) {
-    if (!prefill_in_flight() || at <= running_since_) return;
-    running_since_ = at;
-    health_check_sent_ = false;
-}
-
-void PrefillTimes::add_prefill(Millis took, double prompt_tokens) {
-    const double for_work = took / work(prompt_tokens);
-    if (!usual_) usual_.emplace(kUsualQuantile, kQuantileStep, kAtFirst * for_work);
-    usual_->add(for_work);
-    ++seen_;
-}
-
-Millis PrefillTimes::usual_duration(double prompt_tokens) const {
-    return seen_ >= kSeenEnough ? kUsual * usual_->value() * work(prompt_tokens) : 0;
-}
-
-bool PrefillTimes::is_unusual(Millis age, double prompt_tokens) const {
-    return seen_ >= kSeenEnough && age > kUnusual * usual_->value() * work(prompt_tokens);
-}
-
-void KvLease::on_expiring(Millis now) { timeline_.expiring = now; }
-
 }  // namespace gorsenotch::control
--- a/src/control/overloaded.h
+++ b/src/control/overloaded.h
@@ -1,13 +1,13 @@
-// One function object from several, for std::visit.
+// One function object made of several, for std::visit over a variant.
 #pragma once
 
 namespace gorsenotch {
 
-template <class... Ts>
-struct Overloaded : Ts... {
-    using Ts::operator()...;
+template <class... Functions>
+struct Overloaded : Functions... {
+    using Functions::operator()...;
 };
-template <class... Ts>
-Overloaded(Ts...) -> Overloaded<Ts...>;
+template <class... Functions>
+Overloaded(Functions...) -> Overloaded<Functions...>;
 
 }  // namespace gorsenotch
--- a/src/control/send_preconditions.h
+++ b/src/control/send_preconditions.h
@@ -1,19 +1,18 @@
-// Whether something may be sent, closed or taken now: the facts in, a permit or the reason against it out.
-// Asked at the last moment before the effect, by whoever carries it out; nobody else decides it. No I/O, no
-// state; times are ms.
+// Whether an attempt may be sent, or a client's connection closed, now: the facts in, nothing or the reason
+// against it out. Asked at the last moment before the effect by whoever carries it out; nobody else decides
+// it. No I/O, no state; times are ms.
 //
 // What was done is checked by control/invariant_checker, which shares nothing with this.
 #pragma once
 
 #include <array>
-#include <cstddef>
 #include <optional>
 
 #include "gorsenotch/logic.h"
 
 namespace gorsenotch::control {
 
-// ---- an attempt: its first byte is about to go out ----
+// ---- the first byte of an attempt is about to go out ----
 
 enum class SendBlockReason {
     request_over,
@@ -29,25 +28,27 @@
     "send_window_over", "deadline_exceeded",   "lease_released"};
 
 struct SendPreconditions {
-    bool request_over = false;         // its client has its final answer
+    bool request_over = false;         // its client has its final response
     bool client_disconnected = false;  // its connection has been closed, whether that was read or not
-    std::optional<EndpointStatus> endpoint_status;  // as the latest list has it
-    bool lease_released = false;  // a write whose read state was let go of since it was decided
+    std::optional<EndpointStatus> endpoint_status;  // as in the latest list; nothing: not listed
+    bool lease_released = false;                    // a decode's KV cache was released since it was decided
     Millis now = 0;
-    Millis send_by = 0;   // the module's own bound; 0: none
-    Millis deadline = 0;  // when the client's time is over
+    Millis send_by = 0;   // the Router's own bound; 0: none
+    Millis deadline = 0;  // of the request; 0: none
 };
+// Nothing where the attempt may be sent, else the first reason against it in the order of the enum.
 std::optional<SendBlockReason> check_send(const SendPreconditions& facts);
 
-// ---- a client's connection: it is about to be ended without an answer ----
+// ---- a client's connection is about to be closed without a response ----
 
 enum class CloseBlockReason { request_open, unread_bytes };
 constexpr std::array<const char*, 2> kCloseBlockReasonNames = {"request_open", "unread_bytes"};
 
 struct ClosePreconditions {
-    bool request_open = false;  // one has been read, in part at least, and is owed an answer
-    bool unread_bytes = false;  // something has come that nobody has read
+    bool request_open = false;  // one has been read, in part at least, and is owed a response
+    bool unread_bytes = false;  // bytes have come that nobody has read
 };
+// Nothing where the connection may be closed, else the first reason against it in the order of the enum.
 std::optional<CloseBlockReason> check_close(const ClosePreconditions& facts);
 
 }  // namespace gorsenotch::control
--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -1,5 +1,5 @@
-// A process that stood still blames nobody for it: the decisions alone, then the RequestLifecycle with a
-// clock in hand.
+// StallDetector alone, then in the gateway's RequestLifecycle driven by a clock of the test: no endpoint is
+// blamed for a standstill of this process.
 #include "control/stall_detector.h"
 
 #include "gateway/fakes.h"
@@ -7,7 +7,6 @@
 namespace gorsenotch::test {
 namespace {
 
-using control::AttemptClock;
 using control::StallDetector;
 
 TEST(StallDetector, ASleepIsNoStandstillButAnOversleptOneIs) {
@@ -18,17 +17,17 @@
     EXPECT_EQ(detector.on_activity(60), 0);  // less than counts
     detector.before_poll(60, 100);
     EXPECT_EQ(detector.on_activity(2100), 2000);
-    EXPECT_EQ(detector.on_activity(2101), 0);  // told once
+    EXPECT_EQ(detector.on_activity(2101), 0);  // reported once
     EXPECT_EQ(detector.stalled_for(), 2000);
     EXPECT_EQ(detector.longest_stall(), 2000);
 }
 
-TEST(StallDetector, ALongTurnCountsAsItGrows) {
+TEST(StallDetector, ALongRunOfWorkCountsAsItGrows) {
     StallDetector detector(15);
     detector.before_poll(0, 10);
     detector.on_activity(10);
     EXPECT_EQ(detector.on_activity(20), 0);
-    EXPECT_EQ(detector.on_activity(30), 20);  // from the turn's beginning: since then nothing was heard
+    EXPECT_EQ(detector.on_activity(30), 20);  // since the work began nothing was handled
     EXPECT_EQ(detector.on_activity(33), 3);
     detector.before_poll(40, 60);
     EXPECT_EQ(detector.stalled_for(), 30);
@@ -36,7 +35,7 @@
     EXPECT_EQ(detector.stalled_for(), 30);
 }
 
-TEST(StallDetector, AStandstillWithinATurnIsFoundAtItsEnd) {
+TEST(StallDetector, AStandstillWithinARunOfWorkIsFoundAtItsEnd) {
     StallDetector detector(15);
     detector.before_poll(0, 10);
     detector.on_activity(5);
@@ -44,9 +43,9 @@
     EXPECT_EQ(detector.stalled_for(), 500);
 }
 
-TEST(StallDetector, ATimeOutIsJudgedAfterALookSinceItWasDue) {
+TEST(StallDetector, ATimeOutIsJudgedAfterAPollSinceItWasDue) {
     StallDetector detector;
-    EXPECT_TRUE(detector.may_judge_timeout(1e9));  // a host that tells nothing is always watching
+    EXPECT_TRUE(detector.may_judge_timeout(1e9));  // a host that reports no polls
     detector.after_poll(100);
     EXPECT_TRUE(detector.may_judge_timeout(100));
     EXPECT_FALSE(detector.may_judge_timeout(101));
@@ -54,20 +53,6 @@
     EXPECT_TRUE(detector.may_judge_timeout(101));
 }
 
-TEST(StallDetector, TimeBeforeTheBytesWereHandedOverIsNotTheEngines) {
-    AttemptClock clock{1000, 500, 9000, 0, 0};
-    EXPECT_EQ(clock.due(), 1500);
-    EXPECT_TRUE(clock.endpoint_at_fault());
-    clock.stalled_at_write = 2000;
-    EXPECT_EQ(clock.due(), 3500);
-    EXPECT_TRUE(clock.endpoint_at_fault());
-    clock.request_deadline = 3000;  // the client's deadline moves for nobody
-    EXPECT_EQ(clock.due(), 3000);
-    EXPECT_FALSE(clock.endpoint_at_fault());
-    clock.timeout = 0;
-    EXPECT_EQ(clock.due(), 3000);
-}
-
 struct Standstill : ::testing::Test, CoreBench {
     FakeClient client;
     Standstill() {
@@ -128,7 +113,10 @@
     look();
     EXPECT_FALSE(last().closed);
     EXPECT_EQ(world.sent.size(), 1u);
-    for (int i = 0; i < 200 && !world.sent[0].closed; ++i) world.clock += 20, look();
+    for (int i = 0; i < 200 && !world.sent[0].closed; ++i) {
+        world.clock += 20;
+        look();
+    }
     EXPECT_TRUE(world.sent[0].closed);  // but not more than that
 }
 
@@ -221,13 +209,19 @@
 
 TEST_F(Standstill, ARequestThatWaitedInTheSocketHasLessTimeLeft) {
     const auto ask = [&](Millis age, Millis patience) {
-        gateway::NewRequest n;
-        n.id = "req_age" + std::to_string(++count);
-        n.chat.model = "m", n.chat.messages = {{"user", "hello"}}, n.chat.max_tokens = 10,
-        n.chat.stream = true;
-        n.chat.prompt_tokens = 100, n.tenant = 0, n.client = &client, n.patience = patience, n.age = age;
-        n.answer = api::messages::streamed_response("msg_1", "m", 100, n.id);
-        EXPECT_TRUE(core->on_request(std::move(n)));
+        gateway::NewRequest request;
+        request.id = "req_age" + std::to_string(++count);
+        request.chat.model = "m";
+        request.chat.messages = {{"user", "hello"}};
+        request.chat.max_tokens = 10;
+        request.chat.stream = true;
+        request.chat.prompt_tokens = 100;
+        request.tenant = 0;
+        request.client = &client;
+        request.patience = patience;
+        request.age = age;
+        request.answer = api::messages::streamed_response("msg_1", "m", 100, request.id);
+        EXPECT_TRUE(core->on_request(std::move(request)));
     };
     ask(3000, 2000);  // gone already
     EXPECT_EQ(client.status, 529);
