--- a/src/stats/estimators.h
+++ b/src/stats/estimators.h
@@ -1,6 +1,5 @@
-// Estimators of rates and times from events as they happen. They decide nothing and hold no tuned value:
-// spans, quantiles and steps are the caller's. Times are ms on the caller's clock. Threading: none of their
-// own.
+// Online estimators of rates and durations. Spans, quantiles and steps are parameters; no constant is tuned
+// here. Times are milliseconds on the caller's clock. Not thread-safe.
 #pragma once
 
 #include <cmath>
@@ -19,19 +18,20 @@
 
 private:
     double span_;
-    double value_ = 0, at_ = 0;
+    double value_ = 0;
+    double at_ = 0;
 };
 
-// How long work of one kind takes: time spent on it over completions, both decaying. Work still out counts
-// too, so a fresh start is not fooled by the short ones that end first. Decays to a slower estimate of the
-// same form, and that to a prior.
+// Mean duration of one kind of work: time spent on it over completions, both decaying. Work in progress
+// counts too, so that the short pieces which end first do not bias a new estimate. Decays to a slower
+// estimate of the same form, and that one to a prior.
 class CompletionTime {
 public:
-    // `weight`: completions that the prior stands for where nothing is seen.
+    // `weight`: the number of completions that the prior counts for.
     CompletionTime(double prior, double weight) : prior_(prior), weight_(weight) {}
     double prior() const { return prior_; }
     double value() const { return (spent_ + weight_ * slow()) / (completed_ + weight_); }
-    // How many were completed of late, decaying.
+    // Recent completions, decaying.
     double completed() const { return completed_; }
     void add_time(double time) {
         spent_ += time;
@@ -41,7 +41,7 @@
         ++completed_;
         ++slow_completed_;
     }
-    // `keep` and `slow_keep`: the parts that stay of the fast and of the slow estimate.
+    // `keep` and `slow_keep`: the fractions kept of the fast and of the slow estimate.
     void decay(double keep, double slow_keep) {
         spent_ *= keep;
         completed_ *= keep;
@@ -52,8 +52,12 @@
 private:
     double slow() const { return (slow_spent_ + weight_ * prior_) / (slow_completed_ + weight_); }
 
-    double prior_, weight_;
-    double spent_ = 0, completed_ = 0, slow_spent_ = 0, slow_completed_ = 0;
+    double prior_;
+    double weight_;
+    double spent_ = 0;
+    double completed_ = 0;
+    double slow_spent_ = 0;
+    double slow_completed_ = 0;
 };
 
 // A quantile of positive values, by multiplicative steps: up by `step` times the quantile for a value above
@@ -66,7 +70,9 @@
     void add(double x) { value_ *= std::exp(step_ * (x > value_ ? quantile_ : quantile_ - 1)); }
 
 private:
-    double quantile_, step_, value_;
+    double quantile_;
+    double step_;
+    double value_;
 };
 
 }  // namespace gorsenotch::stats
--- a/src/stats/hash.h
+++ b/src/stats/hash.h
@@ -1,4 +1,4 @@
-// Hashes of numbers, the same in every process, and numbers from 0 to 1 made of them.
+// Hashes of integers that are the same in every process, and their mapping to the unit interval.
 #pragma once
 
 #include <cstdint>
