--- /dev/null
+++ b/src/router/completion_times.cpp
@@ -0,0 +1,75 @@
+#include "router/completion_times.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "router/request_properties.h"
+
+namespace gorsenotch::router {
+
+// Priors: a prefill of 1,000 tokens takes what the latency objective allows for them, a wait for the first
+// token a twelfth of the objective, a stream 100 tokens at half the wanted pace.
+CompletionTimes::CompletionTimes(const Settings& settings)
+    : low_quantile_{stats::QuantileEstimate(kLowQuantile, kQuantileStep, 1),
+                    stats::QuantileEstimate(kLowQuantile, kQuantileStep, 1)} {
+    for (const ClassSettings& class_settings : settings.classes) {
+        const Millis objective = class_settings.latency_objective;
+        const Millis per_1000_tokens = class_settings.latency_objective_per_1000_tokens;
+        by_class_[Stage::prefill].emplace_back(per_1000_tokens > 0 ? per_1000_tokens : objective / 20,
+                                               kPriorWeight);
+        by_class_[Stage::decode_queued].emplace_back(objective / 12, kPriorWeight);
+        by_class_[Stage::streaming].emplace_back(
+            std::max(50 * class_settings.inter_token_objective, objective), kPriorWeight);
+    }
+    low_quantile_ = {
+        stats::QuantileEstimate(kLowQuantile, kQuantileStep, by_class_[Stage::prefill][0].prior()),
+        stats::QuantileEstimate(kLowQuantile, kQuantileStep, by_class_[Stage::decode_queued][0].prior() / 4)};
+}
+
+const stats::CompletionTime& CompletionTimes::estimate(Stage stage, const RequestState& request) const {
+    return by_class_[stage][stage == Stage::prefill ? 0 : class_index(request)];
+}
+
+Millis CompletionTimes::mean(Stage stage, const RequestState& request) const {
+    return estimate(stage, request).value();
+}
+
+Millis CompletionTimes::expected(Stage stage, const RequestState& request) const {
+    return mean(stage, request) * request.attempt.work_units;
+}
+
+// Guards against attempts that hang at a few endpoints and lengthen the mean, but not the low quantile. Where
+// no endpoint responds the mean is used. May do harm where durations differ much: the estimate is too short
+// for the longer ones.
+Millis CompletionTimes::typical(Stage stage, const RequestState& request) const {
+    const stats::CompletionTime& time = estimate(stage, request);
+    if (time.completed() < 1) return time.value();
+    const double quantile = low_quantile(stage) * (stage == Stage::prefill ? 1 : stage_work(request, stage));
+    return std::min(time.value(), kTypicalQuantiles * quantile);
+}
+
+void CompletionTimes::add_time(Stage stage, const RequestState& request, Millis time) {
+    by_class_[stage][stage == Stage::prefill ? 0 : class_index(request)].add_time(time);
+}
+
+void CompletionTimes::add_completion(Stage stage, const RequestState& request) {
+    by_class_[stage][stage == Stage::prefill ? 0 : class_index(request)].add_completion();
+}
+
+void CompletionTimes::record_stage_end(Millis now, const RequestState& request, bool done) {
+    const Stage stage = request.attempt.stage;
+    stats::QuantileEstimate& quantile = low_quantile_[static_cast<std::size_t>(stage)];
+    const double took = (now - request.attempt.sent_at) / stage_work(request, stage);
+    // A failed stage shows only that it would have taken longer.
+    if (done || took > quantile.value()) quantile.add(took);
+}
+
+void CompletionTimes::decay(Millis elapsed) {
+    const double keep = std::exp(-elapsed / kCompletionSpan);
+    const double slow_keep = std::exp(-elapsed / kCompletionSpan / 10);
+    for (const Stage stage : kStages) {
+        for (stats::CompletionTime& time : by_class_[stage]) time.decay(keep, slow_keep);
+    }
+}
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/decode_selector.h
@@ -0,0 +1,52 @@
+// Chooses the decode endpoint of a request.
+#pragma once
+
+#include <cstdint>
+#include <vector>
+
+#include "router/eligibility.h"
+#include "router/endpoint_registry.h"
+#include "router/fleet_stats.h"
+#include "router/in_flight_requests.h"
+#include "router/prefix_affinity.h"
+#include "stats/uniform_random.h"
+
+namespace gorsenotch::router {
+
+// Owns no state but memory that it reuses. Draws from the Router's one random generator, in an order that is
+// part of its behaviour.
+class DecodeSelector {
+public:
+    // All references must outlive this object.
+    DecodeSelector(const EndpointRegistry& registry, const FleetStats& fleet_stats,
+                   const Eligibility& eligibility, const PrefixAffinity& prefix_affinity,
+                   const InFlightRequests& in_flight_requests, stats::UniformRandom& random);
+
+    // The eligible endpoint with the fewest requests queued, nullptr for none. Of those with about the fewest
+    // one in the preferred cell of the KV cache, then with the fewest streams, then by chance.
+    EndpointState* choose(Millis now, const RequestState& request, SearchScope scope = SearchScope::window);
+
+private:
+    struct QueuedEndpoint {
+        int queued;
+        EndpointState* endpoint;
+    };
+
+    EndpointState* choose_among(Millis now, const RequestState& request, SearchScope scope);
+    std::vector<QueuedEndpoint> eligible_endpoints(Millis now, const RequestState& request,
+                                                   const std::vector<EndpointState*>& candidates) const;
+    EndpointState* choose_of_shortest_queues(const std::vector<QueuedEndpoint>& eligible,
+                                             const EndpointState* prefill_endpoint, std::uint64_t cell);
+    std::uint64_t choose_decode_cell(const EndpointState& prefill_endpoint);
+    void add_cell_endpoints(std::uint64_t cell);
+
+    const EndpointRegistry& registry_;
+    const FleetStats& fleet_stats_;
+    const Eligibility& eligibility_;
+    const PrefixAffinity& prefix_affinity_;
+    const InFlightRequests& in_flight_requests_;
+    stats::UniformRandom& random_;
+    std::vector<EndpointState*> window_;
+};
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/fleet_stats.cpp
@@ -0,0 +1,156 @@
+#include "router/fleet_stats.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "router/request_properties.h"
+
+namespace gorsenotch::router {
+
+FleetStats::FleetStats(const Settings& settings)
+    : settings_(settings), health_interval_(health_interval(settings)) {
+    for (const Role role : kRoles) available_fraction_[role] = 1;
+}
+
+const Cell& FleetStats::cell(std::uint64_t id) const {
+    static const Cell unknown_cell;
+    const auto found = cells_.find(id);
+    return found == cells_.end() ? unknown_cell : found->second;
+}
+
+double FleetStats::prefill_weight(const EndpointState& endpoint) const {
+    return low_sample_rate() ? cell(endpoint.info.cell).weight : 1;
+}
+
+bool FleetStats::low_sample_rate() const {
+    return settings_.gateways > kFewGateways && baseline_rate_[settings_.kinds[0].role] * kCompletionSpan < 1;
+}
+
+void FleetStats::record_arrival(const RequestState& request) {
+    // The mean of the first arrivals, then a moving average.
+    const double weight = static_cast<double>(std::min(request.serial, kTypicalPromptArrivals));
+    typical_prompt_tokens_ += (request.arrival.prompt_tokens - typical_prompt_tokens_) / weight;
+    typical_uncached_kilotokens_ += (uncached_kilotokens(request) - typical_uncached_kilotokens_) / weight;
+}
+
+void FleetStats::record_stage_end(Millis now, const EndpointRegistry& registry, const RequestState& request,
+                                  bool done) {
+    const AttemptState& attempt = request.attempt;
+    const bool is_prefill = attempt.stage == Stage::prefill;
+    const EndpointState* prefill_endpoint =
+        registry.find(is_prefill ? attempt.endpoint : request.prefill_endpoint);
+    const EndpointState* endpoint = registry.find(attempt.endpoint);
+    if (!prefill_endpoint || !endpoint) return;
+    if (!is_prefill && prefill_endpoint->info.cell == endpoint->info.cell) return;
+    Cell& cell = cells_[prefill_endpoint->info.cell];
+    // Without a load signal an abandoned stage counts as a complete objective.
+    cell.objective_spent +=
+        done || !no_load_signal()
+            ? std::min(1.0, (now - attempt.sent_at) / latency_objective(settings_, request))
+            : 1;
+    cell.prefills += is_prefill;
+}
+
+// Guards against a cost of an idle gateway that grows with the fleet. May do harm by baseline rates that are
+// outdated by some ticks.
+bool FleetStats::refresh_if_due(Millis now, const EndpointRegistry& registry) {
+    if (now < refresh_due_at_) return false;
+    refresh(now, registry, now - refreshed_at_);
+    refreshed_at_ = now;
+    const std::size_t ticks = registry.endpoints().size() / kEndpointsPerStatsTick;
+    refresh_due_at_ = now + health_interval_ * (static_cast<double>(ticks) - 0.5);
+    return true;
+}
+
+void FleetStats::on_list_changed(Millis now, const EndpointRegistry& registry) {
+    if (now >= refresh_due_at_) refresh(now, registry, 0);
+}
+
+void FleetStats::on_stall(Millis now, Millis stalled_for) {
+    refreshed_at_ = std::min(now, refreshed_at_ + stalled_for);
+}
+
+void FleetStats::refresh(Millis now, const EndpointRegistry& registry, Millis elapsed) {
+    CostsByZone costs = decay_cells(elapsed);
+    const RoleCounts counts = count_endpoints(now, registry);
+    update_rates(counts, elapsed);
+    update_cell_weights(counts, costs);
+}
+
+FleetStats::CostsByZone FleetStats::decay_cells(Millis elapsed) {
+    const double keep = std::exp(-elapsed / kCompletionSpan / 3);
+    CostsByZone costs;
+    for (auto& [id, cell] : cells_) {
+        cell.objective_spent *= keep;
+        cell.prefills *= keep;
+        cell.prefill_share = 0;
+        cell.decode_share = 0;
+        costs.total.objective_spent += cell.objective_spent;
+        costs.total.prefills += cell.prefills;
+        PrefillCost& zone = costs.zones[cell.zone];
+        zone.objective_spent += cell.objective_spent;
+        zone.prefills += cell.prefills;
+    }
+    return costs;
+}
+
+// Counts endpoints by role, and by cell in its shares, which are normalized later. By the list, not by
+// health, so that gateways agree on the shares.
+FleetStats::RoleCounts FleetStats::count_endpoints(Millis now, const EndpointRegistry& registry) {
+    RoleCounts counts;
+    for (const auto& [id, endpoint] : registry.endpoints()) {
+        if (endpoint.info.status != EndpointStatus::healthy) continue;
+        const Role role = endpoint.role;
+        ++counts.listed[role];
+        Cell& cell = cells_[endpoint.info.cell];
+        cell.zone = endpoint.info.zone;
+        cell.prefill_share += role == Role::prefill;
+        cell.decode_share += endpoint.can_decode();
+        if (endpoint.health.ejected) continue;
+        ++counts.available[role];
+        if (now - endpoint.warming_since < settings_.slow_start_duration) continue;
+        ++counts.warm[role];
+        counts.send_rate[role] += endpoint.sends.rate.read(now);
+    }
+    return counts;
+}
+
+void FleetStats::update_rates(const RoleCounts& counts, Millis elapsed) {
+    for (const Role role : kRoles) {
+        baseline_rate_[role] *= std::exp(-elapsed / kCompletionSpan / 10);
+        if (counts.warm[role] > 0)
+            baseline_rate_[role] = std::max(baseline_rate_[role], counts.send_rate[role] / counts.warm[role]);
+        if (counts.listed[role] > 0) available_fraction_[role] = counts.available[role] / counts.listed[role];
+    }
+}
+
+// A cell's weight rises with its decode endpoints and falls with the part of their objectives that prefills
+// there took recently. Guards against overloaded cells and zones.
+void FleetStats::update_cell_weights(const RoleCounts& counts, CostsByZone& costs) {
+    const double prefill_endpoints = counts.listed[Role::prefill];
+    const double decode_endpoints = counts.listed[Role::decode] + counts.listed[Role::mixed];
+    const double mean_cost =
+        costs.total.prefills > 0 ? costs.total.objective_spent / costs.total.prefills : 0;
+    // A cell without prefills is assumed to be as its zone, and a zone without any to be fast: otherwise a
+    // gateway whose own zone is overloaded never tries another one.
+    const double assumed_cost = kCellPriorPrefills * std::min(mean_cost, kUnknownZoneObjectiveFraction);
+    double total_share = 0;
+    for (auto& [id, cell] : cells_) {
+        cell.decode_share /= std::max(1.0, decode_endpoints);
+        if (cell.prefill_share <= 0) continue;
+        const PrefillCost& zone = costs.zones[cell.zone];  // none yet in a new zone
+        const double zone_cost = (zone.objective_spent + assumed_cost) / (zone.prefills + kCellPriorPrefills);
+        const double cell_cost =
+            (cell.objective_spent + kCellPriorPrefills * zone_cost) / (cell.prefills + kCellPriorPrefills);
+        const double by_decode_endpoints =
+            0.5 + 0.5 * cell.decode_share * prefill_endpoints / cell.prefill_share;
+        const double by_cost = (kCalmObjectiveFraction + mean_cost) / (kCalmObjectiveFraction + cell_cost);
+        cell.weight = std::clamp(by_decode_endpoints, 1 / kMaxCellWeightChange, kMaxCellWeightChange) *
+                      std::clamp(by_cost, kMinCellCostFactor, kMaxCellCostFactor);
+        cell.prefill_share *= cell.weight;
+        total_share += cell.prefill_share;
+    }
+    for (auto& [id, cell] : cells_) cell.prefill_share /= std::max(1e-9, total_share);
+}
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/fleet_stats.h
@@ -0,0 +1,89 @@
+// Statistics of the endpoints as a whole, by role and by cell.
+#pragma once
+
+#include <cstdint>
+#include <map>
+
+#include "gorsenotch/settings.h"
+#include "router/endpoint_registry.h"
+#include "router/records.h"
+
+namespace gorsenotch::router {
+
+// Owns the statistics of cells and roles, the typical prompt lengths, and whether endpoints report their
+// load. Refreshed by HealthMonitor each tick and by the Router when the endpoint list changes.
+class FleetStats {
+public:
+    // `settings` must outlive this object.
+    explicit FleetStats(const Settings& settings);
+
+    // Highest recent rate of sends (per ms) by this gateway to a warm endpoint of the role; decays.
+    double baseline_rate(Role role) const { return baseline_rate_[role]; }
+    // Fraction of the role's healthy endpoints that are not ejected.
+    double available_fraction(Role role) const { return available_fraction_[role]; }
+    // A cell without statistics reads as a default one.
+    const Cell& cell(std::uint64_t id) const;
+    const std::map<std::uint64_t, Cell>& cells() const { return cells_; }
+    // Weight of an endpoint in the choice of a prefill endpoint: more where decode endpoints are near, as
+    // transfers from far ones fill links.
+    double prefill_weight(const EndpointState& endpoint) const;
+    double typical_prompt_tokens() const { return typical_prompt_tokens_; }
+    double typical_uncached_kilotokens() const { return typical_uncached_kilotokens_; }
+
+    // Whether this gateway uses an endpoint too rarely for its own queues to show the load. The endpoint list
+    // and observed times are used in their place.
+    bool low_sample_rate() const;
+    // Whether, besides, no endpoint reports its load.
+    bool no_load_signal() const { return low_sample_rate() && !has_load_reports_; }
+
+    void start(Millis now) { refreshed_at_ = now; }
+    void record_arrival(const RequestState& request);
+    void record_load_report() { has_load_reports_ = true; }
+    // Records the end of a stage as time spent in the cell of the prefill endpoint, for prefills there and
+    // for transfers that leave it.
+    void record_stage_end(Millis now, const EndpointRegistry& registry, const RequestState& request,
+                          bool done);
+    // Refreshes the statistics if that is due: each tick, or less often in a large fleet. Returns whether it
+    // was.
+    bool refresh_if_due(Millis now, const EndpointRegistry& registry);
+    // Refreshes after a change of the endpoint list, if that is due, without moving the next regular refresh.
+    void on_list_changed(Millis now, const EndpointRegistry& registry);
+    // Takes a stall of this gateway out of the time since the last refresh.
+    void on_stall(Millis now, Millis stalled_for);
+
+private:
+    // Prefills and what they took of their objectives, in one zone or all.
+    struct PrefillCost {
+        double objective_spent = 0;
+        double prefills = 0;
+    };
+    struct CostsByZone {
+        PrefillCost total;
+        std::map<int, PrefillCost> zones;
+    };
+    struct RoleCounts {
+        PerRole<double> listed;
+        PerRole<double> available;  // not ejected
+        PerRole<double> warm;
+        PerRole<double> send_rate;  // sum over the warm ones
+    };
+
+    void refresh(Millis now, const EndpointRegistry& registry, Millis elapsed);
+    CostsByZone decay_cells(Millis elapsed);
+    RoleCounts count_endpoints(Millis now, const EndpointRegistry& registry);
+    void update_rates(const RoleCounts& counts, Millis elapsed);
+    void update_cell_weights(const RoleCounts& counts, CostsByZone& costs);
+
+    const Settings& settings_;
+    const Millis health_interval_;
+    Millis refreshed_at_ = 0;
+    Millis refresh_due_at_ = 0;
+    std::map<std::uint64_t, Cell> cells_;
+    PerRole<double> baseline_rate_;
+    PerRole<double> available_fraction_;
+    bool has_load_reports_ = false;
+    double typical_prompt_tokens_ = 0;
+    double typical_uncached_kilotokens_ = 0;
+};
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/in_flight_requests.cpp
@@ -0,0 +1,120 @@
+#include "router/in_flight_requests.h"
+
+#include <algorithm>
+
+#include "router/request_properties.h"
+
+namespace gorsenotch::router {
+
+RequestState& InFlightRequests::add(Millis now, const Arrival& arrival) {
+    RequestState& request = by_id_[arrival.request];
+    request.arrival = arrival;
+    request.arrived_at = now;
+    request.serial = ++last_serial_;
+    id_by_serial_[request.serial] = arrival.request;
+    return request;
+}
+
+void InFlightRequests::erase(RequestState& request) {
+    set_lease_held(request, false);
+    id_by_serial_.erase(request.serial);
+    by_id_.erase(RequestId(request.arrival.request));  // a copy: the key is destroyed meanwhile
+}
+
+RequestState* InFlightRequests::find(const RequestId& id) {
+    const auto found = by_id_.find(id);
+    return found == by_id_.end() ? nullptr : &found->second;
+}
+
+RequestState* InFlightRequests::find_by_serial(std::uint64_t serial) {
+    const auto found = id_by_serial_.find(serial);
+    return found == id_by_serial_.end() ? nullptr : &by_id_.at(found->second);
+}
+
+void InFlightRequests::begin_attempt(Millis now, RequestState& request, EndpointState& endpoint,
+                                     Stage stage) const {
+    ++request.attempt_count;
+    ++endpoint.load.in_flight[stage];
+    AttemptState& attempt = request.attempt;
+    attempt.in_flight = true;
+    attempt.cancelled = false;
+    attempt.stalled_meanwhile = false;
+    attempt.stage = stage;
+    attempt.endpoint = endpoint.info.id;
+    attempt.sent_at = now;
+    attempt.first_sent_at = now;
+    attempt.work_units = endpoint.load.in_flight[Stage::decode_queued];  // this one included
+    if (stage == Stage::prefill) {
+        endpoint.load.reserved_tokens += request.arrival.prompt_tokens;
+        endpoint.load.queued_kilotokens += uncached_kilotokens(request);
+        attempt.work_units = endpoint.load.queued_kilotokens;
+    }
+}
+
+void InFlightRequests::begin_stream(Millis now, RequestState& request, EndpointState& endpoint) const {
+    remove_load(endpoint, request);
+    AttemptState& attempt = request.attempt;
+    attempt.stage = Stage::streaming;
+    const Millis pace = class_of(settings_, request).inter_token_objective;
+    const Millis predicted = request.arrival.length_hint;
+    attempt.work_units = predicted > 0 && pace > 0 ? std::clamp(predicted / pace / kTokensPerStreamUnit,
+                                                                kMinStreamUnits, kMaxStreamUnits)
+                                                   : 1;
+    ++endpoint.load.in_flight[Stage::streaming];
+    attempt.stage_since = now;
+}
+
+void InFlightRequests::end_attempt(RequestState& request) const {
+    if (EndpointState* endpoint = registry_.find(request.attempt.endpoint)) remove_load(*endpoint, request);
+    request.attempt.in_flight = false;
+}
+
+void InFlightRequests::remove_load(EndpointState& endpoint, const RequestState& request) {
+    EndpointLoad& load = endpoint.load;
+    --load.in_flight[request.attempt.stage];
+    if (request.attempt.stage != Stage::prefill) return;
+    load.reserved_tokens -= request.arrival.prompt_tokens;
+    load.queued_kilotokens -= uncached_kilotokens(request);
+}
+
+void InFlightRequests::set_lease_held(RequestState& request, bool held) const {
+    if (request.lease_held == held) return;
+    request.lease_held = held;
+    const double tokens = request.arrival.prompt_tokens;
+    if (EndpointState* endpoint = registry_.find(request.prefill_endpoint))
+        endpoint->load.reserved_tokens += held ? tokens : -tokens;
+}
+
+int InFlightRequests::young_streams(Millis now, const EndpointState& endpoint) const {
+    int young = 0;
+    for (const auto& [id, request] : by_id_) {
+        const AttemptState& attempt = request.attempt;
+        if (!attempt.in_flight || attempt.stage != Stage::streaming || attempt.endpoint != endpoint.info.id)
+            continue;
+        const Millis pace = class_of(settings_, request).inter_token_objective;
+        young += now - attempt.stage_since < kYoungStreamTokens * pace;
+    }
+    return young;
+}
+
+double InFlightRequests::count_before_stream() const {
+    double count = 0;
+    for (const auto& [id, request] : by_id_) {
+        const AttemptState& attempt = request.attempt;
+        const bool before_stream = attempt.in_flight && attempt.stage != Stage::streaming;
+        count += before_stream && registry_.find(attempt.endpoint);
+    }
+    return count;
+}
+
+void InFlightRequests::on_stall(Millis now, Millis stalled_for) {
+    for (auto& [id, request] : by_id_) {
+        AttemptState& attempt = request.attempt;
+        if (!attempt.in_flight) continue;
+        attempt.sent_at = std::min(now, attempt.sent_at + stalled_for);
+        attempt.stage_since = std::min(now, attempt.stage_since + stalled_for);
+        attempt.stalled_meanwhile = true;
+    }
+}
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/load_shedder.cpp
@@ -0,0 +1,61 @@
+#include "router/load_shedder.h"
+
+#include <algorithm>
+
+#include "router/request_properties.h"
+
+namespace gorsenotch::router {
+
+LoadShedder::LoadShedder(const Settings& settings, const FleetStats& fleet_stats,
+                         const CompletionTimes& completion_times, WaitEstimator& wait_estimator)
+    : settings_(settings),
+      fleet_stats_(fleet_stats),
+      completion_times_(completion_times),
+      wait_estimator_(wait_estimator) {
+    for (const ClassSettings& class_settings : settings.classes)
+        max_priority_weight_ = std::max(max_priority_weight_, class_settings.priority_weight);
+    for (const TenantSettings& tenant : settings.tenants) quotas_.push_back({quota_burst(tenant), 0});
+}
+
+// The closer the expected wait is to the latency objective, the higher the value a request needs.
+bool LoadShedder::should_shed(Millis now, const RequestState& request) {
+    double value = class_of(settings_, request).priority_weight / max_priority_weight_;
+    if (!take_from_quota(now, request)) value *= settings_.over_quota_weight;
+    if (request.arrival.resumed) return false;
+    // The time of its own prefill is no queue. Guards against long prompts rejected whatever the load.
+    const double own_kilotokens = uncached_kilotokens(request);
+    const Millis pace = std::min(completion_times_.low_quantile(Stage::prefill),
+                                 completion_times_.mean(Stage::prefill, request));
+    const Millis objective = latency_objective(settings_, request);
+    const Millis allowed_wait =
+        std::max(objective - pace * own_kilotokens, kMinWaitObjectiveFraction * objective);
+    const Millis queueing = wait_estimator_.expected_wait(now, request) -
+                            pace * std::min(own_kilotokens, fleet_stats_.typical_uncached_kilotokens());
+    // Guards against a gateway that used one overloaded endpoint and rejects requests while others are idle:
+    // at a low sample rate its estimate may be twice the truth. May do harm by late answers where all are
+    // overloaded.
+    const double tolerance = fleet_stats_.no_load_signal() ? kNoSignalWaitFactor : 1;
+    return queueing > tolerance * allowed_wait * (kMinShedThreshold + kShedThresholdRange * value);
+}
+
+// Whether the request is within its tenant's quota, or its tenant has none.
+bool LoadShedder::take_from_quota(Millis now, const RequestState& request) {
+    const auto tenant = static_cast<std::size_t>(request.arrival.tenant);
+    if (request.arrival.tenant < 0 || tenant >= quotas_.size()) return true;
+    const TenantSettings& tenant_settings = settings_.tenants[tenant];
+    if (tenant_settings.quota_per_s <= 0) return true;
+    Quota& quota = quotas_[tenant];
+    const double per_ms = tenant_settings.quota_per_s / settings_.gateways / 1000;
+    quota.requests_left =
+        std::min(quota_burst(tenant_settings), quota.requests_left + per_ms * (now - quota.updated_at));
+    quota.updated_at = now;
+    if (quota.requests_left < 1) return false;
+    quota.requests_left -= 1;
+    return true;
+}
+
+double LoadShedder::quota_burst(const TenantSettings& tenant) const {
+    return std::max(kMinQuotaBurst, kQuotaBurstSeconds * tenant.quota_per_s / settings_.gateways);
+}
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/load_shedder.h
@@ -0,0 +1,42 @@
+// Rejects requests on arrival under overload: those beyond their tenant's quota and of low priority weight
+// first.
+#pragma once
+
+#include <vector>
+
+#include "gorsenotch/settings.h"
+#include "router/completion_times.h"
+#include "router/fleet_stats.h"
+#include "router/records.h"
+#include "router/wait_estimator.h"
+
+namespace gorsenotch::router {
+
+// Owns this gateway's share of each tenant's quota, as a token bucket.
+class LoadShedder {
+public:
+    // All references must outlive this object.
+    LoadShedder(const Settings& settings, const FleetStats& fleet_stats,
+                const CompletionTimes& completion_times, WaitEstimator& wait_estimator);
+
+    // Whether to reject the request, which has just arrived. Takes it from its tenant's quota in any case.
+    bool should_shed(Millis now, const RequestState& request);
+
+private:
+    struct Quota {
+        double requests_left = 0;
+        Millis updated_at = 0;
+    };
+
+    bool take_from_quota(Millis now, const RequestState& request);
+    double quota_burst(const TenantSettings& tenant) const;
+
+    const Settings& settings_;
+    const FleetStats& fleet_stats_;
+    const CompletionTimes& completion_times_;
+    WaitEstimator& wait_estimator_;
+    double max_priority_weight_ = kMinPriorityWeight;
+    std::vector<Quota> quotas_;  // by tenant
+};
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/prefill_selector.cpp
@@ -0,0 +1,178 @@
+#include "router/prefill_selector.h"
+
+#include <algorithm>
+#include <cmath>
+#include <tuple>
+
+#include "router/request_properties.h"
+#include "stats/hash.h"
+
+namespace gorsenotch::router {
+namespace {
+
+constexpr std::uint64_t kZoneSalt = 0;
+
+}  // namespace
+
+PrefillSelector::PrefillSelector(const Settings& settings, const EndpointRegistry& registry,
+                                 const FleetStats& fleet_stats, const Eligibility& eligibility,
+                                 const PrefixAffinity& prefix_affinity, DecodeSelector& decode_selector,
+                                 stats::UniformRandom& random)
+    : settings_(settings),
+      registry_(registry),
+      fleet_stats_(fleet_stats),
+      eligibility_(eligibility),
+      prefix_affinity_(prefix_affinity),
+      decode_selector_(decode_selector),
+      random_(random) {}
+
+EndpointState* PrefillSelector::choose(Millis now, const RequestState& request) {
+    return registry_.choose_widening(SearchScope::window,
+                                     [&](SearchScope scope) { return choose_among(now, request, scope); });
+}
+
+EndpointState* PrefillSelector::choose_among(Millis now, const RequestState& request, SearchScope scope) {
+    const EndpointRing& ring = registry_.with_role(Role::prefill);
+    const std::vector<EndpointState*>& candidates = EndpointRegistry::candidates(
+        ring, prefix_affinity_.prefill_window_key(request), scope, prefill_window_);
+    const std::vector<EndpointState*> endpoints = eligible_endpoints(now, request, scope, candidates);
+    if (endpoints.empty()) return nullptr;
+    const std::vector<LoadedEndpoint> eligible = with_loads(now, endpoints);
+    const std::vector<EndpointState*> within_margin = within_load_margin(request, eligible);
+    const std::uint64_t key = prefix_affinity_.affinity_key(request);
+    if (!key) return choose_least_loaded(eligible, within_margin);
+    // A window is a sample of the fleet.
+    const std::size_t usable =
+        candidates.empty() ? eligible.size() : eligible.size() * ring.size() / candidates.size();
+    return prefix_affinity_.choose(request, key, within_margin, usable);
+}
+
+EndpointState* PrefillSelector::choose_least_loaded(const std::vector<LoadedEndpoint>& eligible,
+                                                    const std::vector<EndpointState*>& within_margin) {
+    struct RankedEndpoint {
+        double load;
+        double tie_breaker;
+        EndpointState* endpoint;
+    };
+    std::vector<RankedEndpoint> ranking;
+    for (const auto& [load, endpoint] : eligible) {
+        if (std::find(within_margin.begin(), within_margin.end(), endpoint) == within_margin.end()) continue;
+        ranking.push_back({load, random_.next(), endpoint});
+    }
+    const auto precedes = [](const RankedEndpoint& left, const RankedEndpoint& right) {
+        return std::tie(left.load, left.tie_breaker) < std::tie(right.load, right.tie_breaker);
+    };
+    return std::min_element(ranking.begin(), ranking.end(), precedes)->endpoint;
+}
+
+// Endpoints of the role prefill, and mixed ones that have capacity if the decode endpoint that would be
+// chosen has none, as a mixed one decodes too; all mixed ones if none of the role prefill is eligible.
+std::vector<EndpointState*> PrefillSelector::eligible_endpoints(
+    Millis now, const RequestState& request, SearchScope scope,
+    const std::vector<EndpointState*>& candidates) {
+    const EndpointState* decode_endpoint = nullptr;
+    std::vector<EndpointState*> eligible;
+    for (const Strictness strictness : {Strictness::strict, Strictness::relaxed}) {
+        for (EndpointState* endpoint : candidates) {
+            if (eligibility_.is_eligible(now, *endpoint, request, strictness)) eligible.push_back(endpoint);
+        }
+        if (!decode_endpoint) decode_endpoint = decode_selector_.choose(now, request, scope);
+        const bool decode_capacity = decode_endpoint && Eligibility::has_capacity(*decode_endpoint);
+        if (!eligible.empty() && decode_capacity) break;
+        const std::vector<EndpointState*>& mixed =
+            EndpointRegistry::candidates(registry_.with_role(Role::mixed),
+                                         prefix_affinity_.prefill_window_key(request), scope, mixed_window_);
+        for (EndpointState* endpoint : mixed) {
+            if (eligibility_.is_eligible(now, *endpoint, request, strictness) &&
+                (eligible.empty() || Eligibility::has_capacity(*endpoint)))
+                eligible.push_back(endpoint);
+        }
+        if (!eligible.empty()) break;
+    }
+    return eligible;
+}
+
+// The share of its memory that each endpoint uses, by own requests and, as far as reported, by others;
+// without a recent report the mean of the others.
+std::vector<PrefillSelector::LoadedEndpoint> PrefillSelector::with_loads(
+    Millis now, const std::vector<EndpointState*>& eligible) const {
+    const auto is_recent = [now](const EndpointState& endpoint) {
+        return now - endpoint.load.last_report_at < kRateSpan;
+    };
+    double reported_sum = 0;
+    double reports = 0;
+    for (const EndpointState* endpoint : eligible) {
+        if (!is_recent(*endpoint)) continue;
+        reported_sum += endpoint->load.tokens_held_by_others / registry_.memory_capacity(*endpoint);
+        ++reports;
+    }
+    const double mean_of_others = reports > 0 ? reported_sum / reports : 0;
+    std::vector<LoadedEndpoint> loaded;
+    for (EndpointState* endpoint : eligible) {
+        const double capacity = registry_.memory_capacity(*endpoint);
+        const double by_others =
+            is_recent(*endpoint) ? endpoint->load.tokens_held_by_others / capacity : mean_of_others;
+        loaded.push_back({by_others + endpoint->load.reserved_tokens / capacity, endpoint});
+    }
+    return loaded;
+}
+
+// The endpoints within a margin of the least load, in the own zone or outside.
+std::vector<EndpointState*> PrefillSelector::within_load_margin(
+    const RequestState& request, const std::vector<LoadedEndpoint>& eligible) const {
+    double sum = 0;
+    double least = eligible[0].load;
+    for (const LoadedEndpoint& candidate : eligible) {
+        sum += candidate.load;
+        least = std::min(least, candidate.load);
+    }
+    // At a low sample rate few loads are known, and the least of these must not draw all prompts from where
+    // their prefixes are cached.
+    if (fleet_stats_.low_sample_rate()) least = sum / static_cast<double>(eligible.size());
+    // A prompt is processed in full at an endpoint that does not cache its prefix, so the margin grows with
+    // what the cache saves. Otherwise the first overload spreads the prefixes, each prefill takes longer and
+    // the overload persists.
+    const double saved_factor =
+        std::clamp(request.arrival.prompt_tokens / (1000 * uncached_kilotokens(request)), kMinLoadMargin,
+                   kMaxLoadMargin);
+    const double prompt_load =
+        fleet_stats_.typical_prompt_tokens() / registry_.memory_capacity(*eligible[0].endpoint);
+    std::vector<EndpointState*> within_margin;
+    bool own_zone_has_capacity = false;
+    for (const auto& [load, endpoint] : eligible) {
+        if (load > least + saved_factor * prompt_load) continue;
+        within_margin.push_back(endpoint);
+        // The margin for the own zone is narrower: it may have few endpoints, which its gateways would
+        // overload.
+        own_zone_has_capacity |=
+            endpoint->info.zone == settings_.own_zone && load <= least + kMinLoadMargin * prompt_load;
+    }
+    if (own_zone_has_capacity) prefer_own_zone(request, eligible, within_margin);
+    return within_margin;
+}
+
+// Keeps the endpoints of the own zone, or only the others. At a low sample rate a zone keeps only as many
+// sessions as its share of the endpoints covers, assuming the same load in each zone. Guards against overload
+// in a zone with few endpoints while others are idle.
+void PrefillSelector::prefer_own_zone(const RequestState& request,
+                                      const std::vector<LoadedEndpoint>& eligible,
+                                      std::vector<EndpointState*>& within_margin) const {
+    const int exponent = fleet_stats_.no_load_signal() ? kNoSignalZoneExponent : kZoneExponent;
+    double own_share = 0;
+    double all_shares = 0;
+    for (const LoadedEndpoint& candidate : eligible) {
+        const EndpointState& endpoint = *candidate.endpoint;
+        const double share = std::pow(fleet_stats_.prefill_weight(endpoint), exponent);
+        all_shares += share;
+        own_share += endpoint.info.zone == settings_.own_zone ? share : 0;
+    }
+    const double draw = stats::hash_fraction(request.arrival.session, kZoneSalt);
+    const bool stays = !fleet_stats_.low_sample_rate() || draw * all_shares <= own_share * settings_.zones;
+    const auto not_preferred = [&](const EndpointState* endpoint) {
+        return (endpoint->info.zone == settings_.own_zone) != stays;
+    };
+    if (!std::all_of(within_margin.begin(), within_margin.end(), not_preferred))
+        std::erase_if(within_margin, not_preferred);
+}
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/prefix_affinity.cpp
@@ -0,0 +1,88 @@
+#include "router/prefix_affinity.h"
+
+#include <algorithm>
+#include <cmath>
+#include <functional>
+
+#include "stats/hash.h"
+
+namespace gorsenotch::router {
+namespace {
+
+constexpr std::uint64_t kReplicaRankSalt = 1;
+
+struct ScoredEndpoint {
+    double score;
+    EndpointState* endpoint;
+};
+
+bool precedes(const ScoredEndpoint& left, const ScoredEndpoint& right) {
+    if (left.score != right.score) return left.score < right.score;
+    return std::less<>()(left.endpoint, right.endpoint);
+}
+
+}  // namespace
+
+void PrefixAffinity::record_arrival(const RequestState& request) {
+    if (request.arrival.shared_prefix) ++arrivals_by_prefix_[request.arrival.shared_prefix];
+    ++arrivals_;
+}
+
+void PrefixAffinity::decay(Millis elapsed) {
+    const double keep = std::exp(-elapsed / kCompletionSpan / 10);
+    arrivals_ *= keep;
+    for (auto& [prefix, count] : arrivals_by_prefix_) count *= keep;
+    std::erase_if(arrivals_by_prefix_, [](const auto& entry) { return entry.second < kForgetPrefixBelow; });
+}
+
+std::uint64_t PrefixAffinity::affinity_key(const RequestState& request) const {
+    return has_session_affinity(request) ? request.arrival.session : request.arrival.shared_prefix;
+}
+
+// At a low sample rate the session, if most of the prompt is its own: no queue of this gateway would show an
+// overload at the endpoints of a popular prefix.
+bool PrefixAffinity::has_session_affinity(const RequestState& request) const {
+    const Arrival& arrival = request.arrival;
+    if (!arrival.shared_prefix) return true;
+    return fleet_stats_.low_sample_rate() && arrival.session &&
+           2 * arrival.shared_prefix_tokens < arrival.prompt_tokens;
+}
+
+std::uint64_t PrefixAffinity::prefill_window_key(const RequestState& request) const {
+    const std::uint64_t key = affinity_key(request);
+    return key ? key : seed_ + request.serial;
+}
+
+// By the endpoint list alone, as the next request of a session may come by another gateway.
+EndpointState* PrefixAffinity::choose(const RequestState& request, std::uint64_t key,
+                                      const std::vector<EndpointState*>& candidates,
+                                      std::size_t usable) const {
+    std::vector<ScoredEndpoint> ranking;
+    for (EndpointState* endpoint : candidates) {
+        const double draw = stats::hash_fraction(key, endpoint->info.id) + 1e-18;
+        ranking.push_back({-std::log(draw) / fleet_stats_.prefill_weight(*endpoint), endpoint});
+    }
+    const std::size_t replicas =
+        has_session_affinity(request)
+            ? 1
+            : std::min(ranking.size(), affinity_replicas(request.arrival.shared_prefix, usable));
+    // A session keeps its rank among the replicas.
+    const double rank_draw = stats::hash_fraction(request.arrival.session, kReplicaRankSalt);
+    const auto rank = static_cast<std::ptrdiff_t>(rank_draw * static_cast<double>(replicas));
+    const auto chosen = ranking.begin() + rank;
+    std::nth_element(ranking.begin(), chosen, ranking.end(), precedes);
+    return chosen->endpoint;
+}
+
+// The number of endpoints that cache a prefix. Guards against a popular prefix that overloads its endpoint,
+// which no queue of this gateway shows at a low sample rate: no endpoint carries more of one prefix than a
+// multiple of the mean load. May do harm by prefixes processed once at each replica.
+std::size_t PrefixAffinity::affinity_replicas(std::uint64_t prefix, std::size_t endpoints) const {
+    if (!fleet_stats_.low_sample_rate()) return 1;
+    const auto found = arrivals_by_prefix_.find(prefix);
+    if (found == arrivals_by_prefix_.end()) return 1;
+    const double share = (found->second - 1) / (kSharedPrefixPriorArrivals + arrivals_);
+    return 1 + static_cast<std::size_t>(share * static_cast<double>(endpoints) / kAffinityReplicaLoad);
+}
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/retry_budget.cpp
@@ -0,0 +1,21 @@
+#include "router/retry_budget.h"
+
+#include <algorithm>
+
+namespace gorsenotch::router {
+
+// With many gateways the sum of their budgets counts, so each starts with less.
+RetryBudget::RetryBudget(int gateways)
+    : initial_retries_(
+          std::clamp(kInitialRetriesOfAllGateways / gateways, kMinRetryBudget, kMaxInitialRetryBudget)),
+      retries_left_(initial_retries_) {}
+
+void RetryBudget::on_first_token(Millis now) {
+    retries_left_ = std::min(retries_left_ + kRetriesPerFirstToken, capacity(now));
+}
+
+double RetryBudget::capacity(Millis now) const {
+    return std::max(initial_retries_, kRetryBudgetSpan * arrival_rate_.read(now));
+}
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/slow_start.cpp
@@ -0,0 +1,37 @@
+#include "router/slow_start.h"
+
+#include <algorithm>
+
+#include "stats/hash.h"
+
+namespace gorsenotch::router {
+
+// Guards against a warming endpoint that all gateways together overload. Each sends it a fraction of what its
+// warm peers get from this same gateway, so that the sum stays below the limit. A budget below one send is
+// taken as a probability, drawn once for each request and endpoint. Where this gateway has ejected many
+// peers, so may have all others: less is sent then.
+bool SlowStart::within_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
+                              const FleetStats& fleet_stats) const {
+    const Millis warming_for = now - endpoint.warming_since;
+    if (warming_for >= settings_.slow_start_duration) return true;
+    const auto& recent = endpoint.sends.recent;
+    const auto in_window = std::upper_bound(recent.begin(), recent.end(), now - settings_.overload_window);
+    const auto sent = static_cast<double>(recent.end() - in_window);
+    const double progress = warming_for / settings_.slow_start_duration;
+    const double capacity = settings_.initial_capacity + (1 - settings_.initial_capacity) * progress;
+    const double share =
+        std::min(capacity, kSlowStartSafety * settings_.overload_factor * settings_.initial_capacity);
+    const double baseline_sends = fleet_stats.baseline_rate(endpoint.role) * settings_.overload_window;
+    if (settings_.gateways <= kFewGateways) return sent + 1 <= std::max(1.0, share * baseline_sends);
+    const double draw = stats::hash_fraction(seed_ + request.serial, endpoint.info.id);
+    return sent + draw < share * std::max(fleet_stats.available_fraction(endpoint.role), baseline_sends);
+}
+
+void SlowStart::record_send(Millis now, EndpointState& endpoint) const {
+    endpoint.sends.rate.add(now);
+    auto& recent = endpoint.sends.recent;
+    recent.push_back(now);
+    while (!recent.empty() && recent.front() <= now - settings_.overload_window) recent.pop_front();
+}
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/src/router/slow_start.h
@@ -0,0 +1,29 @@
+// Protects an endpoint that has just started from overload, while its caches are cold.
+#pragma once
+
+#include <cstdint>
+
+#include "gorsenotch/settings.h"
+#include "router/fleet_stats.h"
+#include "router/records.h"
+
+namespace gorsenotch::router {
+
+// Has no state of its own; the only one to change EndpointState::sends.
+class SlowStart {
+public:
+    // `settings` must outlive this object. `seed` is the Router's.
+    SlowStart(const Settings& settings, std::uint64_t seed) : settings_(settings), seed_(seed) {}
+
+    // Whether the endpoint may get the request: it is warm, or this gateway's share of its slow-start budget
+    // is not used up.
+    bool within_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
+                       const FleetStats& fleet_stats) const;
+    void record_send(Millis now, EndpointState& endpoint) const;
+
+private:
+    const Settings& settings_;
+    const std::uint64_t seed_;
+};
+
+}  // namespace gorsenotch::router
--- /dev/null
+++ b/tests/router/endpoint_registry_test.cpp
@@ -0,0 +1,100 @@
+#include "router/endpoint_registry.h"
+
+#include <gtest/gtest.h>
+
+#include "router/router_components.h"
+
+namespace gorsenotch::test {
+namespace {
+
+using router::EndpointRegistry;
+using router::EndpointState;
+using router::SearchScope;
+
+TEST(EndpointRegistry, IndexesHealthyEndpointsByRole) {
+    const RouterComponents fleet;
+    EXPECT_EQ(fleet.registry.with_role(Role::prefill).size(), 2u);
+    EXPECT_EQ(fleet.registry.with_role(Role::decode).size(), 2u);
+    EXPECT_EQ(fleet.registry.decode_capable().size(), 2u);
+    EXPECT_EQ(fleet.registry.decode_capable_in(1).size(), 1u);
+    EXPECT_TRUE(fleet.registry.decode_capable_in(7).empty());
+}
+
+TEST(EndpointRegistry, AFullUpdateRemovesUnlistedEndpointsFromChoicesAndForgetsThemLater) {
+    RouterComponents fleet;
+    fleet.registry.apply(100, list({reader(1), writer(11)}));
+    EXPECT_EQ(fleet.registry.with_role(Role::prefill).size(), 1u);
+    ASSERT_NE(fleet.registry.find(2), nullptr);
+    EXPECT_EQ(fleet.endpoint(2).info.status, EndpointStatus::removed);
+    fleet.registry.forget_removed(60000);
+    EXPECT_NE(fleet.registry.find(2), nullptr);
+    fleet.registry.forget_removed(60001);
+    EXPECT_EQ(fleet.registry.find(2), nullptr);
+}
+
+TEST(EndpointRegistry, DoesNotForgetAnEndpointWithAnAttemptInFlight) {
+    RouterComponents fleet;
+    fleet.send_request("r", 2, router::Stage::prefill);
+    fleet.registry.apply(100, list({reader(1), writer(11)}));
+    fleet.registry.forget_removed(100000);
+    EXPECT_NE(fleet.registry.find(2), nullptr);
+}
+
+TEST(EndpointRegistry, ARestartResetsHealthAndStartsTheSlowStart) {
+    RouterComponents fleet;
+    fleet.endpoint(1).health.ejected = true;
+    fleet.endpoint(1).load.memory_utilization = 0.9;
+    Endpoint restarted = reader(1);
+    restarted.started_at = 5000;
+    fleet.registry.apply(6000, {EndpointUpdate::Kind::incremental, {restarted}});
+    EXPECT_FALSE(fleet.endpoint(1).health.ejected);
+    EXPECT_EQ(fleet.endpoint(1).load.memory_utilization, -1);
+    EXPECT_EQ(fleet.endpoint(1).warming_since, 5000);
+}
+
+TEST(EndpointRegistry, AStartInTheFutureCountsAsNow) {
+    RouterComponents fleet;
+    Endpoint restarted = reader(1);
+    restarted.started_at = 9000;
+    fleet.registry.apply(6000, {EndpointUpdate::Kind::incremental, {restarted}});
+    EXPECT_EQ(fleet.endpoint(1).warming_since, 6000);
+}
+
+TEST(EndpointRegistry, IgnoresAnEndpointOfAnUnknownKind) {
+    RouterComponents fleet;
+    Endpoint unknown = reader(3);
+    unknown.kind = 99;
+    fleet.registry.apply(1, {EndpointUpdate::Kind::incremental, {unknown}});
+    EXPECT_EQ(fleet.registry.find(3), nullptr);
+}
+
+TEST(EndpointRegistry, AReportBeyondTheOwnLoadIsHeldByOthers) {
+    RouterComponents fleet;
+    fleet.send_request("r", 1, router::Stage::prefill);
+    LoadReport report;
+    EXPECT_FALSE(fleet.registry.apply_load_report(5, fleet.endpoint(1), report));
+    report.memory_utilization = 0.5;
+    EXPECT_TRUE(fleet.registry.apply_load_report(5, fleet.endpoint(1), report));
+    EXPECT_EQ(fleet.endpoint(1).load.tokens_held_by_others, 49000);
+}
+
+TEST(EndpointRegistry, ALargeFleetIsSearchedByAWindowAndThenAsAWhole) {
+    RouterComponents fleet;
+    std::vector<Endpoint> listed;
+    for (EndpointId id = 1; id <= 200; ++id) listed.push_back(reader(id));
+    fleet.registry.apply(1, list(listed));
+    std::vector<EndpointState*> window;
+    const auto& ring = fleet.registry.with_role(Role::prefill);
+    EXPECT_EQ(EndpointRegistry::candidates(ring, 7, SearchScope::window, window).size(), 96u);
+    EXPECT_EQ(EndpointRegistry::candidates(ring, 7, SearchScope::all, window).size(), 200u);
+    std::vector<SearchScope> scopes;
+    const auto find_nothing = [&](SearchScope scope) -> EndpointState* {
+        scopes.push_back(scope);
+        return nullptr;
+    };
+    fleet.registry.choose_widening(SearchScope::window, find_nothing);
+    EXPECT_EQ(scopes, (std::vector<SearchScope>{SearchScope::window, SearchScope::all}));
+}
+
+}  // namespace
+}  // namespace gorsenotch::test
--- /dev/null
+++ b/tests/router/settings_validation_test.cpp
@@ -0,0 +1,44 @@
+#include "router/settings_validation.h"
+
+#include <gtest/gtest.h>
+
+#include <stdexcept>
+
+#include "router/router_harness.h"
+
+namespace gorsenotch::test {
+namespace {
+
+std::string error_of(const Settings& settings) {
+    try {
+        router::validate_settings(settings);
+    } catch (const std::invalid_argument& error) {
+        return error.what();
+    }
+    return "";
+}
+
+TEST(SettingsValidation, AcceptsCompleteSettings) { EXPECT_EQ(error_of(plain_settings()), ""); }
+
+TEST(SettingsValidation, NamesTheFirstSettingAtFault) {
+    Settings settings = plain_settings();
+    settings.max_attempts = 0;
+    EXPECT_EQ(error_of(settings), "gorsenotch settings: max_attempts: at least one");
+    settings.classes[1].deadline = 0;
+    EXPECT_EQ(error_of(settings), "gorsenotch settings: classes: deadline must be above 0");
+    settings.classes.clear();
+    EXPECT_EQ(error_of(settings), "gorsenotch settings: classes: at least one is needed");
+}
+
+TEST(SettingsValidation, NeedsPrefillUnlessDecodeEndpointsPrefillLocally) {
+    Settings settings = plain_settings();
+    settings.kinds = {{Role::decode, 100000}};
+    EXPECT_NE(error_of(settings), "");
+    settings.local_prefill = true;
+    EXPECT_EQ(error_of(settings), "");
+    settings.kinds = {{Role::prefill, 100000}};
+    EXPECT_NE(error_of(settings), "");
+}
+
+}  // namespace
+}  // namespace gorsenotch::test
