--- /dev/null
+++ b/src/platform/attempt_runner.cpp
@@ -0,0 +1,223 @@
+#include "platform/attempt_runner.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "control/send_preconditions.h"
+
+namespace gorsenotch::platform {
+namespace {
+
+// Room for the headers that are added to a client's own, in bytes.
+constexpr std::size_t kAddedHeaderBytes = 128;
+
+}  // namespace
+
+AttemptRunner::AttemptRunner(LifecycleContext& context, LeaseKeeper& lease_keeper,
+                             RequestCompletion& completion, StreamForwarder& streams)
+    : context_(context), lease_keeper_(lease_keeper), completion_(completion), streams_(streams) {}
+
+Role AttemptRunner::role_of(const Endpoint& endpoint) const {
+    return context_.named.settings.kinds[static_cast<std::size_t>(endpoint.kind)].role;
+}
+
+// Guards against an attempt that was right when it was decided and is wrong when its connection is up: the
+// client has gone (its close may wait unread behind other work), the request has its answer, the endpoint
+// drains, the time or the window for repeats is over. Covers every wait between decision and first byte.
+// Costs one system call each time.
+bool AttemptRunner::may_send(const SendConditions& conditions) {
+    RequestState* request = context_.requests.find(conditions.handle);
+    control::SendPreconditions facts;
+    facts.request_over = !request || request->closed;
+    facts.client_disconnected = !facts.request_over && request->client && request->client->has_disconnected();
+    facts.endpoint_status = context_.endpoint_status(conditions.endpoint);
+    facts.now = context_.environment.now();
+    facts.send_by = conditions.send_by;
+    facts.lease_released =
+        conditions.reads_state && request && request->lease.released_since(conditions.decided_at);
+    facts.deadline = request ? request->deadline : 0;
+    const auto block_reason = control::check_send(facts);
+    if (!block_reason) return true;
+    ++context_.counters.send_blocks[static_cast<std::size_t>(*block_reason)];
+    if (*block_reason == control::SendBlockReason::client_disconnected)
+        completion_.record_client_disconnect(*request);
+    return false;
+}
+
+// ---- start ----------------------------------------------------------------------------------------------
+
+void AttemptRunner::start(const StartAttempt& start) {
+    RequestState* request = context_.requests.find(start.request);
+    if (!request) return;
+    const Millis now = context_.environment.now();
+    const AttemptKey key{request->handle, static_cast<int>(request->attempts.size())};
+    const DiscoveredEndpoint* endpoint = context_.endpoints.find(start.endpoint);
+    AttemptState attempt;
+    attempt.endpoint = start.endpoint;
+    attempt.sent = now;
+    attempt.last_heard = now;
+    attempt.clock = context_.driver.start_clock(start.timeout, request->deadline);
+    SendConditions conditions{request->handle, start.endpoint, start.send_by, now, false};
+    if (!may_send(conditions)) return end_unsent(*request, std::move(attempt));
+    attempt.is_prefill = role_of(endpoint->endpoint) == Role::prefill;
+    const auto exchange = std::make_shared<UpstreamExchange>(
+        attempt.is_prefill ? UpstreamExchange::Kind::prefill : UpstreamExchange::Kind::decode);
+    attempt.exchange = exchange;
+    conditions.reads_state = !attempt.is_prefill && request->lease.held();
+    exchange->may_start_hook = [this, conditions] { return may_send(conditions); };
+    attach_hooks(*exchange, key, endpoint->endpoint, now);
+    lease_keeper_.on_attempt_begun(*request, attempt);
+    // Guards against an endpoint that is told of more time than is left: the connection may take long.
+    exchange->on_stamp = [this, key, position = request->inbound.head.size()](std::string& text) {
+        insert_remaining_time(key, position, text);
+    };
+    const std::string address = endpoint->dial_address;
+    std::string request_text = compose_request(*request, address);
+    context_.driver.set_timer(TimerKind::attempt_timeout, attempt.clock.due(), request, key.index, 0, true);
+    ++context_.counters.attempts;
+    ++context_.attempts_in_flight;
+    request->attempts.push_back(std::move(attempt));
+    context_.environment.start_exchange(address, std::move(request_text), exchange);
+}
+
+void AttemptRunner::end_unsent(RequestState& request, AttemptState attempt) {
+    AttemptEnded ended;
+    ended.request = request.router_id();
+    ended.attempt = static_cast<int>(request.attempts.size());
+    ended.endpoint = attempt.endpoint;
+    ended.result = AttemptResult::not_sent;
+    ended.request_closed = request.closed;
+    attempt.phase = AttemptPhase::ended;
+    request.attempts.push_back(std::move(attempt));
+    ++context_.counters.of(ended.result);
+    context_.driver.feed(std::move(ended));
+}
+
+void AttemptRunner::attach_hooks(UpstreamExchange& exchange, AttemptKey key, const Endpoint& endpoint,
+                                 Millis sent) {
+    exchange.on_sent = [this, key, endpoint] {
+        context_.invariant_checker.on_attempt_sent(key.handle, key.index, endpoint, role_of(endpoint),
+                                                   context_.environment.now());
+    };
+    exchange.on_written = [this, key] { on_request_written(key); };
+    exchange.on_first_byte = [this, key, id = endpoint.id, sent] { on_first_byte(key, id, sent); };
+    exchange.on_first_event = [this, key](std::string_view events) {
+        streams_.on_first_event(key.handle, key.index, events);
+    };
+    exchange.on_more_events = [this, key](std::string_view events) {
+        streams_.on_more_events(key.handle, key.index, events);
+    };
+    exchange.on_ended = [this, key](const AttemptOutcome& outcome) { on_ended(key, outcome); };
+}
+
+std::string AttemptRunner::compose_request(const RequestState& request, const std::string& address) const {
+    const Inbound& inbound = request.inbound;
+    std::string text;
+    text.reserve(inbound.head.size() + inbound.body.size() + kAddedHeaderBytes);
+    text.append(inbound.head);
+    text.append("host: ").append(address).append("\r\n");
+    text.append("content-length: ").append(std::to_string(inbound.body.size())).append("\r\n\r\n");
+    return text.append(inbound.body);
+}
+
+void AttemptRunner::insert_remaining_time(AttemptKey key, std::size_t position, std::string& request_text) {
+    const AttemptState* attempt = context_.requests.find_attempt(key.handle, key.index);
+    if (!attempt) return;
+    const control::AttemptClock& clock = attempt->clock;
+    Millis until = clock.request_deadline;
+    if (clock.timeout > 0) until = std::min(clock.sent_at + clock.timeout, until);
+    const auto left = static_cast<long long>(std::max(1.0, until - context_.environment.now()));
+    request_text.insert(position, "x-remaining: " + std::to_string(left) + "m\r\n");
+}
+
+// ---- progress -------------------------------------------------------------------------------------------
+
+void AttemptRunner::on_request_written(AttemptKey key) {
+    RequestState* request = context_.requests.find(key.handle);
+    AttemptState* attempt = context_.requests.find_attempt(key.handle, key.index);
+    if (!attempt) return;
+    context_.driver.on_request_written(attempt->clock);
+    lease_keeper_.on_request_written(*request, *attempt);
+}
+
+void AttemptRunner::on_first_byte(AttemptKey key, EndpointId endpoint, Millis sent) {
+    context_.health_checker.on_answered(endpoint, sent);
+    context_.invariant_checker.on_endpoint_answered(context_.environment.now());
+    RequestState* request = context_.requests.find(key.handle);
+    if (!request) return;
+    lease_keeper_.on_attempt_answered(*request);
+    if (!request->attempts.back().is_prefill) context_.invariant_checker.on_decode_answered(key.handle);
+}
+
+void AttemptRunner::stop(const StopAttempt& stop) {
+    RequestState* request = context_.requests.find(stop.request);
+    const AttemptState* attempt = request ? request->find_attempt(stop.attempt) : nullptr;
+    if (attempt && attempt->phase == AttemptPhase::awaiting_response)
+        abort_attempt(context_.environment, *attempt, AttemptResult::cancelled);
+}
+
+void AttemptRunner::on_timeout(RequestState& request, int attempt_index) {
+    AttemptState& attempt = *request.find_attempt(attempt_index);
+    if (attempt.phase != AttemptPhase::awaiting_response) return;
+    if (!context_.driver.has_expired(attempt.clock))
+        return context_.driver.set_timer(TimerKind::attempt_timeout, attempt.clock.due(), &request,
+                                         attempt_index, 0, true);
+    const bool endpoint_at_fault = attempt.clock.endpoint_at_fault();
+    abort_attempt(context_.environment, attempt,
+                  endpoint_at_fault ? AttemptResult::timed_out : AttemptResult::cancelled);
+}
+
+// ---- end ------------------------------------------------------------------------------------------------
+
+void AttemptRunner::on_ended(AttemptKey key, const AttemptOutcome& outcome) {
+    context_.driver.catch_up();
+    RequestState* request = context_.requests.find(key.handle);
+    AttemptState* attempt = context_.requests.find_attempt(key.handle, key.index);
+    if (!attempt || !attempt->in_flight()) return;
+    attempt->mark_ended();
+    --context_.attempts_in_flight;
+    ++context_.counters.of(outcome.result);
+    report_to_invariant_checker(key, *attempt, outcome);
+    attempt->ended = context_.environment.now();
+    attempt->result = outcome.result;
+    record_endpoint_evidence(*attempt, outcome);
+    lease_keeper_.on_attempt_ended(*request, *attempt, outcome);
+    AttemptEnded ended;
+    ended.request = request->router_id();
+    ended.attempt = key.index;
+    ended.endpoint = attempt->endpoint;
+    ended.result = outcome.result;
+    ended.took = attempt->ended - attempt->sent;
+    ended.detail = outcome.detail;
+    if (outcome.begun && !request->closed) {
+        completion_.finish_stream(*request, outcome.result);
+        request = context_.requests.find(key.handle);
+    }
+    if (request) {
+        ended.request_closed = request->closed;
+        completion_.revisit_when_idle(key.handle);
+    }
+    context_.driver.feed(std::move(ended));
+}
+
+void AttemptRunner::report_to_invariant_checker(AttemptKey key, const AttemptState& attempt,
+                                                const AttemptOutcome& outcome) {
+    control::InvariantChecker& checker = context_.invariant_checker;
+    const Millis stalled_for = context_.driver.stalled_for();
+    checker.on_attempt_ended(key.handle, key.index, never_ran(outcome.result));
+    if (outcome.result == AttemptResult::prefill_done)
+        checker.on_prefill_answered(key.handle, context_.environment.now(), stalled_for);
+    else if (outcome.result == AttemptResult::rejected && outcome.detail == kNoStateToFetch)
+        checker.on_lease_taken(key.handle);
+    else if (!attempt.is_prefill)
+        checker.on_decode_ended(key.handle, context_.environment.now(), stalled_for);
+}
+
+void AttemptRunner::record_endpoint_evidence(const AttemptState& attempt, const AttemptOutcome& outcome) {
+    DiscoveredEndpoint* endpoint = context_.endpoints.find(attempt.endpoint);
+    if (!endpoint) return;
+    const bool answered = outcome.status > 0 && outcome.result != AttemptResult::reset;
+    (answered ? endpoint->last_success : endpoint->last_failure) = attempt.ended;
+}
+
+}  // namespace gorsenotch::platform
--- a/src/platform/lease_releaser.cpp
+++ b/src/platform/lease_releaser.cpp
@@ -145,7 +145,7 @@
     if (host) host->last_failure = environment_.now();
     call.attempt->on_ended = nullptr;
     environment_.close(*call.attempt);
-    call.attempt->abort(AttemptResult::cancelled, "no answer");
+    call.attempt->abort(AttemptResult::cancelled);
     --calls_out_;
 }
 
--- /dev/null
+++ b/src/platform/request_completion.cpp
@@ -0,0 +1,117 @@
+#include "platform/request_completion.h"
+
+#include <utility>
+
+namespace gorsenotch::platform {
+namespace {
+
+constexpr int kStatusUnavailable = 503;
+
+RequestOutcome outcome_without_answer(const RequestState& request, int status) {
+    if (request.stream_begun()) return RequestOutcome::broken;
+    if (status != kStatusUnavailable) return RequestOutcome::failed;
+    return request.attempts.empty() ? RequestOutcome::rejected_unsent : RequestOutcome::rejected;
+}
+
+AttemptRecord record_of(const AttemptState& attempt, Millis arrived) {
+    AttemptRecord record;
+    record.is_prefill = attempt.is_prefill;
+    record.out = attempt.in_flight();
+    record.result = attempt.result;
+    record.sent = attempt.sent - arrived;
+    record.ended = attempt.ended - arrived;
+    return record;
+}
+
+}  // namespace
+
+RequestCompletion::RequestCompletion(LifecycleContext& context, LeaseKeeper& lease_keeper)
+    : context_(context), lease_keeper_(lease_keeper), access_log_(context.named.settings) {}
+
+void RequestCompletion::send_final(RequestState& request, const FinalAnswer& answer) {
+    if (request.closed) return;
+    log_request(request, outcome_without_answer(request, answer.status), answer.cause);
+    Client* client = close(request);
+    if (!client) return;
+    if (request.stream_begun()) return client->abort_stream();
+    context_.invariant_checker.on_answered(request.handle, answer.status == kStatusUnavailable,
+                                           context_.environment.now());
+    client->send_final(answer.status, answer.retry_after, answer.text);
+}
+
+void RequestCompletion::finish_stream(RequestState& request, AttemptResult result) {
+    const bool served = result == AttemptResult::served;
+    log_request(request, served ? std::nullopt : std::optional(RequestOutcome::broken));
+    Client* client = close(request);
+    ++(served ? context_.counters.served : context_.counters.broken);
+    if (!client) return;
+    if (served)
+        client->finish_stream();
+    else
+        client->abort_stream();
+}
+
+void RequestCompletion::abort_migrated_stream(RequestState& request) {
+    ++context_.counters.migrated;
+    log_request(request, RequestOutcome::migrated);
+    if (Client* client = close(request)) client->abort_stream();
+}
+
+void RequestCompletion::record_client_disconnect(RequestState& request) {
+    ++context_.counters.client_disconnected;
+    context_.invariant_checker.on_client_disconnected(request.handle);
+    log_request(request, RequestOutcome::client_disconnected);
+    close(request);
+}
+
+// The client is owed nothing from here on; the record stays while attempts are in flight. Returns the client
+// that the request had, for its last call.
+Client* RequestCompletion::close(RequestState& request) {
+    Client* client = std::exchange(request.client, nullptr);
+    request.closed = true;
+    request.inbound.body = std::string();
+    revisit_when_idle(request.handle);
+    return client;
+}
+
+void RequestCompletion::log_request(const RequestState& request, std::optional<RequestOutcome> outcome,
+                                    std::optional<EndCause> cause) {
+    RequestRecord record;
+    record.txn = request.inbound.txn;
+    record.cls = request.inbound.arrival.cls;
+    record.prompt_tokens = request.inbound.arrival.prompt_tokens;
+    record.tokens = request.completion_tokens;
+    record.cause = cause;
+    if (request.lease.held()) record.lease = lease_keeper_.describe(request);
+    if (request.stream_begun_at) record.first = *request.stream_begun_at - request.arrived;
+    record.ended = context_.environment.now() - request.arrived;
+    for (const AttemptState& attempt : request.attempts)
+        record.attempts.push_back(record_of(attempt, request.arrived));
+    const RequestOutcome final_outcome = outcome ? *outcome : access_log_.served(record);
+    if (!access_log_.count(context_.environment.now(), final_outcome, cause)) return;
+    for (std::size_t i = 0; i < record.attempts.size(); ++i)
+        record.attempts[i].server = context_.endpoint_name(request.attempts[i].endpoint);
+    context_.environment.log("info", "request", access_log_.line(record, final_outcome));
+}
+
+void RequestCompletion::remove_ended() {
+    // The list may grow while a release is started.
+    for (std::size_t i = 0; i < to_revisit_.size(); ++i) {
+        RequestState* request = context_.requests.find(to_revisit_[i]);
+        if (!request || request->attempt_in_flight()) continue;
+        lease_keeper_.release(*request, ReleaseReason::request_over);
+        if (request->closed) remove(*request);
+    }
+    to_revisit_.clear();
+}
+
+void RequestCompletion::remove(RequestState& request) {
+    lease_keeper_.abandon_reservation(request);
+    if (!lease_keeper_.release_in_progress(request))
+        context_.health_checker.request_over(request.inbound.txn);
+    context_.driver.cancel_timers(request);
+    context_.invariant_checker.forget(request.handle);
+    context_.requests.remove(request.handle);
+}
+
+}  // namespace gorsenotch::platform
--- /dev/null
+++ b/src/platform/stream_forwarder.cpp
@@ -0,0 +1,133 @@
+#include "platform/stream_forwarder.h"
+
+#include <algorithm>
+#include <functional>
+#include <vector>
+
+namespace gorsenotch::platform {
+namespace {
+
+// A stream whose endpoint is silent for so long is broken. Below the 5 s within which a client must see its
+// end, above what an endpoint eight times too slow takes for a few tokens.
+constexpr Millis kStreamIdleTimeout = 4000;
+// While the process stops, a stream that has been silent for so long is not expected to end before the kill.
+constexpr Millis kSilentWhileStopping = 1000;
+
+bool is_open_stream(const RequestState& request) { return !request.closed && request.stream_begun(); }
+
+}  // namespace
+
+StreamForwarder::StreamForwarder(LifecycleContext& context, LeaseKeeper& lease_keeper,
+                                 RequestCompletion& completion)
+    : context_(context), lease_keeper_(lease_keeper), completion_(completion) {}
+
+void StreamForwarder::on_first_event(std::uint64_t handle, int attempt_index, std::string_view events) {
+    context_.driver.catch_up();
+    RequestState* request = context_.requests.find(handle);
+    AttemptState* attempt = context_.requests.find_attempt(handle, attempt_index);
+    if (!attempt || !attempt->in_flight()) return;
+    const Millis now = context_.environment.now();
+    attempt->phase = AttemptPhase::streaming;
+    attempt->last_heard = now;
+    request->stream_begun_at = now;
+    if (DiscoveredEndpoint* endpoint = context_.endpoints.find(attempt->endpoint))
+        endpoint->last_success = now;
+    context_.invariant_checker.on_lease_taken(handle);
+    lease_keeper_.on_taken(*request);
+    request->inbound.body = std::string();
+    set_idle_timer(*request, attempt_index, now);
+    if (request->client) {
+        context_.invariant_checker.on_answered(handle, false, now);
+        request->client->begin_stream(events);
+    }
+    attempt = context_.requests.find_attempt(handle, attempt_index);
+    if (!attempt) return;
+    context_.driver.feed(FirstToken{std::to_string(handle), attempt_index, attempt->endpoint,
+                                    attempt->last_heard - attempt->sent});
+    request = context_.requests.find(handle);
+    if (!request || !request->closed) return;
+    // The client disconnected before the first token.
+    attempt = request->find_attempt(attempt_index);
+    if (attempt->in_flight()) abort_attempt(context_.environment, *attempt, AttemptResult::cancelled);
+}
+
+void StreamForwarder::on_more_events(std::uint64_t handle, int attempt_index, std::string_view events) {
+    RequestState* request = context_.requests.find(handle);
+    AttemptState* attempt = context_.requests.find_attempt(handle, attempt_index);
+    if (!attempt || !attempt->in_flight() || request->closed) return;
+    attempt->last_heard = context_.environment.now();
+    if (const double tokens = completion_tokens(events); tokens > 0) request->completion_tokens = tokens;
+    if (request->client) request->client->send_events(events);
+}
+
+void StreamForwarder::set_idle_timer(RequestState& request, int attempt_index, Millis last_heard) {
+    context_.driver.set_timer(TimerKind::stream_idle, last_heard + kStreamIdleTimeout, &request,
+                              attempt_index, 0, true);
+}
+
+// Guards against a begun stream whose endpoint went silent: nothing else would end it.
+void StreamForwarder::on_idle_timer(RequestState& request, int attempt_index) {
+    AttemptState& attempt = *request.find_attempt(attempt_index);
+    const Millis now = context_.environment.now();
+    if (request.congested) attempt.last_heard = now;
+    if (attempt.last_heard + kStreamIdleTimeout > now)
+        return set_idle_timer(request, attempt_index, attempt.last_heard);
+    abort_attempt(context_.environment, attempt, AttemptResult::reset);
+}
+
+void StreamForwarder::on_client_congested(std::uint64_t handle, bool congested) {
+    RequestState* request = context_.requests.find(handle);
+    if (!request || request->congested == congested) return;
+    request->congested = congested;
+    if (!request->stream_in_flight()) return;
+    AttemptState& attempt = request->attempts.back();
+    attempt.last_heard = context_.environment.now();
+    context_.environment.pause(*attempt.exchange, congested);
+}
+
+void StreamForwarder::stop_reading(const RequestState& request) {
+    if (!request.stream_in_flight()) return;
+    abort_attempt(context_.environment, request.attempts.back(), AttemptResult::cancelled);
+}
+
+void StreamForwarder::migrate(RequestState& request) {
+    completion_.abort_migrated_stream(request);
+    stop_reading(request);
+}
+
+std::size_t StreamForwarder::streams() const {
+    const auto& requests = context_.requests.all();
+    return static_cast<std::size_t>(std::count_if(
+        requests.begin(), requests.end(), [](const auto& entry) { return is_open_stream(entry.second); }));
+}
+
+void StreamForwarder::migrate_latest(std::size_t count) {
+    std::vector<std::uint64_t> handles;
+    for (const auto& [handle, request] : context_.requests.all()) {
+        if (is_open_stream(request)) handles.push_back(handle);
+    }
+    std::sort(handles.begin(), handles.end(), std::greater<>());
+    if (handles.size() > count) handles.resize(count);
+    for (const std::uint64_t handle : handles) {
+        RequestState* request = context_.requests.find(handle);
+        if (request && !request->closed) migrate(*request);
+    }
+}
+
+void StreamForwarder::end_silent(Millis arrived_since) {
+    const Millis now = context_.environment.now();
+    std::vector<std::uint64_t> handles;
+    for (const auto& [handle, request] : context_.requests.all()) {
+        if (!is_open_stream(request) || request.congested || request.arrived < arrived_since) continue;
+        const AttemptState& attempt = request.attempts.back();
+        if (attempt.in_flight() && now - attempt.last_heard >= kSilentWhileStopping)
+            handles.push_back(handle);
+    }
+    for (const std::uint64_t handle : handles) {
+        const RequestState* request = context_.requests.find(handle);
+        if (request && !request->closed)
+            abort_attempt(context_.environment, request->attempts.back(), AttemptResult::reset);
+    }
+}
+
+}  // namespace gorsenotch::platform
--- a/src/platform/upstream_exchange.cpp
+++ b/src/platform/upstream_exchange.cpp
@@ -46,7 +46,7 @@
     }
     while (!bytes.empty() && !clean_ && !spoilt_) {
         bytes.remove_prefix(std::min(bytes.size(), parser_.feed(bytes)));
-        if (parser_.fault() != http::Fault::none) return on_spoilt_answer("the answer can't be read");
+        if (parser_.fault() != http::Fault::none) return on_malformed_response();
         if (!parser_.complete()) return;
     }
     if (!bytes.empty()) spoilt_ = true;
@@ -64,7 +64,7 @@
 void UpstreamExchange::on_body(std::string_view bytes) {
     if (over_ || spoilt_) return;
     if (begun_) return on_more_events ? on_more_events(bytes) : void();
-    if (body_.size() + bytes.size() > (stream_ ? kFirstEvent : kWhole)) return on_spoilt_answer("too long");
+    if (body_.size() + bytes.size() > (stream_ ? kFirstEvent : kWhole)) return on_malformed_response();
     body_.append(bytes);
     if (!stream_ || !event_ended(body_)) return;
     begun_ = true;
@@ -75,60 +75,59 @@
 
 void UpstreamExchange::on_complete() {
     if (parser_.status < 200) {
-        if (parser_.status == 101 || ++interim_responses_ > kInterim)
-            on_spoilt_answer("too many interim answers");
+        if (parser_.status == 101 || ++interim_responses_ > kInterim) on_malformed_response();
         return;
     }
-    if (!parser_.framed && status_ != 204 && status_ != 304)
-        return on_spoilt_answer("the answer's end is not told");
+    if (!parser_.framed && status_ != 204 && status_ != 304) return on_malformed_response();
     clean_ = true;
     if (!parser_.keep_alive) spoilt_ = true;
     if (over_) return;
-    if (kind_ == Kind::lease_call) return finish(AttemptResult::served, 0, "");
-    if (rejected_ && (status_ == 503 || status_ == 504))
-        return finish(AttemptResult::rejected, 0, "turned away");
-    if (rejected_ && status_ == 410) return finish(AttemptResult::rejected, 1, "no state to fetch");
+    if (kind_ == Kind::lease_call) return finish(AttemptResult::served);
+    if (rejected_ && (status_ == 503 || status_ == 504)) return finish(AttemptResult::rejected);
+    if (rejected_ && status_ == 410) return finish(AttemptResult::rejected, kNoStateToFetch);
     if (kind_ == Kind::prefill && status_ == 202)
-        return finish(AttemptResult::prefill_done, cached_tokens(body_), "");
-    if (begun_) return finish(AttemptResult::served, 0, "");
-    finish(AttemptResult::error, 0, stream_ ? "a stream without an event" : "an error");
+        return finish(AttemptResult::prefill_done, cached_tokens(body_));
+    if (begun_) return finish(AttemptResult::served);
+    finish(AttemptResult::error);
 }
 
-void UpstreamExchange::on_spoilt_answer(const char* why) {
+void UpstreamExchange::on_malformed_response() {
     spoilt_ = true;
-    finish(begun_ ? AttemptResult::reset : AttemptResult::error, 0, why);
+    finish(begun_ ? AttemptResult::reset : AttemptResult::error);
 }
 
 void UpstreamExchange::on_connection_closed() {
     spoilt_ = true;
     // Until its last byte was handed over it can't have run.
-    finish(written_ ? AttemptResult::reset : AttemptResult::unreachable, 0, "the connection broke");
+    finish(written_ ? AttemptResult::reset : AttemptResult::unreachable);
 }
 
 void UpstreamExchange::on_connect_failed() {
     spoilt_ = true;
-    finish(AttemptResult::unreachable, 0, "no connection came up");
+    finish(AttemptResult::unreachable);
 }
 
-void UpstreamExchange::on_not_sent() { finish(AttemptResult::not_sent, 0, "not sent"); }
+void UpstreamExchange::on_not_sent() { finish(AttemptResult::not_sent); }
 
-void UpstreamExchange::abort(AttemptResult result, const char* why) {
+void UpstreamExchange::abort(AttemptResult result, std::string_view /*reason*/) {
     spoilt_ = true;
     // What never left whole never ran, however it ended.
     if (!written_ && result == AttemptResult::timed_out) result = AttemptResult::unreachable;
     if (!written_ && result == AttemptResult::cancelled) result = AttemptResult::not_sent;
-    finish(result, 0, why);
+    finish(result);
 }
 
-void UpstreamExchange::finish(AttemptResult result, double note, const char* why) {
+void UpstreamExchange::finish(AttemptResult result, double detail) {
     if (over_) return;
     over_ = true;
     AttemptOutcome outcome;
-    outcome.result = result, outcome.status = status_, outcome.detail = note, outcome.begun = begun_,
-    outcome.why = why;
+    outcome.result = result;
+    outcome.status = status_;
+    outcome.detail = detail;
+    outcome.begun = begun_;
     body_ = std::string();
-    const auto f = std::move(on_ended);
-    if (f) f(outcome);
+    const auto callback = std::move(on_ended);
+    if (callback) callback(outcome);
 }
 
 }  // namespace gorsenotch::platform
--- a/src/platform/upstream_exchange.h
+++ b/src/platform/upstream_exchange.h
@@ -16,12 +16,14 @@
 
 namespace gorsenotch::platform {
 
+// AttemptOutcome::detail of a rejected decode attempt whose endpoint has no state for it to read.
+constexpr double kNoStateToFetch = 1;
+
 struct AttemptOutcome {
     AttemptResult result = AttemptResult::error;
     int status = 0;      // of the answer; 0: none came
     double detail = 0;   // as Outcome::note
     bool begun = false;  // the stream had begun
-    const char* why = "";
 };
 
 class UpstreamExchange : public proxy::UpstreamCall {
@@ -60,14 +62,15 @@
     bool is_lingering() const override { return false; }
 
     // Ends it from this side: its time is up, or nobody wants it any more. Its connection is to be closed.
-    void abort(AttemptResult result, const char* why);
+    // The reason is not used; the parameter stays for callers outside this package.
+    void abort(AttemptResult result, std::string_view reason = {});
 
 private:
     void on_head();
     void on_body(std::string_view bytes);
     void on_complete();
-    void on_spoilt_answer(const char* why);
-    void finish(AttemptResult result, double note, const char* why);
+    void on_malformed_response();
+    void finish(AttemptResult result, double detail = 0);
 
     const Kind kind_;
     http::Parser parser_;
