--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -20,7 +20,7 @@
 struct ClientsTest : ::testing::Test {
     net::EventLoop loop;
     platform::Config config = parse_config(kConfig, "", "");
-    PlatformWorld world;
+    FakeEnvironment world;
     EndpointList hosts{config.named, 0};
     RequestLifecycle relay{config.named, 1, hosts, world};
     std::unique_ptr<ClientConnections> clients;
@@ -47,7 +47,7 @@
     }
     std::size_t sent(const std::string& txn) const {
         return static_cast<std::size_t>(
-            std::count_if(world.sent.begin(), world.sent.end(), [&](const PlatformWorld::Sent& s) {
+            std::count_if(world.sent.begin(), world.sent.end(), [&](const FakeEnvironment::Sent& s) {
                 return s.request.find("x-txn: " + txn + "\r\n") != std::string::npos;
             }));
     }
--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -37,7 +37,7 @@
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 inline std::string chunked(const std::string& s) { return http::chunk(s); }
 
-struct PlatformClient : Client {
+struct RecordingClient : Client {
     std::string events;
     int begun = 0, ended = 0, status = 0;
     bool cutoff = false, closed = false;  // closed: its connection, though nobody has read that yet
@@ -49,7 +49,7 @@
     void send_final(int s, Millis, std::string_view) override { ++ended, status = s; }
 };
 
-struct PlatformWorld : Environment {
+struct FakeEnvironment : Environment {
     struct Sent {
         std::string address, request;
         std::shared_ptr<platform::UpstreamExchange> attempt;
@@ -81,65 +81,65 @@
     void log(const char*, const char*, const std::string&) override {}
 };
 
-struct RelayTest : ::testing::Test {
-    explicit RelayTest(const std::string& text = kConfig) : config(parse_config(text, "", "")) {}
+struct PlatformTest : ::testing::Test {
+    explicit PlatformTest(const std::string& text = kConfig) : config(parse_config(text, "", "")) {}
     Config config;
-    PlatformWorld world;
+    FakeEnvironment world;
     EndpointList hosts{config.named, 0};
-    RequestLifecycle relay{config.named, 1, hosts, world};
-    PlatformClient client;
+    RequestLifecycle lifecycle{config.named, 1, hosts, world};
+    RecordingClient client;
 
     void SetUp() override { list(config.known); }
     void TearDown() override {
-        EXPECT_EQ(relay.open(), 0u);
-        EXPECT_EQ(relay.attempts_in_flight(), 0u);
-        EXPECT_EQ(relay.releases(), 0u);
+        EXPECT_EQ(lifecycle.open(), 0u);
+        EXPECT_EQ(lifecycle.attempts_in_flight(), 0u);
+        EXPECT_EQ(lifecycle.releases(), 0u);
     }
     void list(const std::string& text) {
         std::string why;
         auto update = hosts.take(text, EndpointList::Source::same_address, world.clock, why);
         ASSERT_TRUE(update) << why;
-        relay.on_endpoint_update(std::move(*update));
+        lifecycle.on_endpoint_update(std::move(*update));
     }
-    std::uint64_t ask(const std::string& txn, PlatformClient& asker, int cls = 0) {
+    std::uint64_t send_request(const std::string& txn, RecordingClient& asker, int cls = 0) {
         Inbound in;
         in.txn = txn, in.head = "POST /v1/chat/completions HTTP/1.1\r\nx-txn: " + txn + "\r\n",
         in.body = "{}";
         in.arrival.cls = cls, in.arrival.deadline = 5000, in.arrival.tenant = 0,
         in.arrival.prompt_tokens = 100;
-        return relay.on_request(std::move(in), 0, &asker);
+        return lifecycle.on_request(std::move(in), 0, &asker);
     }
-    void pass(Millis ms) {
+    void advance(Millis ms) {
         for (const Millis until = world.clock + ms; world.clock < until;) {
             world.clock += 5;
-            relay.after_poll(world.clock);
-            relay.tick();
-            relay.before_poll(world.clock + 5);
+            lifecycle.after_poll(world.clock);
+            lifecycle.tick();
+            lifecycle.before_poll(world.clock + 5);
         }
     }
-    PlatformWorld::Sent& last() { return world.sent.back(); }
+    FakeEnvironment::Sent& last() { return world.sent.back(); }
     void answer(const std::string& bytes) { last().attempt->on_data(bytes); }
-    void read_done() { answer("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}"); }
+    void answer_prefill() { answer("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}"); }
     std::size_t releases() const {
         return static_cast<std::size_t>(
             std::count_if(world.sent.begin(), world.sent.end(),
                           [](const auto& s) { return s.request.rfind("DELETE /bootstrap/rooms/", 0) == 0; }));
     }
-    void drain_writer(bool on = true) {
+    void drain_decode_endpoint(bool on = true) {
         list(
             std::string(
                 R"({"seq":9,"whole":false,"hosts":[{"host":"w1","dial":"10.0.0.3:1","site":"a","class":"decode",)") +
             R"("block":1,"share":1.0,"born_ms":0,"health":")" + (on ? "draining" : "up") + "\"}]}");
     }
     // All releases are answered, the second ones too.
-    void settle() {
+    void answer_all_releases() {
         for (int i = 0; i < 2; ++i) {
             for (std::size_t n = 0; n < world.sent.size(); ++n) {
                 auto& sent = world.sent[n];
                 if (sent.request.rfind("DELETE", 0) == 0 && !sent.attempt->is_over())
                     sent.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
             }
-            pass(400);
+            advance(400);
         }
     }
     void release() {
