--- /dev/null
+++ b/src/platform/status_reporter.cpp
@@ -0,0 +1,133 @@
+#include "platform/status_reporter.h"
+
+#include <sys/resource.h>
+
+#include <array>
+#include <cmath>
+
+#include "log/log.h"
+
+namespace gorsenotch::platform {
+namespace {
+
+constexpr Millis kInterval = 5000;
+
+// Counts by name; both arrays are indexed by the same enumeration.
+template <std::size_t Size>
+nlohmann::json counts_by_name(const std::array<const char*, Size>& names,
+                              const std::array<std::uint64_t, Size>& values) {
+    nlohmann::json counts;
+    for (std::size_t i = 0; i < Size; ++i) counts[names[i]] = values[i];
+    return counts;
+}
+
+double milliseconds(const timeval& time) {
+    return static_cast<double>(time.tv_sec) * 1000 + static_cast<double>(time.tv_usec) / 1000;
+}
+
+nlohmann::json results_by_name(const Counters& counters) {
+    const auto count = [&](AttemptResult result) { return counters.results[static_cast<int>(result)]; };
+    return {{"prefill_done", count(AttemptResult::prefill_done)},
+            {"served", count(AttemptResult::served)},
+            {"error", count(AttemptResult::error)},
+            {"rejected", count(AttemptResult::rejected)},
+            {"timed_out", count(AttemptResult::timed_out)},
+            {"unreachable", count(AttemptResult::unreachable)},
+            {"reset", count(AttemptResult::reset)},
+            {"cancelled", count(AttemptResult::cancelled)},
+            {"not_sent", count(AttemptResult::not_sent)}};
+}
+
+}  // namespace
+
+StatusReporter::StatusReporter(net::EventLoop& loop, Sources sources)
+    : sources_(sources), timer_(loop, [this] { report(); }) {}
+
+void StatusReporter::start(Millis started_at) {
+    started_at_ = started_at;
+    timer_.fire_after(kInterval);
+}
+
+void StatusReporter::report() {
+    timer_.fire_after(kInterval);
+    log::write("info", "status", fields());
+}
+
+nlohmann::json StatusReporter::fields() const {
+    nlohmann::json fields;
+    add_process(fields);
+    add_open(fields);
+    add_requests(fields);
+    add_leases(fields);
+    add_connections(fields);
+    return fields;
+}
+
+void StatusReporter::add_process(nlohmann::json& fields) const {
+    rusage usage{};
+    getrusage(RUSAGE_SELF, &usage);
+    fields["up_ms"] = std::round(net::now() - started_at_);
+    fields["cpu_ms"] = std::round(milliseconds(usage.ru_utime) + milliseconds(usage.ru_stime));
+    fields["peak_kb"] = usage.ru_maxrss;
+}
+
+void StatusReporter::add_open(nlohmann::json& fields) const {
+    const RequestLifecycle& lifecycle = sources_.lifecycle;
+    fields["endpoints"] = sources_.endpoints.all().size();
+    fields["client_connections"] = sources_.client_connections.connections();
+    fields["upstream_connections"] = sources_.connection_pool.connections();
+    fields["open_requests"] = lifecycle.open();
+    fields["attempts_in_flight"] = lifecycle.attempts_in_flight();
+    fields["releases_in_progress"] = lifecycle.releases();
+}
+
+void StatusReporter::add_requests(nlohmann::json& fields) const {
+    const RequestLifecycle& lifecycle = sources_.lifecycle;
+    const Counters& counters = lifecycle.counters();
+    fields["arrived"] = counters.arrived;
+    fields["served"] = counters.served;
+    fields["rejected"] = counters.rejected;
+    fields["failed"] = counters.failed;
+    fields["broken"] = counters.broken;
+    fields["client_disconnected"] = counters.client_disconnected;
+    fields["migrated"] = counters.migrated;
+    fields["attempts"] = counters.attempts;
+    fields["results"] = results_by_name(counters);
+    fields["outcomes"] = counts_by_name(kOutcomeNames, lifecycle.access_log().outcomes());
+    fields["outcomes"]["not_logged"] = lifecycle.access_log().not_logged();
+    fields["end_causes"] = counts_by_name(kEndCauseNames, lifecycle.access_log().causes());
+    fields["violations"] =
+        counts_by_name(control::kInvariantNames, lifecycle.invariant_checker().violations());
+    fields["send_blocks"] = counts_by_name(control::kSendBlockReasonNames, counters.send_blocks);
+}
+
+void StatusReporter::add_leases(nlohmann::json& fields) const {
+    const RequestLifecycle& lifecycle = sources_.lifecycle;
+    const Counters& counters = lifecycle.counters();
+    const LeaseReleaser::Counts& releases = lifecycle.release_counts();
+    fields["released"] = {releases.begun, releases.asked_again, releases.failed};
+    fields["release_ends"] = counts_by_name(kReleaseEnds, counters.release_ends);
+    fields["release_reasons"] = counts_by_name(kReleaseReasons, counters.release_reasons);
+    fields["health_checks"] = {{"sent", lifecycle.health_checker().checks_sent()},
+                               {"unanswered", lifecycle.health_checker().checks_unanswered()}};
+    fields["leases_unanswered"] = lifecycle.invariant_checker().unanswered_leases();
+    fields["longest_lease_ms"] = std::round(counters.longest_lease);
+}
+
+void StatusReporter::add_connections(nlohmann::json& fields) const {
+    const ClientConnections::Counters& clients = sources_.client_connections.counters();
+    const proxy::ConnectionPool::Counters& upstream = sources_.connection_pool.counters();
+    fields["close_blocks"] = counts_by_name(control::kCloseBlockReasonNames, clients.close_denials);
+    fields["client_connection_ends"] = counts_by_name(kEndReasonNames, clients.ended);
+    fields["upstream_connection_ends"] = counts_by_name(proxy::kConnectionEndNames, upstream.ended_by_cause);
+    fields["new_connections"] = {upstream.new_connections, upstream.new_broken};
+    fields["reused_connections"] = {upstream.reused, upstream.reused_broken};
+    fields["accepted"] = clients.accepted;
+    fields["connections_rejected"] = clients.of(EndReason::at_capacity);
+    fields["evicted"] = clients.of(EndReason::evicted);
+    fields["accept_failed"] = clients.accept_failed;
+    fields["request_timeouts"] = clients.of(EndReason::request_timeout);
+    fields["bad_requests"] = clients.bad;
+}
+
+}  // namespace gorsenotch::platform
--- /dev/null
+++ b/tests/platform/status_reporter_test.cpp
@@ -0,0 +1,86 @@
+// The status line: every field is there, and counts are those of the components reported on.
+#include "platform/status_reporter.h"
+
+#include <set>
+#include <string>
+
+#include "platform/platform_world.h"
+
+namespace gorsenotch::test {
+namespace {
+
+struct StatusReporterTest : PlatformTest {
+    net::EventLoop loop;
+    proxy::ConnectionPool connection_pool{loop, proxy::ConnectionPool::Config()};
+    ClientConnections client_connections{loop, config.named, lifecycle, ClientConnections::Config()};
+    StatusReporter reporter{loop, {hosts, lifecycle, client_connections, connection_pool}};
+};
+
+TEST_F(StatusReporterTest, TheFieldsAreThoseThatOperatorsReadInTheLog) {
+    const std::set<std::string> expected = {"up_ms",
+                                            "cpu_ms",
+                                            "peak_kb",
+                                            "endpoints",
+                                            "client_connections",
+                                            "upstream_connections",
+                                            "open_requests",
+                                            "attempts_in_flight",
+                                            "releases_in_progress",
+                                            "arrived",
+                                            "served",
+                                            "rejected",
+                                            "failed",
+                                            "broken",
+                                            "client_disconnected",
+                                            "migrated",
+                                            "attempts",
+                                            "outcomes",
+                                            "end_causes",
+                                            "violations",
+                                            "send_blocks",
+                                            "close_blocks",
+                                            "client_connection_ends",
+                                            "upstream_connection_ends",
+                                            "results",
+                                            "released",
+                                            "release_ends",
+                                            "release_reasons",
+                                            "health_checks",
+                                            "leases_unanswered",
+                                            "longest_lease_ms",
+                                            "new_connections",
+                                            "reused_connections",
+                                            "accepted",
+                                            "connections_rejected",
+                                            "evicted",
+                                            "accept_failed",
+                                            "request_timeouts",
+                                            "bad_requests"};
+    const nlohmann::json fields = reporter.fields();
+    std::set<std::string> names;
+    for (const auto& field : fields.items()) names.insert(field.key());
+    EXPECT_EQ(names, expected);
+}
+
+TEST_F(StatusReporterTest, ARequestIsCountedWhileOpenAndByItsOutcome) {
+    send_request("t1", client);
+    nlohmann::json fields = reporter.fields();
+    EXPECT_EQ(fields["endpoints"], 3);
+    EXPECT_EQ(fields["open_requests"], 1);
+    EXPECT_EQ(fields["attempts_in_flight"], 1);
+    answer_prefill();
+    answer(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
+    fields = reporter.fields();
+    EXPECT_EQ(fields["open_requests"], 0);
+    EXPECT_EQ(fields["arrived"], 1);
+    EXPECT_EQ(fields["served"], 1);
+    EXPECT_EQ(fields["attempts"], 2);
+    EXPECT_EQ(fields["results"]["prefill_done"], 1);
+    EXPECT_EQ(fields["results"]["served"], 1);
+    EXPECT_EQ(fields["outcomes"]["in_time"], 1);
+    EXPECT_EQ(fields["released"], nlohmann::json::array({0, 0, 0}));
+    EXPECT_EQ(fields["new_connections"], nlohmann::json::array({0, 0}));
+}
+
+}  // namespace
+}  // namespace gorsenotch::test
