--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -1,43 +1,55 @@
 #include "proxy/connection_pool.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "net/socket_error.h"
 
 namespace gorsenotch::proxy {
 namespace {
+
 // Until a connection is tried again that failed for want of this host's resources.
-constexpr Millis kDialPause = 10;
+constexpr Millis kConnectRetryDelay = 10;
+
+// ConnectionReusePolicy's idle time of a connection that carries its first request.
+constexpr Millis kNewConnection = -1;
+
+bool is_local_failure(int error) {
+    const auto kind = net::classify_connect_error(error);
+    return kind == net::ErrorClass::host_resources || kind == net::ErrorClass::retry_now;
+}
+
 }  // namespace
 
+// One connection, owned by the pool. `call` and `state` change in the pool's functions alone.
 struct ConnectionPool::Connection {
+    enum class State {
+        connecting,
+        busy,    // carries `call`
+        idle,    // waits for a request, in idle_by_address_
+        closed,  // its stream is gone; its memory is freed in a turn of its own
+    };
+
+    State state = State::connecting;
     std::unique_ptr<net::TcpStream> stream;
-    std::unique_ptr<net::Timer> dial;
-    std::string address, request;
-    std::shared_ptr<UpstreamCall> carried;
+    std::unique_ptr<net::Timer> connect_timer;
+    std::string address;
+    std::string request;  // until it is connected
+    std::shared_ptr<UpstreamCall> call;
     Connections::iterator self;
-    Millis dial_until = 0;  // by then its connection is up, or the attempt is given up
+    Millis connect_deadline = 0;
     Millis idle_since = 0;
-    Millis idle_for = -1;  // before the request it carries; below 0: it is new
-    bool heard = false;    // a byte of the answer has come
-    bool connected = false, idle = false, gone = false, paused = false;
-};
-
-// A call that nobody waits for, on a connection of its own.
-struct ConnectionPool::DetachedCall {
-    std::unique_ptr<net::TcpStream> stream;
-    std::unique_ptr<net::Timer> timer;
-    std::string address, request;
-    Millis until = 0;
-    bool sent = false;
-    std::list<std::unique_ptr<DetachedCall>>::iterator self;
+    std::optional<Millis> idle_before_use;  // how long it was idle before the request it carries; none: new
+    bool response_begun = false;            // a byte of the answer has come
+    bool paused = false;
 };
 
 ConnectionPool::ConnectionPool(net::EventLoop& loop, Config config)
     : loop_(loop),
       config_(std::move(config)),
       idle_timer_(loop, [this] { close_idle(); }),
-      cleanup_timer_(loop, [this] { cleanup(); }) {}
+      cleanup_timer_(loop, [this] { closed_connections_.clear(); }),
+      detached_calls_(loop, config_.source, config_.connect_timeout) {}
 ConnectionPool::~ConnectionPool() = default;
 
 std::string ConnectionPool::render(const std::string& address, const engine::UpstreamRequest& request,
@@ -49,37 +61,43 @@
     return http::request_head(request.method, request.target, headers) + request.body;
 }
 
-// Guards against an answer behind an answer taken for the next one: a connection is not used in the turn in
-// which its last answer ended. May open one connection more where requests follow at once.
-ConnectionPool::Connection* ConnectionPool::find_idle(const std::string& address) {
-    const auto it = idle_by_address_.find(address);
-    if (it == idle_by_address_.end()) return nullptr;
-    const double draw = std::uniform_real_distribution<double>()(random_);  // one for all that are at hand
-    for (std::size_t i = it->second.size(); i-- > 0;) {
-        Connection* link = it->second[i];
-        if (config_.cooldown && link->idle_since > loop_.last_poll()) continue;
-        const Millis idle = net::now() - link->idle_since;
-        if (config_.learn_reuse && !reuse_policy_.should_reuse(idle, draw)) continue;
-        // Guards against a request written to a connection that the server has closed, or has sent something
-        // on, which has not been read yet. Costs one system call a request.
-        if (link->stream->has_unread_input()) continue;
-        link->idle_for = idle, link->heard = false;
-        it->second.erase(it->second.begin() + static_cast<std::ptrdiff_t>(i));
-        return link;
+ConnectionPool::Connection* ConnectionPool::take_idle(const std::string& address) {
+    const auto found = idle_by_address_.find(address);
+    if (found == idle_by_address_.end()) return nullptr;
+    std::vector<Connection*>& idle = found->second;
+    const double draw = std::uniform_real_distribution<double>()(random_);  // one for all of them
+    for (std::size_t i = idle.size(); i-- > 0;) {
+        Connection* connection = idle[i];
+        const Millis idle_for = net::now() - connection->idle_since;
+        if (!may_reuse(*connection, idle_for, draw)) continue;
+        connection->idle_before_use = idle_for;
+        connection->response_begun = false;
+        idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(i));
+        return connection;
     }
     return nullptr;
 }
 
+bool ConnectionPool::may_reuse(const Connection& connection, Millis idle_for, double draw) const {
+    // Guards against bytes that follow an answer and are taken for the next one: a connection is not used in
+    // the turn in which its last answer ended. May open one connection more where requests follow at once.
+    if (config_.cooldown && connection.idle_since > loop_.last_poll()) return false;
+    if (config_.learn_reuse && !reuse_policy_.should_reuse(idle_for, draw)) return false;
+    // Guards against a request written to a connection that the server has closed, or has sent something
+    // on, which has not been read yet. Costs one system call a request.
+    return !connection.stream->has_unread_input();
+}
+
 bool ConnectionPool::has_idle(const std::string& address) const {
-    const auto it = idle_by_address_.find(address);
-    return it != idle_by_address_.end() && !it->second.empty();
+    const auto found = idle_by_address_.find(address);
+    return found != idle_by_address_.end() && !found->second.empty();
 }
 
 bool ConnectionPool::make_room() {
     if (connections_.size() < config_.max_connections) return true;
     Connection* oldest = nullptr;
-    for (const auto& [address, links] : idle_by_address_) {
-        for (Connection* connection : links) {
+    for (const auto& [address, idle] : idle_by_address_) {
+        for (Connection* connection : idle) {
             if (!oldest || connection->idle_since < oldest->idle_since) oldest = connection;
         }
     }
@@ -89,210 +107,184 @@
 }
 
 void ConnectionPool::start(const std::string& address, std::string request,
-                           std::shared_ptr<UpstreamCall> carried, bool fresh) {
-    if (Connection* link = fresh ? nullptr : find_idle(address)) {
-        link->idle = false;
-        link->carried = std::move(carried);
-        by_call_[link->carried.get()] = link;
-        return attach(*link, std::move(request));
+                           std::shared_ptr<UpstreamCall> call, bool fresh) {
+    if (Connection* idle = fresh ? nullptr : take_idle(address)) {
+        idle->call = std::move(call);
+        by_call_[idle->call.get()] = idle;
+        return send_request(*idle, std::move(request));
     }
-    const bool room = make_room();
+    const bool has_room = make_room();
     connections_.push_back(std::make_unique<Connection>());
-    Connection& link = *connections_.back();
-    link.self = std::prev(connections_.end());
-    link.address = address;
-    link.request = std::move(request);
-    link.carried = std::move(carried);
-    by_call_[link.carried.get()] = &link;
-    if (!room) {
-        link.dial = std::make_unique<net::Timer>(loop_, [this, &link] { on_connected(link, UV_EMFILE); });
-        return link.dial->fire_after(0);
+    Connection& connection = *connections_.back();
+    connection.self = std::prev(connections_.end());
+    connection.address = address;
+    connection.request = std::move(request);
+    connection.call = std::move(call);
+    by_call_[connection.call.get()] = &connection;
+    if (!has_room) {
+        connection.connect_timer = std::make_unique<net::Timer>(
+            loop_, [this, &connection] { on_connect_result(connection, UV_EMFILE); });
+        return connection.connect_timer->fire_after(0);
     }
-    link.dial_until = net::now() + config_.connect_timeout;
-    connect(link);
+    connection.connect_deadline = net::now() + config_.connect_timeout;
+    connect(connection);
 }
 
-// Opens the link's connection. Whatever the outcome, it is told by the loop's next turn: callers of start()
-// may not be called back from here.
-void ConnectionPool::connect(Connection& link) {
-    link.stream = std::make_unique<net::TcpStream>(loop_);
-    link.stream->on_data = [this, &link](std::string_view b) { on_data(link, b); };
-    link.stream->on_end = [this, &link](int) { on_connection_closed(link); };
-    const int error =
-        link.stream->connect(link.address, config_.source, [this, &link](int e) { on_connected(link, e); });
-    link.dial = std::make_unique<net::Timer>(
-        loop_, [this, &link, error] { on_connected(link, error != 0 ? error : UV_ETIMEDOUT); });
+// Whatever the outcome, it is reported in a later turn of the loop: start() must not call back from here.
+void ConnectionPool::connect(Connection& connection) {
+    connection.stream = std::make_unique<net::TcpStream>(loop_);
+    connection.stream->on_data = [this, &connection](std::string_view bytes) { on_data(connection, bytes); };
+    connection.stream->on_end = [this, &connection](int) { on_connection_closed(connection); };
+    const int error = connection.stream->connect(
+        connection.address, config_.source,
+        [this, &connection](int result) { on_connect_result(connection, result); });
+    connection.connect_timer = std::make_unique<net::Timer>(loop_, [this, &connection, error] {
+        on_connect_result(connection, error != 0 ? error : UV_ETIMEDOUT);
+    });
     if (error != 0) {
-        link.dial->fire_after(0);
+        connection.connect_timer->fire_after(0);
     } else {
-        link.dial->fire_after_poll(std::max(0.0, link.dial_until - net::now()));
+        connection.connect_timer->fire_after_poll(std::max(0.0, connection.connect_deadline - net::now()));
     }
 }
 
-void ConnectionPool::on_connected(Connection& link, int error) {
-    if (link.gone || link.connected) return;
-    if (link.dial) link.dial->stop();
-    if (error != 0) {
-        // Guards against a server blamed, or an attempt lost, for what this host is short of for a moment.
-        const auto what = net::classify_connect_error(error);
-        const bool own = what == net::ErrorClass::host_resources || what == net::ErrorClass::retry_now;
-        if (own && link.stream && net::now() + kDialPause < link.dial_until) {
-            link.dial = std::make_unique<net::Timer>(loop_, [this, &link] {
-                if (!link.gone) connect(link);
-            });
-            return link.dial->fire_after(kDialPause);
-        }
-        const auto carried = link.carried;
-        erase_connection(link, ConnectionEnd::connect_failed);
-        if (own) return carried->on_not_sent();
-        return carried->on_connect_failed();
+void ConnectionPool::on_connect_result(Connection& connection, int error) {
+    if (connection.state != Connection::State::connecting) return;
+    if (connection.connect_timer) connection.connect_timer->stop();
+    if (error != 0) return on_connect_error(connection, error);
+    send_request(connection, std::move(connection.request));
+}
+
+// Guards against a server blamed, or an attempt lost, for what this host is short of for a moment.
+void ConnectionPool::on_connect_error(Connection& connection, int error) {
+    const bool local = is_local_failure(error);
+    if (local && connection.stream && net::now() + kConnectRetryDelay < connection.connect_deadline) {
+        connection.connect_timer = std::make_unique<net::Timer>(loop_, [this, &connection] {
+            if (connection.state != Connection::State::closed) connect(connection);
+        });
+        return connection.connect_timer->fire_after(kConnectRetryDelay);
     }
-    link.connected = true;
-    attach(link, std::move(link.request));
+    const auto call = connection.call;
+    erase_connection(connection, ConnectionEnd::connect_failed);
+    if (local) return call->on_not_sent();
+    return call->on_connect_failed();
 }
 
-void ConnectionPool::attach(Connection& link, std::string request) {
-    const auto carried = link.carried;
-    if (!carried->may_start()) {
-        // Nothing has been written: the connection stays good.
-        by_call_.erase(carried.get());
-        link.carried.reset();
-        link.stream->set_reading(true);
-        keep_idle(link);
-        return carried->on_not_sent();
+void ConnectionPool::send_request(Connection& connection, std::string request) {
+    connection.state = Connection::State::busy;
+    const auto call = connection.call;
+    if (!call->may_start()) {
+        // Nothing has been written: the connection can carry another request.
+        by_call_.erase(call.get());
+        connection.call.reset();
+        connection.stream->set_reading(true);
+        keep_idle(connection);
+        return call->on_not_sent();
     }
-    carried->stamp_request(request);
-    carried->on_first_byte_sent();
-    link.stream->set_reading(true);
-    link.stream->on_drain = [&link] {
-        link.stream->on_drain = nullptr;
-        if (link.carried) link.carried->on_request_written();
+    call->stamp_request(request);
+    call->on_first_byte_sent();
+    connection.stream->set_reading(true);
+    connection.stream->on_drain = [&connection] {
+        connection.stream->on_drain = nullptr;
+        if (connection.call) connection.call->on_request_written();
     };
-    link.stream->write(std::move(request));
-    if (link.stream->queued() > 0) return;
-    link.stream->on_drain = nullptr;
-    carried->on_request_written();
+    connection.stream->write(std::move(request));
+    if (connection.stream->queued() > 0) return;
+    connection.stream->on_drain = nullptr;
+    call->on_request_written();
 }
 
-void ConnectionPool::record_use(const Connection& link, bool broke) {
-    reuse_policy_.on_request_ended(link.idle_for, broke);
-    ++(link.idle_for < 0 ? counters_.new_connections : counters_.reused);
-    if (broke) ++(link.idle_for < 0 ? counters_.new_broken : counters_.reused_broken);
+void ConnectionPool::record_use(const Connection& connection, bool broke) {
+    reuse_policy_.on_request_ended(connection.idle_before_use.value_or(kNewConnection), broke);
+    const bool reused = connection.idle_before_use.has_value();
+    ++(reused ? counters_.reused : counters_.new_connections);
+    if (broke) ++(reused ? counters_.reused_broken : counters_.new_broken);
 }
 
-void ConnectionPool::on_data(Connection& link, std::string_view bytes) {
-    if (link.gone) return;
-    const net::ActivityScope doing(loop_, "engines");
-    if (link.idle || !link.carried) return erase_connection(link, ConnectionEnd::unexpected_bytes);
-    const auto carried = link.carried;
-    if (!std::exchange(link.heard, true)) record_use(link, false);
-    carried->on_data(bytes);
-    if (!link.gone) keep_or_close(link);
+void ConnectionPool::on_data(Connection& connection, std::string_view bytes) {
+    if (connection.state == Connection::State::closed) return;
+    const net::ActivityScope activity(loop_, "engines");
+    if (connection.state != Connection::State::busy)
+        return erase_connection(connection, ConnectionEnd::unexpected_bytes);
+    const auto call = connection.call;
+    if (!std::exchange(connection.response_begun, true)) record_use(connection, false);
+    call->on_data(bytes);
+    if (connection.state != Connection::State::closed) keep_or_close(connection);
 }
 
-void ConnectionPool::on_connection_closed(Connection& link) {
-    if (link.gone) return;
-    const auto carried = link.carried;
-    if (carried && link.connected && !link.heard) record_use(link, true);
-    erase_connection(link, link.connected ? ConnectionEnd::closed_by_peer : ConnectionEnd::connect_failed);
-    if (carried) carried->on_connection_closed();
+void ConnectionPool::on_connection_closed(Connection& connection) {
+    if (connection.state == Connection::State::closed) return;
+    const auto call = connection.call;
+    const bool connected = connection.state != Connection::State::connecting;
+    if (call && connected && !connection.response_begun) record_use(connection, true);
+    erase_connection(connection, connected ? ConnectionEnd::closed_by_peer : ConnectionEnd::connect_failed);
+    if (call) call->on_connection_closed();
 }
 
-void ConnectionPool::keep_or_close(Connection& link) {
-    if (!link.carried || !link.carried->is_over()) return;
-    if (link.carried->is_lingering()) return;
-    if (!link.carried->is_reusable() || idle_by_address_[link.address].size() >= config_.max_idle_per_address)
-        return erase_connection(link, ConnectionEnd::not_reusable);
-    by_call_.erase(link.carried.get());
-    link.carried.reset();
-    keep_idle(link);
+void ConnectionPool::keep_or_close(Connection& connection) {
+    const auto& call = connection.call;
+    if (!call || !call->is_over()) return;
+    if (call->is_lingering()) return;
+    const bool has_room = idle_by_address_[connection.address].size() < config_.max_idle_per_address;
+    if (!call->is_reusable() || !has_room) return erase_connection(connection, ConnectionEnd::not_reusable);
+    by_call_.erase(call.get());
+    connection.call.reset();
+    keep_idle(connection);
 }
 
-void ConnectionPool::keep_idle(Connection& link) {
-    link.idle = true;
-    link.idle_since = net::now();
-    if (link.paused) link.paused = false, link.stream->set_reading(true);
-    idle_by_address_[link.address].push_back(&link);
-    if (!idle_timer_set_) idle_timer_set_ = true, idle_timer_.fire_after(config_.idle_timeout);
+void ConnectionPool::keep_idle(Connection& connection) {
+    connection.state = Connection::State::idle;
+    connection.idle_since = net::now();
+    if (std::exchange(connection.paused, false)) connection.stream->set_reading(true);
+    idle_by_address_[connection.address].push_back(&connection);
+    if (!std::exchange(idle_timer_set_, true)) idle_timer_.fire_after(config_.idle_timeout);
 }
 
-void ConnectionPool::erase_connection(Connection& link, ConnectionEnd why) {
-    if (link.gone) return;
-    ++counters_.ended_by_cause[static_cast<std::size_t>(why)];
-    link.gone = true;
-    if (link.carried) by_call_.erase(link.carried.get());
-    if (link.idle) std::erase(idle_by_address_[link.address], &link);
-    link.carried.reset();
-    link.stream.reset();
-    closed_connections_.splice(closed_connections_.end(), connections_, link.self);
+void ConnectionPool::erase_connection(Connection& connection, ConnectionEnd cause) {
+    if (connection.state == Connection::State::closed) return;
+    ++counters_.ended_by_cause[static_cast<std::size_t>(cause)];
+    if (connection.call) by_call_.erase(connection.call.get());
+    if (connection.state == Connection::State::idle)
+        std::erase(idle_by_address_[connection.address], &connection);
+    connection.state = Connection::State::closed;
+    connection.call.reset();
+    connection.stream.reset();
+    closed_connections_.splice(closed_connections_.end(), connections_, connection.self);
     cleanup_timer_.fire_after(0);
 }
 
-void ConnectionPool::cleanup() {
-    closed_connections_.clear();
-    ended_detached_calls_.clear();
-}
-
 void ConnectionPool::close_idle() {
     const Millis now = net::now();
-    bool left = false;
-    for (auto& [address, links] : idle_by_address_) {
-        for (std::size_t i = links.size(); i-- > 0;) {
-            if (now - links[i]->idle_since >= config_.idle_timeout)
-                erase_connection(*links[i], ConnectionEnd::idle);
+    bool any_left = false;
+    for (auto& [address, idle] : idle_by_address_) {
+        for (std::size_t i = idle.size(); i-- > 0;) {
+            if (now - idle[i]->idle_since >= config_.idle_timeout)
+                erase_connection(*idle[i], ConnectionEnd::idle);
         }
-        left |= !links.empty();
+        any_left |= !idle.empty();
     }
-    std::erase_if(idle_by_address_, [](const auto& of) { return of.second.empty(); });
-    idle_timer_set_ = left;
-    if (left) idle_timer_.fire_after(config_.idle_timeout / 4);
+    std::erase_if(idle_by_address_, [](const auto& entry) { return entry.second.empty(); });
+    idle_timer_set_ = any_left;
+    if (any_left) idle_timer_.fire_after(config_.idle_timeout / 4);
 }
 
-void ConnectionPool::pause(const UpstreamCall& carried, bool on) {
-    const auto it = by_call_.find(&carried);
-    if (it == by_call_.end() || it->second->gone || !it->second->connected) return;
-    it->second->paused = on;
-    it->second->stream->set_reading(!on);
+void ConnectionPool::pause(const UpstreamCall& call, bool paused) {
+    const auto found = by_call_.find(&call);
+    if (found == by_call_.end()) return;
+    Connection& connection = *found->second;
+    if (connection.state != Connection::State::busy) return;
+    connection.paused = paused;
+    connection.stream->set_reading(!paused);
 }
 
-void ConnectionPool::close(const UpstreamCall& carried) {
-    const auto it = by_call_.find(&carried);
-    if (it != by_call_.end()) erase_connection(*it->second, ConnectionEnd::cancelled);
+void ConnectionPool::close(const UpstreamCall& call) {
+    const auto found = by_call_.find(&call);
+    if (found != by_call_.end()) erase_connection(*found->second, ConnectionEnd::cancelled);
 }
 
-void ConnectionPool::send_detached(const std::string& address, engine::UpstreamRequest wanted, Millis limit) {
-    detached_calls_.push_back(std::make_unique<DetachedCall>());
-    DetachedCall& pool = *detached_calls_.back();
-    pool.self = std::prev(detached_calls_.end());
-    pool.address = address;
-    pool.request = render(address, wanted, false);
-    pool.until = net::now() + limit;
-    pool.timer = std::make_unique<net::Timer>(loop_, [this, &pool] {
-        if (pool.sent || net::now() >= pool.until) return end_detached(pool);
-        try_detached(pool);
-    });
-    try_detached(pool);
-}
-
-// A let-go may be sent twice without harm, so until one connection takes it others are tried.
-void ConnectionPool::try_detached(DetachedCall& pool) {
-    pool.stream = std::make_unique<net::TcpStream>(loop_);
-    pool.stream->on_end = [this, &pool](int) { end_detached(pool); };
-    const int error = pool.stream->connect(pool.address, config_.source, [this, &pool](int e) {
-        if (e != 0) return pool.timer->fire_after(50);
-        pool.sent = true;
-        pool.stream->set_reading(true);
-        pool.stream->write(pool.request);
-        pool.timer->fire_after_poll(std::max(1000.0, pool.until - net::now()));
-    });
-    pool.timer->fire_after_poll(error != 0 ? 50 : config_.connect_timeout);
-}
-
-void ConnectionPool::end_detached(DetachedCall& pool) {
-    pool.stream.reset();
-    pool.timer->stop();
-    ended_detached_calls_.splice(ended_detached_calls_.end(), detached_calls_, pool.self);
-    cleanup_timer_.fire_after(0);
+void ConnectionPool::send_detached(const std::string& address, const engine::UpstreamRequest& request,
+                                   Millis timeout) {
+    detached_calls_.send(address, render(address, request, false), timeout);
 }
 
 }  // namespace gorsenotch::proxy
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -1,19 +1,21 @@
-// Connections to engines: carries requests over TCP, keeps clean connections for reuse. Decides nothing.
-//
-// A request's bytes go out on exactly one connection and are never sent again. An idle connection is used
-// when its last answer ended cleanly and nothing has come on it since.
+// Connections to servers: carries requests over TCP and keeps clean connections for reuse. Decides nothing
+// about requests: which server gets one, and what follows its end, is the caller's.
 #pragma once
 
 #include <array>
 #include <list>
 #include <map>
 #include <memory>
+#include <optional>
 #include <random>
+#include <string>
 #include <unordered_map>
+#include <vector>
 
 #include "control/connection_reuse_policy.h"
 #include "engine/dialect.h"
 #include "net/event_loop.h"
+#include "proxy/detached_calls.h"
 #include "proxy/upstream_call.h"
 
 namespace gorsenotch::proxy {
@@ -24,75 +26,94 @@
     closed_by_peer,    // the server closed it, or it broke
     unexpected_bytes,  // something came on an idle one
     not_reusable,      // its answer did not end cleanly, or enough idle ones are kept
-    cancelled,         // its request was given up
-    idle,              // without use for long
-    evicted
+    cancelled,         // its request was cancelled
+    idle,              // without use for Config::idle_timeout
+    evicted            // the longest idle one, closed to make room for another
 };
 constexpr std::array<const char*, 7> kConnectionEndNames = {
     "connect_failed", "closed_by_peer", "unexpected_bytes", "not_reusable", "cancelled", "idle", "evicted"};
 
+// Owns every connection, from connecting to closed; a call is shared with its owner while its connection
+// carries it. A request's bytes go out on exactly one connection and are never sent again. An idle connection
+// is reused if its last answer ended cleanly and nothing has come on it since.
+//
+// Times are ms. Threading: the loop's thread. Must be destroyed before the loop.
 class ConnectionPool {
 public:
     struct Config {
         std::string source;  // local address to connect from; empty: any
-        Millis connect_timeout = 250, idle_timeout = 15000;
-        std::size_t max_idle_per_address = 64;  // for each address
-        std::size_t max_connections =
-            SIZE_MAX;  // connections in sum; the longest idle makes room, else: on_not_sent
-        // Not used again in the turn in which its last answer ended: what an engine sends behind it is seen.
+        Millis connect_timeout = 250;
+        Millis idle_timeout = 15000;
+        std::size_t max_idle_per_address = 64;
+        // Of all connections. Beyond it the longest idle one is closed; if none is idle, calls get
+        // on_not_sent().
+        std::size_t max_connections = SIZE_MAX;
+        // Whether a connection is left unused in the turn in which its last answer ended, so that bytes sent
+        // behind the answer are found.
         bool cooldown = false;
-        bool learn_reuse =
-            false;  // whether kept connections are worth using: see control/connection_reuse_policy
+        // Whether control::ConnectionReusePolicy may prefer a new connection to an idle one.
+        bool learn_reuse = false;
     };
     ConnectionPool(net::EventLoop& loop, Config config);
     ~ConnectionPool();
 
-    // `request`: its bytes, head and body. Calls into `carried` may come from within start().
-    // `fresh`: on a new connection, whether or not one is kept.
-    void start(const std::string& address, std::string request, std::shared_ptr<UpstreamCall> carried,
+    // Sends `request` (its bytes, head and body) over an idle connection, or over a new one if there is none
+    // or if `fresh`. May call `call` before it returns if an idle connection is used.
+    void start(const std::string& address, std::string request, std::shared_ptr<UpstreamCall> call,
                bool fresh = false);
-    void pause(const UpstreamCall& carried, bool on);
-    void close(const UpstreamCall& carried);
-    void send_detached(const std::string& address, engine::UpstreamRequest wanted, Millis limit);
+    // Stops or resumes reading the answer of `call`. No effect before its connection is up.
+    void pause(const UpstreamCall& call, bool paused);
+    // Closes the connection of `call` at once, without calling it. No effect if it has none.
+    void close(const UpstreamCall& call);
+    // Sends a request whose answer nobody waits for, on a connection of its own; see DetachedCalls.
+    void send_detached(const std::string& address, const engine::UpstreamRequest& request, Millis timeout);
+    // Connections of calls and idle ones, without those of send_detached().
     std::size_t connections() const { return connections_.size(); }
-    // Requests on new and on kept connections, and how many of each broke before any byte of an answer.
+    // Requests sent on new and on reused connections, how many of each broke before any byte of an answer,
+    // and connections that ended, indexed by ConnectionEnd.
     struct Counters {
-        std::uint64_t new_connections = 0, new_broken = 0, reused = 0, reused_broken = 0;
+        std::uint64_t new_connections = 0;
+        std::uint64_t new_broken = 0;
+        std::uint64_t reused = 0;
+        std::uint64_t reused_broken = 0;
         std::array<std::uint64_t, kConnectionEndNames.size()> ended_by_cause{};
     };
     const Counters& counters() const { return counters_; }
-    bool has_idle(const std::string& address) const;  // a connection there waits for a request
+    // Whether an idle connection to `address` is kept, reusable now or not.
+    bool has_idle(const std::string& address) const;
+    // The bytes of `request`. `keep`: whether to ask for the connection to be kept open.
     static std::string render(const std::string& address, const engine::UpstreamRequest& request, bool keep);
 
 private:
     struct Connection;
     using Connections = std::list<std::unique_ptr<Connection>>;
-    struct DetachedCall;
-    void attach(Connection& link, std::string request);
-    Connection* find_idle(const std::string& address);
+    // Removes a reusable connection from the idle ones; null if there is none.
+    Connection* take_idle(const std::string& address);
+    bool may_reuse(const Connection& connection, Millis idle_for, double draw) const;
+    // Whether one more connection may be opened; closes the longest idle one if need be.
     bool make_room();
-    void connect(Connection& link);
-    void on_connected(Connection& link, int error);
-    void on_data(Connection& link, std::string_view bytes);
-    void on_connection_closed(Connection& link);
-    void record_use(const Connection& link, bool broke);
-    void keep_or_close(Connection& link);  // after its request is over: keep or close
-    void keep_idle(Connection& link);
-    void erase_connection(Connection& link, ConnectionEnd why);
+    void connect(Connection& connection);
+    void on_connect_result(Connection& connection, int error);
+    void on_connect_error(Connection& connection, int error);
+    void send_request(Connection& connection, std::string request);
+    void on_data(Connection& connection, std::string_view bytes);
+    void on_connection_closed(Connection& connection);
+    void record_use(const Connection& connection, bool broke);
+    void keep_or_close(Connection& connection);  // once its call is over
+    void keep_idle(Connection& connection);
+    void erase_connection(Connection& connection, ConnectionEnd cause);
     void close_idle();
-    void cleanup();  // frees what was closed, in a turn of its own
-    void try_detached(DetachedCall& aside);
-    void end_detached(DetachedCall& aside);
 
     net::EventLoop& loop_;
     const Config config_;
     Connections connections_;
-    Connections closed_connections_;  // closed in a callback of their own; freed by the next turn
+    Connections closed_connections_;  // freed in a turn of their own, as their callbacks may be running
     std::unordered_map<const UpstreamCall*, Connection*> by_call_;
-    std::map<std::string, std::vector<Connection*>> idle_by_address_;
-    std::list<std::unique_ptr<DetachedCall>> detached_calls_, ended_detached_calls_;
-    net::Timer idle_timer_, cleanup_timer_;
+    std::map<std::string, std::vector<Connection*>> idle_by_address_;  // the last is the latest used
+    net::Timer idle_timer_;
+    net::Timer cleanup_timer_;
     bool idle_timer_set_ = false;
+    DetachedCalls detached_calls_;
     control::ConnectionReusePolicy reuse_policy_;
     Counters counters_;
     std::minstd_rand random_;
--- a/src/proxy/wakeup_timer.h
+++ b/src/proxy/wakeup_timer.h
@@ -1,4 +1,4 @@
-// Wakes a core when it wants to be woken: one loop timer for whatever returns the time of its next call.
+// One timer of the event loop for an object that says itself when it wants to be called next.
 #pragma once
 
 #include <algorithm>
@@ -8,30 +8,33 @@
 
 namespace gorsenotch::proxy {
 
+// Must be destroyed before the loop and before whatever `tick` refers to. Runs on the loop's thread.
 class WakeupTimer {
 public:
-    // `tick` does what is due and returns when it wants to be called next.
+    // `tick` does what is due and returns the time (ms, net::now()'s clock) at which it is to be called next.
+    // It is first called after wake().
     WakeupTimer(net::EventLoop& loop, std::function<net::Millis()> tick)
         : tick_(std::move(tick)), timer_(loop, [this] { fire(); }) {}
 
-    void wake() {  // in the next turn
-        if (waking_) return;
-        waking_ = true;
+    // Calls `tick` in the loop's next turn, whatever time it last returned.
+    void wake() {
+        if (wake_pending_) return;
+        wake_pending_ = true;
         timer_.fire_after(0);
     }
 
 private:
     void fire() {
-        // A timer set while others fire asks for a wake of its own; the one armed below covers it.
-        waking_ = true;
+        // wake() is ignored while `tick` runs: the time that it returns covers what is set meanwhile.
+        wake_pending_ = true;
         const net::Millis next = tick_();
-        waking_ = false;
+        wake_pending_ = false;
         timer_.fire_after(std::max(0.0, next - net::now()));
     }
 
     std::function<net::Millis()> tick_;
     net::Timer timer_;
-    bool waking_ = false;
+    bool wake_pending_ = false;
 };
 
 }  // namespace gorsenotch::proxy
