--- a/tests/router/attempt_timeout_test.cpp
+++ b/tests/router/attempt_timeout_test.cpp
@@ -11,7 +11,7 @@
 using router::Stage;
 
 Settings with_gateways(int gateways) {
-    Settings settings = plain_settings();
+    Settings settings = test_settings();
     settings.gateways = gateways;
     return settings;
 }
--- a/tests/router/eligibility_test.cpp
+++ b/tests/router/eligibility_test.cpp
@@ -11,7 +11,7 @@
 using router::Strictness;
 
 Settings keyed(DedupScope scope) {
-    Settings settings = plain_settings();
+    Settings settings = test_settings();
     settings.classes[0].idempotency = Idempotency::with_key;
     settings.classes[0].dedup_scope = scope;
     settings.classes[0].dedup_window = 2000;
--- a/tests/router/endpoint_registry_test.cpp
+++ b/tests/router/endpoint_registry_test.cpp
@@ -22,7 +22,7 @@
 
 TEST(EndpointRegistry, AFullUpdateRemovesUnlistedEndpointsFromChoicesAndForgetsThemLater) {
     RouterComponents fleet;
-    fleet.registry.apply(100, list({reader(1), writer(11)}));
+    fleet.registry.apply(100, full_list({prefill_endpoint(1), decode_endpoint(11)}));
     EXPECT_EQ(fleet.registry.with_role(Role::prefill).size(), 1u);
     ASSERT_NE(fleet.registry.find(2), nullptr);
     EXPECT_EQ(fleet.endpoint(2).info.status, EndpointStatus::removed);
@@ -35,7 +35,7 @@
 TEST(EndpointRegistry, DoesNotForgetAnEndpointWithAnAttemptInFlight) {
     RouterComponents fleet;
     fleet.send_request("r", 2, router::Stage::prefill);
-    fleet.registry.apply(100, list({reader(1), writer(11)}));
+    fleet.registry.apply(100, full_list({prefill_endpoint(1), decode_endpoint(11)}));
     fleet.registry.forget_removed(100000);
     EXPECT_NE(fleet.registry.find(2), nullptr);
 }
@@ -44,7 +44,7 @@
     RouterComponents fleet;
     fleet.endpoint(1).health.ejected = true;
     fleet.endpoint(1).load.memory_utilization = 0.9;
-    Endpoint restarted = reader(1);
+    Endpoint restarted = prefill_endpoint(1);
     restarted.started_at = 5000;
     fleet.registry.apply(6000, {EndpointUpdate::Kind::incremental, {restarted}});
     EXPECT_FALSE(fleet.endpoint(1).health.ejected);
@@ -54,7 +54,7 @@
 
 TEST(EndpointRegistry, AStartInTheFutureCountsAsNow) {
     RouterComponents fleet;
-    Endpoint restarted = reader(1);
+    Endpoint restarted = prefill_endpoint(1);
     restarted.started_at = 9000;
     fleet.registry.apply(6000, {EndpointUpdate::Kind::incremental, {restarted}});
     EXPECT_EQ(fleet.endpoint(1).warming_since, 6000);
@@ -62,7 +62,7 @@
 
 TEST(EndpointRegistry, IgnoresAnEndpointOfAnUnknownKind) {
     RouterComponents fleet;
-    Endpoint unknown = reader(3);
+    Endpoint unknown = prefill_endpoint(3);
     unknown.kind = 99;
     fleet.registry.apply(1, {EndpointUpdate::Kind::incremental, {unknown}});
     EXPECT_EQ(fleet.registry.find(3), nullptr);
@@ -81,8 +81,8 @@
 TEST(EndpointRegistry, ALargeFleetIsSearchedByAWindowAndThenAsAWhole) {
     RouterComponents fleet;
     std::vector<Endpoint> listed;
-    for (EndpointId id = 1; id <= 200; ++id) listed.push_back(reader(id));
-    fleet.registry.apply(1, list(listed));
+    for (EndpointId id = 1; id <= 200; ++id) listed.push_back(prefill_endpoint(id));
+    fleet.registry.apply(1, full_list(listed));
     std::vector<EndpointState*> window;
     const auto& ring = fleet.registry.with_role(Role::prefill);
     EXPECT_EQ(EndpointRegistry::candidates(ring, 7, SearchScope::window, window).size(), 96u);
--- a/tests/router/fleet_stats_test.cpp
+++ b/tests/router/fleet_stats_test.cpp
@@ -10,7 +10,7 @@
 using router::Stage;
 
 Settings with_gateways(int gateways) {
-    Settings settings = plain_settings();
+    Settings settings = test_settings();
     settings.gateways = gateways;
     return settings;
 }
--- a/tests/router/load_shedder_test.cpp
+++ b/tests/router/load_shedder_test.cpp
@@ -11,7 +11,7 @@
 using router::Stage;
 
 Settings with_tenant_quota() {
-    Settings settings = plain_settings();
+    Settings settings = test_settings();
     settings.gateways = 1;
     settings.tenants = {TenantSettings{1}};
     settings.over_quota_weight = 0;
--- a/tests/router/outlier_detector_test.cpp
+++ b/tests/router/outlier_detector_test.cpp
@@ -100,7 +100,8 @@
 }
 
 TEST_F(OutlierDetectorTest, AtMostAboutHalfOfARoleIsEjectedForFailures) {
-    fleet.registry.apply(0, list({writer(11), writer(12), writer(13), writer(14), writer(15)}));
+    fleet.registry.apply(0, full_list({decode_endpoint(11), decode_endpoint(12), decode_endpoint(13),
+                                       decode_endpoint(14), decode_endpoint(15)}));
     for (EndpointId id = 11; id <= 15; ++id) {
         for (int i = 0; i < 3; ++i) send_and_record(id, AttemptResult::error, 100);
     }
--- a/tests/router/prefill_selector_test.cpp
+++ b/tests/router/prefill_selector_test.cpp
@@ -13,7 +13,7 @@
 EndpointId chosen_id(const EndpointState* endpoint) { return endpoint ? endpoint->info.id : 0; }
 
 Endpoint mixed(EndpointId id) {
-    Endpoint endpoint = reader(id);
+    Endpoint endpoint = prefill_endpoint(id);
     endpoint.kind = 2;
     return endpoint;
 }
@@ -36,7 +36,8 @@
 
 TEST(PrefillSelector, ASessionStaysAtOneEndpoint) {
     RouterComponents fleet;
-    fleet.registry.apply(0, list({reader(1), reader(2), reader(3), reader(4), writer(11)}));
+    fleet.registry.apply(0, full_list({prefill_endpoint(1), prefill_endpoint(2), prefill_endpoint(3),
+                                       prefill_endpoint(4), decode_endpoint(11)}));
     for (std::uint64_t session = 1; session <= 5; ++session) {
         RequestState& request = fleet.add_request("r" + std::to_string(session));
         request.arrival.session = session;
@@ -47,7 +48,7 @@
 
 TEST(PrefillSelector, AMixedEndpointPrefillsOnlyIfTheDecodeEndpointsAreFull) {
     RouterComponents fleet;
-    fleet.registry.apply(0, list({reader(1), mixed(21), writer(11)}));
+    fleet.registry.apply(0, full_list({prefill_endpoint(1), mixed(21), decode_endpoint(11)}));
     const RequestState& request = fleet.add_request("r");
     fleet.fleet_stats.record_arrival(request);
     fleet.endpoint(1).load.reserved_tokens = 50000;
@@ -59,7 +60,7 @@
 
 TEST(PrefillSelector, ChoosesNothingIfNoEndpointIsListed) {
     RouterComponents fleet;
-    fleet.registry.apply(0, list({}));
+    fleet.registry.apply(0, full_list({}));
     EXPECT_EQ(fleet.prefill_selector.choose(0, fleet.add_request("r")), nullptr);
 }
 
--- a/tests/router/prefix_affinity_test.cpp
+++ b/tests/router/prefix_affinity_test.cpp
@@ -13,7 +13,7 @@
 using router::RequestState;
 
 Settings with_gateways(int gateways) {
-    Settings settings = plain_settings();
+    Settings settings = test_settings();
     settings.gateways = gateways;
     return settings;
 }
@@ -47,8 +47,8 @@
     for (const int gateways : {2, 60}) {
         RouterComponents fleet(with_gateways(gateways));
         std::vector<Endpoint> listed;
-        for (EndpointId id = 1; id <= 30; ++id) listed.push_back(reader(id));
-        fleet.registry.apply(0, list(listed));
+        for (EndpointId id = 1; id <= 30; ++id) listed.push_back(prefill_endpoint(id));
+        fleet.registry.apply(0, full_list(listed));
         const std::vector<EndpointState*>& candidates = fleet.registry.with_role(Role::prefill).by_id();
         std::set<const EndpointState*> chosen;
         for (std::uint64_t session = 1; session <= 200; ++session) {
--- a/tests/router/router_components.h
+++ b/tests/router/router_components.h
@@ -26,9 +26,9 @@
 
 // Fills the registry with prefill endpoints 1 and 2 and decode endpoints 11 and 12; 2 and 12 are in zone 1.
 struct RouterComponents {
-    explicit RouterComponents(const Settings& router_settings = plain_settings())
-        : settings(router_settings) {
-        registry.apply(0, list({reader(1), reader(2, 1), writer(11), writer(12, 1)}));
+    explicit RouterComponents(const Settings& router_settings = test_settings()) : settings(router_settings) {
+        registry.apply(0, full_list({prefill_endpoint(1), prefill_endpoint(2, 1), decode_endpoint(11),
+                                     decode_endpoint(12, 1)}));
         fleet_stats.on_list_changed(0, registry);
     }
 
@@ -47,7 +47,7 @@
         const EndpointId id = request.attempt.endpoint;
         const int attempt = request.attempt_count - 1;
         outlier_detector.record_outcome(now, endpoint(id), request,
-                                        outcome(request.arrival.request, attempt, id, result));
+                                        attempt_ended(request.arrival.request, attempt, id, result));
         in_flight_requests.end_attempt(request);
     }
 
--- a/tests/router/settings_validation_test.cpp
+++ b/tests/router/settings_validation_test.cpp
@@ -18,10 +18,10 @@
     return "";
 }
 
-TEST(SettingsValidation, AcceptsCompleteSettings) { EXPECT_EQ(error_of(plain_settings()), ""); }
+TEST(SettingsValidation, AcceptsCompleteSettings) { EXPECT_EQ(error_of(test_settings()), ""); }
 
 TEST(SettingsValidation, NamesTheFirstSettingAtFault) {
-    Settings settings = plain_settings();
+    Settings settings = test_settings();
     settings.max_attempts = 0;
     EXPECT_EQ(error_of(settings), "gorsenotch settings: max_attempts: at least one");
     settings.classes[1].deadline = 0;
@@ -31,7 +31,7 @@
 }
 
 TEST(SettingsValidation, NeedsPrefillUnlessDecodeEndpointsPrefillLocally) {
-    Settings settings = plain_settings();
+    Settings settings = test_settings();
     settings.kinds = {{Role::decode, 100000}};
     EXPECT_NE(error_of(settings), "");
     settings.local_prefill = true;
