--- a/tests/router/slow_start_test.cpp
+++ b/tests/router/slow_start_test.cpp
@@ -7,8 +7,6 @@
 namespace gorsenotch::test {
 namespace {
 
-using router::Stage;
-
 TEST(SlowStart, AWarmEndpointHasNoBudget) {
     RouterComponents fleet;
     router::RequestState& request = fleet.add_request("r");
