--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -79,8 +79,9 @@
 ClientConnections::Config clients_config(const Config& config) {
     ClientConnections::Config clients;
     clients.listen = config.listen;
-    clients.most = (sockets(config) - kReservedSockets) * kClientPercent / 100;
-    if (config.memory_mb > 0) clients.most_bytes = config.memory_mb * kBytesPerMegabyte / kMemoryPartOfBodies;
+    clients.limits.max_connections = (sockets(config) - kReservedSockets) * kClientPercent / 100;
+    if (config.memory_mb > 0)
+        clients.limits.max_body_bytes = config.memory_mb * kBytesPerMegabyte / kMemoryPartOfBodies;
     return clients;
 }
 
--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -25,13 +25,13 @@
     RequestLifecycle relay{config.named, 1, hosts, world};
     std::unique_ptr<ClientConnections> clients;
 
-    void start(ClientConnections::Config c) {
+    void start(ClientConnections::Config listener_config) {
         std::string why;
         auto list = hosts.take(config.known, EndpointList::Source::same_address, 0, why);
         ASSERT_TRUE(list) << why;
         relay.on_endpoint_update(std::move(*list));
-        c.listen = "127.0.0.1:0";
-        clients = std::make_unique<ClientConnections>(loop, config.named, relay, c);
+        listener_config.listen = "127.0.0.1:0";
+        clients = std::make_unique<ClientConnections>(loop, config.named, relay, listener_config);
         ASSERT_EQ(clients->listen(), 0);
     }
     void SetUp() override { start(ClientConnections::Config()); }
@@ -151,9 +151,9 @@
 
 struct ShortPatienceTest : ClientsTest {
     void SetUp() override {
-        ClientConnections::Config c;
-        c.patience = 150;
-        start(c);
+        ClientConnections::Config limited;
+        limited.limits.request_timeout = 150;
+        start(limited);
     }
 };
 
@@ -175,10 +175,10 @@
 
 struct FewPlacesTest : ClientsTest {
     void SetUp() override {
-        ClientConnections::Config c;
-        c.most = 2;
-        c.least_idle = 50;
-        start(c);
+        ClientConnections::Config limited;
+        limited.limits.max_connections = 2;
+        limited.limits.min_idle = 50;
+        start(limited);
     }
 };
 
@@ -237,10 +237,11 @@
 
 struct ShortIdleTest : ClientsTest {
     void SetUp() override {
-        ClientConnections::Config c;
-        c.least_idle = c.most_idle = 150;
-        c.patience = 200;
-        start(c);
+        ClientConnections::Config limited;
+        limited.limits.min_idle = 150;
+        limited.limits.max_idle = 150;
+        limited.limits.request_timeout = 200;
+        start(limited);
     }
 };
 
