--- a/src/net/child_process.cpp
+++ b/src/net/child_process.cpp
@@ -7,6 +7,7 @@
 
 #include <cerrno>
 #include <csignal>
+#include <cstdint>
 #include <cstdlib>
 #include <string_view>
 #include <utility>
@@ -16,8 +17,21 @@
 namespace gorsenotch::net {
 namespace {
 
+// The parent's process id, which die_with_parent() compares with the actual one.
 constexpr const char* kParent = "GORSENOTCH_PARENT";
-constexpr std::size_t kLongestLine = 4096;
+const std::string kParentVariable = std::string(kParent) + "=";
+constexpr std::size_t kMaxLine = 4096;
+
+// This process's environment with `parent` in place of its own such variable, as execve wants it.
+std::vector<char*> environment_with(const std::string& parent) {
+    std::vector<char*> variables;
+    for (char** variable = environ; *variable; ++variable) {
+        if (std::string_view(*variable).rfind(kParentVariable, 0) != 0) variables.push_back(*variable);
+    }
+    variables.push_back(const_cast<char*>(parent.c_str()));
+    variables.push_back(nullptr);
+    return variables;
+}
 
 }  // namespace
 
@@ -28,29 +42,50 @@
     ChildProcess* owner = nullptr;
     Exited exited;
     bool running = false;
-    int pid = 0, open = 0;
+    int pid = 0;
+    int open_handles = 0;
     std::string line;
     char buffer[1024];
 
     void close(uv_handle_t* handle) {
         if (uv_is_closing(handle)) return;
         uv_close(handle, [](uv_handle_t* closed) {
-            auto* h = static_cast<Handle*>(closed->data);
-            if (--h->open == 0 && !h->owner) delete h;
+            auto* child = static_cast<Handle*>(closed->data);
+            if (--child->open_handles == 0 && !child->owner) delete child;
         });
     }
-    void take(std::string_view bytes) {
-        for (const char c : bytes) {
-            if (c != '\n') {
-                if (line.size() < kLongestLine) line += c;
+    void on_output(std::string_view bytes) {
+        for (const char byte : bytes) {
+            if (byte != '\n') {
+                if (line.size() < kMaxLine) line += byte;
                 continue;
             }
-            const std::string whole = std::exchange(line, {});
+            const std::string complete = std::exchange(line, {});
             if (!owner) return;
-            const auto f = owner->on_line;
-            if (f) f(whole);
+            const auto callback = owner->on_line;
+            if (callback) callback(complete);
         }
     }
+    int read_output() {
+        return uv_read_start(
+            reinterpret_cast<uv_stream_t*>(&out),
+            [](uv_handle_t* handle, std::size_t, uv_buf_t* buf) {
+                auto* child = static_cast<Handle*>(handle->data);
+                *buf = uv_buf_init(child->buffer, sizeof child->buffer);
+            },
+            [](uv_stream_t* stream, ssize_t n, const uv_buf_t* buf) {
+                auto* child = static_cast<Handle*>(stream->data);
+                if (n < 0) return child->close(reinterpret_cast<uv_handle_t*>(stream));
+                if (n > 0) child->on_output(std::string_view(buf->base, static_cast<std::size_t>(n)));
+            });
+    }
+    static void on_exit(uv_process_t* process, std::int64_t status, int signal) {
+        auto* child = static_cast<Handle*>(process->data);
+        child->running = false;
+        if (!child->owner) return;
+        const auto callback = child->exited;
+        if (callback) callback(static_cast<int>(status), signal);
+    }
 };
 
 ChildProcess::ChildProcess(EventLoop& loop, Exited exited) : handle_(new Handle) {
@@ -69,7 +104,7 @@
         while (::waitpid(handle_->pid, nullptr, 0) < 0 && errno == EINTR) {
         }
     }
-    if (handle_->open == 0) {
+    if (handle_->open_handles == 0) {
         delete handle_;
         return;
     }
@@ -79,55 +114,37 @@
 
 int ChildProcess::spawn(const std::vector<std::string>& args, const std::string& log) {
     std::vector<char*> argv;
-    for (const auto& a : args) argv.push_back(const_cast<char*>(a.c_str()));
+    argv.reserve(args.size() + 1);
+    for (const auto& arg : args) argv.push_back(const_cast<char*>(arg.c_str()));
     argv.push_back(nullptr);
-    const std::string parent = std::string(kParent) + "=" + std::to_string(::getpid());
-    std::vector<char*> environment;
-    for (char** e = environ; *e; ++e) {
-        if (std::string_view(*e).rfind(std::string(kParent) + "=", 0) != 0) environment.push_back(*e);
-    }
-    environment.push_back(const_cast<char*>(parent.c_str()));
-    environment.push_back(nullptr);
-    const int fd = log.empty() ? -1 : ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-    handle_->uv.data = handle_->out.data = handle_;
+    const std::string parent = kParentVariable + std::to_string(::getpid());
+    std::vector<char*> environment = environment_with(parent);
+    const int log_file =
+        log.empty() ? -1 : ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+    handle_->uv.data = handle_;
+    handle_->out.data = handle_;
     uv_pipe_init(handle_->loop, &handle_->out, 0);
-    uv_stdio_container_t handle[3];
-    handle[0].flags = UV_IGNORE;
-    handle[1].flags = static_cast<uv_stdio_flags>(UV_CREATE_PIPE | UV_WRITABLE_PIPE);
-    handle[1].data.stream = reinterpret_cast<uv_stream_t*>(&handle_->out);
-    handle[2].flags = log.empty() || fd >= 0 ? UV_INHERIT_FD : UV_IGNORE;
-    handle[2].data.fd = log.empty() ? 2 : fd;
-    uv_process_options_t o{};
-    o.file = argv[0];
-    o.args = argv.data();
-    o.env = environment.data();
-    o.stdio = handle;
-    o.stdio_count = 3;
-    o.flags = UV_PROCESS_DETACHED;
-    o.exit_cb = [](uv_process_t* p, std::int64_t status, int signal) {
-        auto* h = static_cast<Handle*>(p->data);
-        h->running = false;
-        if (!h->owner) return;
-        const auto f = h->exited;
-        if (f) f(static_cast<int>(status), signal);
-    };
-    handle_->open = 2;
-    const int e = uv_spawn(handle_->loop, &handle_->uv, &o);
-    if (fd >= 0) ::close(fd);
-    if (e != 0) return e;
+    uv_stdio_container_t stdio[3];
+    stdio[0].flags = UV_IGNORE;
+    stdio[1].flags = static_cast<uv_stdio_flags>(UV_CREATE_PIPE | UV_WRITABLE_PIPE);
+    stdio[1].data.stream = reinterpret_cast<uv_stream_t*>(&handle_->out);
+    stdio[2].flags = log.empty() || log_file >= 0 ? UV_INHERIT_FD : UV_IGNORE;
+    stdio[2].data.fd = log.empty() ? STDERR_FILENO : log_file;
+    uv_process_options_t options{};
+    options.file = argv[0];
+    options.args = argv.data();
+    options.env = environment.data();
+    options.stdio = stdio;
+    options.stdio_count = 3;
+    options.flags = UV_PROCESS_DETACHED;
+    options.exit_cb = Handle::on_exit;
+    handle_->open_handles = 2;
+    const int error = uv_spawn(handle_->loop, &handle_->uv, &options);
+    if (log_file >= 0) ::close(log_file);
+    if (error != 0) return error;
     handle_->running = true;
     handle_->pid = handle_->uv.pid;
-    return uv_read_start(
-        reinterpret_cast<uv_stream_t*>(&handle_->out),
-        [](uv_handle_t* u, std::size_t, uv_buf_t* buf) {
-            auto* h = static_cast<Handle*>(u->data);
-            *buf = uv_buf_init(h->buffer, sizeof h->buffer);
-        },
-        [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
-            auto* h = static_cast<Handle*>(s->data);
-            if (n < 0) return h->close(reinterpret_cast<uv_handle_t*>(s));
-            if (n > 0) h->take(std::string_view(buf->base, static_cast<std::size_t>(n)));
-        });
+    return handle_->read_output();
 }
 
 void ChildProcess::kill(int signal) {
@@ -142,9 +159,9 @@
     if (!parent) return true;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     // The parent may have ended before the signal was asked for.
-    const bool there = ::getppid() == std::atoi(parent);
+    const bool parent_lives = ::getppid() == std::atoi(parent);
     ::unsetenv(kParent);
-    return there;
+    return parent_lives;
 }
 
 }  // namespace gorsenotch::net
--- /dev/null
+++ b/src/net/deferred_call.cpp
@@ -0,0 +1,54 @@
+#include "net/deferred_call.h"
+
+#include <uv.h>
+
+#include <utility>
+
+#include "net/event_loop.h"
+
+namespace gorsenotch::net {
+
+struct DeferredCall::Handle {
+    uv_check_t check{};      // after the sockets of this turn
+    uv_prepare_t prepare{};  // after its timers, before it sleeps
+    std::function<void()> call;
+    bool scheduled = false;
+    bool owned = true;
+    int open_handles = 2;
+
+    void run() {
+        if (!scheduled || !owned) return;
+        scheduled = false;
+        uv_check_stop(&check);
+        uv_prepare_stop(&prepare);
+        call();
+    }
+};
+
+DeferredCall::DeferredCall(EventLoop& loop, std::function<void()> call) : handle_(new Handle) {
+    handle_->call = std::move(call);
+    uv_check_init(loop.raw(), &handle_->check);
+    uv_prepare_init(loop.raw(), &handle_->prepare);
+    handle_->check.data = handle_;
+    handle_->prepare.data = handle_;
+}
+
+DeferredCall::~DeferredCall() {
+    handle_->owned = false;
+    const auto closed = [](uv_handle_t* handle) {
+        auto* shared = static_cast<Handle*>(handle->data);
+        if (--shared->open_handles == 0) delete shared;
+    };
+    uv_close(reinterpret_cast<uv_handle_t*>(&handle_->check), closed);
+    uv_close(reinterpret_cast<uv_handle_t*>(&handle_->prepare), closed);
+}
+
+void DeferredCall::schedule() {
+    if (handle_->scheduled) return;
+    handle_->scheduled = true;
+    uv_check_start(&handle_->check, [](uv_check_t* handle) { static_cast<Handle*>(handle->data)->run(); });
+    uv_prepare_start(&handle_->prepare,
+                     [](uv_prepare_t* handle) { static_cast<Handle*>(handle->data)->run(); });
+}
+
+}  // namespace gorsenotch::net
--- a/src/net/free_ports.cpp
+++ b/src/net/free_ports.cpp
@@ -5,13 +5,13 @@
 namespace gorsenotch::net {
 
 std::vector<int> free_ports(EventLoop& loop, const std::string& host, std::size_t count) {
-    // All are held until the last is chosen. Guards against two that are the same.
-    std::vector<std::unique_ptr<TcpListener>> held;
+    // All stay open until the last is chosen, so that no two are the same.
+    std::vector<std::unique_ptr<TcpListener>> listeners;
     std::vector<int> ports;
     while (ports.size() < count) {
-        held.push_back(std::make_unique<TcpListener>(loop));
-        if (held.back()->listen(host + ":0") != 0) return {};
-        ports.push_back(held.back()->port());
+        listeners.push_back(std::make_unique<TcpListener>(loop));
+        if (listeners.back()->listen(host + ":0") != 0) return {};
+        ports.push_back(listeners.back()->port());
     }
     return ports;
 }
--- /dev/null
+++ b/src/net/signal_watcher.h
@@ -0,0 +1,24 @@
+// Signals of the process as callbacks of an event loop.
+#pragma once
+
+#include <functional>
+
+namespace gorsenotch::net {
+
+class EventLoop;
+
+// Calls `fire` on the loop's thread for each signal `number` that comes while it lives. Does not keep the
+// loop running.
+class SignalWatcher {
+public:
+    SignalWatcher(EventLoop& loop, int number, std::function<void()> fire);
+    ~SignalWatcher();
+    SignalWatcher(const SignalWatcher&) = delete;
+    SignalWatcher& operator=(const SignalWatcher&) = delete;
+
+private:
+    struct Handle;
+    Handle* handle_;  // freed by the loop after ~SignalWatcher has closed it
+};
+
+}  // namespace gorsenotch::net
--- a/src/net/socket_error.h
+++ b/src/net/socket_error.h
@@ -1,4 +1,5 @@
-// What an error of a system call says, told in one place. No I/O. Codes are libuv's: negative errno values.
+// What an error of a socket's system call means for its caller. No I/O. Codes are libuv's: negative errno
+// values.
 #pragma once
 
 namespace gorsenotch::net {
--- /dev/null
+++ b/src/net/tcp_stream.cpp
@@ -0,0 +1,192 @@
+#include "net/tcp_stream.h"
+
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+#include <poll.h>
+#include <sys/socket.h>
+
+#include <utility>
+
+#include "net/event_loop.h"
+#include "net/socket_address.h"
+#include "net/tcp_stream_handle.h"
+
+namespace gorsenotch::net {
+
+namespace {
+struct WriteRequest {
+    uv_write_t uv{};
+    std::string bytes;
+};
+
+// One buffer serves all reads: data is handed on before the next read begins. Its size bounds what a stream
+// may still gather after its reader has asked for a pause.
+char read_buffer[16384];
+
+// Linux names no lasting failure of poll() for one good descriptor: more interruptions than this in a row do
+// not happen.
+constexpr int kMaxPollAttempts = 100;
+
+}  // namespace
+
+TcpStream::TcpStream(EventLoop& loop) : handle_(new Handle) {
+    uv_tcp_init(loop.raw(), &handle_->uv);
+    handle_->uv.data = handle_;
+    handle_->owner = this;
+}
+
+TcpStream::~TcpStream() {
+    if (handle_) handle_->close();
+}
+
+int TcpStream::connect(const std::string& address, const std::string& from, std::function<void(int)> done) {
+    sockaddr_storage to{};
+    sockaddr_storage local{};
+    if (!parse_address(address, to)) return UV_EINVAL;
+    if (!from.empty()) {
+        if (!parse_address(from + ":0", local)) return UV_EINVAL;
+        const int error = uv_tcp_bind(&handle_->uv, reinterpret_cast<sockaddr*>(&local), 0);
+        if (error != 0) return error;
+    }
+    handle_->on_connected = std::move(done);
+    handle_->connect_req.data = handle_;
+    return uv_tcp_connect(&handle_->connect_req, &handle_->uv, reinterpret_cast<sockaddr*>(&to),
+                          [](uv_connect_t* req, int status) {
+                              auto* stream = static_cast<Handle*>(req->data);
+                              if (!stream->owner) return;
+                              if (status == 0) uv_tcp_nodelay(&stream->uv, 1);
+                              if (const auto on_connected = std::move(stream->on_connected))
+                                  on_connected(status);
+                          });
+}
+
+void TcpStream::set_reading(bool on) {
+    if (handle_->ended || on == handle_->reading) return;
+    handle_->reading = on;
+    if (!on) {
+        uv_read_stop(handle_->stream());
+        return;
+    }
+    const int error = uv_read_start(
+        handle_->stream(),
+        [](uv_handle_t*, std::size_t, uv_buf_t* buf) { *buf = uv_buf_init(read_buffer, sizeof read_buffer); },
+        [](uv_stream_t* handle, ssize_t n, const uv_buf_t* buf) {
+            auto* stream = static_cast<Handle*>(handle->data);
+            if (!stream->owner || n == 0) return;
+            if (n < 0) return stream->end(n == UV_EOF ? 0 : static_cast<int>(n));
+            // A copy of the callback lives through the call, whatever it does to its owner.
+            const auto callback = stream->owner->on_data;
+            if (callback) callback(std::string_view(buf->base, static_cast<std::size_t>(n)));
+        });
+    if (error != 0) handle_->reading = false;
+}
+
+void TcpStream::write(std::string bytes) {
+    if (handle_->closing || bytes.empty()) return;
+    if (handle_->in_flight == 0) {
+        const std::size_t written = try_write(bytes);
+        if (written == bytes.size()) return;
+        bytes.erase(0, written);
+    }
+    queue_write(std::move(bytes));
+}
+
+// Hands the kernel what it takes at once; returns how many bytes that is.
+std::size_t TcpStream::try_write(std::string& bytes) {
+    uv_buf_t buffer = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
+    const int written = uv_try_write(handle_->stream(), &buffer, 1);
+    if (written <= 0) return 0;
+    handle_->wrote = true;
+    return static_cast<std::size_t>(written);
+}
+
+void TcpStream::queue_write(std::string bytes) {
+    auto* request = new WriteRequest;
+    request->bytes = std::move(bytes);
+    request->uv.data = request;
+    uv_buf_t buffer = uv_buf_init(request->bytes.data(), static_cast<unsigned>(request->bytes.size()));
+    handle_->in_flight += request->bytes.size();
+    const int error =
+        uv_write(&request->uv, handle_->stream(), &buffer, 1, [](uv_write_t* written, int status) {
+            const std::unique_ptr<WriteRequest> own(static_cast<WriteRequest*>(written->data));
+            auto* stream = static_cast<Handle*>(written->handle->data);
+            stream->in_flight -= own->bytes.size();
+            stream->on_written(status);
+        });
+    if (error == 0) return;
+    handle_->in_flight -= request->bytes.size();
+    delete request;
+    break_off();
+}
+
+void TcpStream::shutdown_write() {
+    if (handle_->closing) return;
+    auto* request = new uv_shutdown_t;
+    const auto free_request = [](uv_shutdown_t* done, int) { delete done; };
+    if (uv_shutdown(request, handle_->stream(), free_request) == 0) return;
+    delete request;
+    break_off();
+}
+
+// Guards against bytes or a FIN that the system refused at once without any callback: the connection is ended
+// for both sides, so that on_end follows in the loop's next turn. No effect where it has ended already.
+void TcpStream::break_off() {
+    uv_os_fd_t fd = -1;
+    if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) == 0) ::shutdown(fd, SHUT_RDWR);
+}
+
+void TcpStream::reset() {
+    if (handle_->closing) return;
+    handle_->ended = true;
+    Handle* stream = handle_;
+    stream->closing = true;
+    stream->owner = nullptr;
+    const auto freed = [](uv_handle_t* handle) { delete static_cast<Handle*>(handle->data); };
+    if (uv_tcp_close_reset(&stream->uv, freed) != 0)
+        uv_close(reinterpret_cast<uv_handle_t*>(&stream->uv), freed);
+    handle_ = nullptr;
+}
+
+std::size_t TcpStream::queued() const { return handle_ ? handle_->in_flight : 0; }
+bool TcpStream::has_written() const { return handle_ && (handle_->wrote || handle_->in_flight > 0); }
+
+bool TcpStream::poll_now(short events, bool if_unknown) const {
+    uv_os_fd_t fd = -1;
+    if (!handle_ || handle_->ended || uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) != 0)
+        return true;
+    // Guards against a poll that is interrupted and taken for "nothing there": a request would go out for a
+    // client that has left, or a connection would be closed over an unread one.
+    for (int i = 0; i < kMaxPollAttempts; ++i) {
+        pollfd polled{fd, events, 0};
+        const int ready = ::poll(&polled, 1, 0);
+        if (ready >= 0) return ready > 0 && polled.revents != 0;
+    }
+    return if_unknown;
+}
+
+bool TcpStream::peer_closed() const { return poll_now(POLLRDHUP, false); }
+bool TcpStream::has_unread_input() const { return poll_now(POLLIN | POLLRDHUP, true); }
+
+Millis TcpStream::age() const {
+    uv_os_fd_t fd = -1;
+    if (!handle_ || uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) != 0) return 0;
+    tcp_info info{};
+    socklen_t size = sizeof info;
+    if (::getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
+    return info.tcpi_last_data_recv;
+}
+
+std::string TcpStream::peer() const {
+    sockaddr_storage storage{};
+    int size = sizeof storage;
+    char name[64] = "";
+    if (!handle_ || uv_tcp_getpeername(&handle_->uv, reinterpret_cast<sockaddr*>(&storage), &size) != 0)
+        return "";
+    if (storage.ss_family == AF_INET)
+        uv_ip4_name(reinterpret_cast<sockaddr_in*>(&storage), name, sizeof name);
+    if (storage.ss_family == AF_INET6)
+        uv_ip6_name(reinterpret_cast<sockaddr_in6*>(&storage), name, sizeof name);
+    return name;
+}
+
+}  // namespace gorsenotch::net
--- /dev/null
+++ b/src/net/tcp_stream_handle.h
@@ -0,0 +1,51 @@
+// The libuv side of a TcpStream. For tcp_stream.cpp and tcp_listener.cpp alone.
+#pragma once
+
+#include <uv.h>
+
+#include <cstddef>
+#include <functional>
+
+#include "net/tcp_stream.h"
+
+namespace gorsenotch::net {
+
+// Owned by its TcpStream until that closes it, then by the loop, which frees it.
+struct TcpStream::Handle {
+    uv_tcp_t uv{};
+    TcpStream* owner = nullptr;
+    bool closing = false;
+    bool wrote = false;  // a byte was handed to the kernel
+    bool reading = false;
+    bool ended = false;         // on_end was called, or must not be called any more
+    std::size_t in_flight = 0;  // bytes in WriteRequests
+    std::function<void(int)> on_connected;
+    uv_connect_t connect_req{};
+
+    void close() {
+        if (closing) return;
+        closing = true;
+        owner = nullptr;
+        uv_close(reinterpret_cast<uv_handle_t*>(&uv),
+                 [](uv_handle_t* handle) { delete static_cast<Handle*>(handle->data); });
+    }
+    void end(int code) {
+        if (!owner || ended) return;
+        ended = true;
+        if (reading) uv_read_stop(stream());
+        reading = false;
+        // Moved out: the owner may be destroyed by its own callback.
+        if (const auto callback = std::move(owner->on_end)) callback(code);
+    }
+    void on_written(int status) {
+        if (!owner) return;
+        if (status < 0) return end(status);
+        wrote = true;
+        // A copy of the callback lives through the call, whatever it does to its owner.
+        const auto callback = owner->on_drain;
+        if (in_flight == 0 && callback) callback();
+    }
+    uv_stream_t* stream() { return reinterpret_cast<uv_stream_t*>(&uv); }
+};
+
+}  // namespace gorsenotch::net
