--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -93,8 +93,9 @@
     std::optional<std::vector<settings::Engine>> engines;
     if (!options_.state.empty()) {
         saved_ = std::make_shared<state::SnapshotStore>(options_.state, "fleet");
-        std::string why;
-        if (const auto text = saved_->load(why)) engines = settings::parse_fleet(*text, p_, faults);
+        const state::LoadedSnapshot snapshot = saved_->load();
+        std::string why = snapshot.error ? snapshot.error->message : "";
+        if (snapshot.text) engines = settings::parse_fleet(*snapshot.text, p_, faults);
         if (!faults.empty()) why = settings::render("saved list", faults);
         if (!why.empty()) log("warn", "cached_endpoint_list", {{"why", why}});
     }
@@ -139,7 +140,10 @@
     const auto why = std::make_shared<std::string>();
     const auto list = std::make_shared<std::string>(*std::exchange(to_save_, std::nullopt));
     net::run_on_thread_pool(
-        loop_, [saved = saved_, list, why] { saved->save(*list, *why); },
+        loop_,
+        [saved = saved_, list, why] {
+            if (const auto error = saved->save(*list)) *why = error->message;
+        },
         [this, alive = std::weak_ptr<bool>(alive_), list, why] {
             if (alive.expired()) return;
             saving_ = false;
--- a/src/state/decision_journal.h
+++ b/src/state/decision_journal.h
@@ -1,28 +1,25 @@
-// What a Router was told and what it said, as NDJSON: for a look after the fact and for replaying a day's
-// events through the module (`gorsenotch replay`), which must give the same actions again.
+// The decision journal: each event that goes into a Router and each action that comes out, as NDJSON, one
+// object a line. It serves to examine decisions after the fact and to replay them, see state/journal_replay.
+//
+// The format is stored data. A line with "seed" starts a life of the gateway; one with "e" is an event at the
+// time "t"; one with "a" is an action of the latest event. Later lives are appended to the same file.
 #pragma once
 
+#include <cstdint>
 #include <functional>
-#include <iosfwd>
 #include <memory>
 #include <string>
 
 #include "state/decision_observer.h"
+#include "state/journal_replay.h"  // for includers of this header, which took replay() from it
 
 namespace gorsenotch::state {
 
-// Null if the file can't be written. The first line holds the seed. Where a write fails later the journal
-// ends there, as what followed a gap would not replay, and `on_stopped` is told why, once.
+// Opens `file` for appending and writes the seed; null if the file cannot be written. Where a write fails
+// later the journal ends there, since what followed a gap would not replay, and `on_stopped` is called once
+// with the reason. The observer owns the file; it is not synced.
 std::unique_ptr<DecisionObserver> open_journal(
     const std::string& file, std::uint64_t seed,
-    std::function<void(const std::string& why)> on_stopped = nullptr);
-
-struct ReplayResult {
-    long events = 0, actions = 0;
-    std::string difference;  // the first one, with its line; empty: none
-};
-// Feeds the events of a journal to a fresh Router with the same settings and seed. Throws std::runtime_error,
-// naming the line, where the journal is damaged; a last line that was cut short is passed over.
-ReplayResult replay(std::istream& journal, const Settings& settings);
+    std::function<void(const std::string& reason)> on_stopped = nullptr);
 
 }  // namespace gorsenotch::state
--- a/src/state/decision_observer.h
+++ b/src/state/decision_observer.h
@@ -1,4 +1,5 @@
-// Who is shown each event that goes into a Router and each action that comes out, in order.
+// Interface of an observer that is given each event before it goes into a Router and each action that comes
+// out, in order. The decision journal is one.
 #pragma once
 
 #include "gorsenotch/logic.h"
@@ -8,6 +9,7 @@
 class DecisionObserver {
 public:
     virtual ~DecisionObserver() = default;
+    // `now`: the Router's clock, ms.
     virtual void on_event(Millis now, const Event& event) = 0;
     virtual void on_action(const Action& action) = 0;
 };
--- /dev/null
+++ b/src/state/json_values.h
@@ -0,0 +1,37 @@
+// Checked conversion of JSON values that come from a file.
+#pragma once
+
+#include <cstdint>
+#include <limits>
+#include <nlohmann/json.hpp>
+#include <type_traits>
+
+#include "state/journal_error.h"
+
+namespace gorsenotch::state {
+
+// A whole number that fits the type. Throws JournalError otherwise.
+template <class Integer>
+Integer to_integer(const nlohmann::json& json) {
+    using Limits = std::numeric_limits<Integer>;
+    if (json.is_number_unsigned()) {
+        const auto value = json.get<std::uint64_t>();
+        if (value <= static_cast<std::uint64_t>(Limits::max())) return static_cast<Integer>(value);
+    } else if (json.is_number_integer()) {
+        const auto value = json.get<std::int64_t>();
+        if (std::is_signed_v<Integer> && value >= static_cast<std::int64_t>(Limits::min()))
+            return static_cast<Integer>(value);
+    }
+    throw JournalError(JournalErrorCode::number_out_of_range, "not a whole number in range: " + json.dump());
+}
+
+// An enumerator by its number, from 0 to `last`. Throws JournalError otherwise.
+template <class Enum>
+Enum to_enum(const nlohmann::json& json, Enum last) {
+    const int value = to_integer<int>(json);
+    if (value < 0 || value > static_cast<int>(last))
+        throw JournalError(JournalErrorCode::unknown_value, "no such value: " + json.dump());
+    return static_cast<Enum>(value);
+}
+
+}  // namespace gorsenotch::state
--- a/src/state/snapshot_store.cpp
+++ b/src/state/snapshot_store.cpp
@@ -4,16 +4,23 @@
 #include <unistd.h>
 #include <xxhash.h>
 
+#include <algorithm>
+#include <array>
 #include <cerrno>
+#include <cstddef>
 #include <cstdio>
 #include <cstring>
 #include <fstream>
 #include <sstream>
+#include <utility>
 
 namespace gorsenotch::state {
 namespace {
 
-constexpr const char* kMark = "gorsenotch-saved 1";
+// The first line of a file: format and version, generation, length in bytes, checksum.
+constexpr const char* kFormat = "gorsenotch-saved 1";
+constexpr std::size_t kMaxHeader = 128;
+constexpr int kFileMode = 0600;
 
 bool sync_folder(const std::string& folder) {
     const int fd = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
@@ -23,21 +30,37 @@
     return ok;
 }
 
-bool write_all(int fd, const std::string& bytes) {
-    for (std::size_t done = 0; done < bytes.size();) {
-        const ssize_t n = ::write(fd, bytes.data() + done, bytes.size() - done);
-        if (n < 0 && errno == EINTR) continue;
-        if (n <= 0) return false;
-        done += static_cast<std::size_t>(n);
+bool write_and_sync(int fd, const std::string& bytes) {
+    std::size_t written = 0;
+    while (written < bytes.size()) {
+        const ssize_t count = ::write(fd, bytes.data() + written, bytes.size() - written);
+        if (count < 0 && errno == EINTR) continue;
+        if (count <= 0) return false;
+        written += static_cast<std::size_t>(count);
     }
     return ::fsync(fd) == 0;
 }
 
-std::string head(unsigned long number, const std::string& text) {
-    char line[128];
-    std::snprintf(line, sizeof line, "%s %lu %zu %016llx\n", kMark, number, text.size(),
-                  static_cast<unsigned long long>(XXH3_64bits_withSeed(text.data(), text.size(), number)));
-    return line;
+bool write_file(const std::string& path, const std::string& bytes) {
+    const int fd = ::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
+    if (fd < 0) return false;
+    const bool written = write_and_sync(fd, bytes);
+    return ::close(fd) == 0 && written;
+}
+
+std::string header(unsigned long number, const std::string& text) {
+    const auto checksum =
+        static_cast<unsigned long long>(XXH3_64bits_withSeed(text.data(), text.size(), number));
+    std::array<char, kMaxHeader> line{};
+    std::snprintf(line.data(), line.size(), "%s %lu %zu %016llx\n", kFormat, number, text.size(), checksum);
+    return line.data();
+}
+
+// The generation's number in a header's line; 0 if there is none.
+unsigned long number_in(const std::string& header_line) {
+    unsigned long number = 0;
+    if (std::sscanf(header_line.c_str(), "gorsenotch-saved 1 %lu", &number) != 1) return 0;
+    return number;
 }
 
 }  // namespace
@@ -45,48 +68,52 @@
 SnapshotStore::SnapshotStore(std::string folder, std::string name)
     : folder_(std::move(folder)), name_(std::move(name)) {}
 
-SnapshotStore::Generation SnapshotStore::read(char which) const {
-    Generation store;
-    std::ifstream in(file(which), std::ios::binary);
-    if (!in) return store;
-    std::string line;
-    std::getline(in, line);
+std::string SnapshotStore::path(Slot slot) const {
+    return folder_ + "/" + name_ + "." + static_cast<char>(slot);
+}
+
+SnapshotStore::Generation SnapshotStore::read(Slot slot) const {
+    Generation generation;
+    std::ifstream in(path(slot), std::ios::binary);
+    if (!in) return generation;
+    std::string header_line;
+    std::getline(in, header_line);
     std::ostringstream rest;
     rest << in.rdbuf();
     const std::string text = rest.str();
-    unsigned long number = 0;
-    if (std::sscanf(line.c_str(), "gorsenotch-saved 1 %lu", &number) != 1 || number == 0 ||
-        line + "\n" != head(number, text)) {
-        store.fault = file(which) + " is damaged";
-        return store;
+    const unsigned long number = number_in(header_line);
+    if (number == 0 || header_line + "\n" != header(number, text)) {
+        generation.fault = path(slot) + " is damaged";
+        return generation;
     }
-    store.number = number, store.text = text;
-    return store;
+    generation.number = number;
+    generation.text = text;
+    return generation;
 }
 
-std::optional<std::string> SnapshotStore::load(std::string& why) const {
-    why.clear();
-    const Generation store = read('a'), b = read('b');
-    for (const auto* g : {&store, &b}) {
-        if (!g->fault.empty()) why += (why.empty() ? "" : "; ") + g->fault;
-    }
-    const Generation& newest = store.number >= b.number ? store : b;
-    if (newest.number == 0) return std::nullopt;
-    return newest.text;
+LoadedSnapshot SnapshotStore::load() const {
+    const Generation first = read(Slot::first);
+    const Generation second = read(Slot::second);
+    LoadedSnapshot loaded;
+    std::string faults = first.fault;
+    if (!first.fault.empty() && !second.fault.empty()) faults += "; ";
+    faults += second.fault;
+    if (!faults.empty()) loaded.error = SnapshotError{SnapshotErrorCode::damaged_generation, faults};
+    const Generation& newest = first.number >= second.number ? first : second;
+    if (newest.number > 0) loaded.text = newest.text;
+    return loaded;
 }
 
-bool SnapshotStore::save(const std::string& text, std::string& why) {
-    const Generation store = read('a'), b = read('b');
-    const char which = store.number < b.number ? 'a'
-                       : store.number == 0     ? 'a'
-                                               : 'b';  // the older, or the damaged one
-    const std::string fresh = folder_ + "/" + name_ + ".new";
-    const int fd = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-    bool ok = fd >= 0 && write_all(fd, head(std::max(store.number, b.number) + 1, text) + text);
-    if (fd >= 0) ok = ::close(fd) == 0 && ok;
-    ok = ok && std::rename(fresh.c_str(), file(which).c_str()) == 0 && sync_folder(folder_);
-    if (!ok) why = file(which) + ": " + std::strerror(errno);
-    return ok;
+std::optional<SnapshotError> SnapshotStore::save(const std::string& text) {
+    const unsigned long first = read(Slot::first).number;
+    const unsigned long second = read(Slot::second).number;
+    // Replaced is the older generation, or the one that is missing or damaged.
+    const Slot slot = first < second || first == 0 ? Slot::first : Slot::second;
+    const std::string temporary = folder_ + "/" + name_ + ".new";
+    const bool saved = write_file(temporary, header(std::max(first, second) + 1, text) + text) &&
+                       std::rename(temporary.c_str(), path(slot).c_str()) == 0 && sync_folder(folder_);
+    if (saved) return std::nullopt;
+    return SnapshotError{SnapshotErrorCode::write_failed, path(slot) + ": " + std::strerror(errno)};
 }
 
 }  // namespace gorsenotch::state
--- a/tests/state/stored_data_test.cpp
+++ b/tests/state/stored_data_test.cpp
@@ -37,9 +37,8 @@
     SavedCopy& operator=(const SavedCopy&) = delete;
 
     std::vector<settings::Engine> load() const {
-        std::string why;
-        const auto text = state::SnapshotStore(folder_.string(), "fleet").load(why);
-        EXPECT_EQ(why, "");
+        const auto [text, error] = state::SnapshotStore(folder_.string(), "fleet").load();
+        EXPECT_FALSE(error);
         std::vector<settings::FileFault> faults;
         const auto engines =
             text ? settings::parse_fleet(*text, day_settings(), faults) : std::vector<settings::Engine>{};
