--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -90,7 +90,8 @@
 }
 
 void Gateway::on_stall(Millis for_ms) {
-    // Guards against requests sent by a list that was replaced meanwhile, to engines that have begun to drain.
+    // Guards against requests sent by a list that was replaced meanwhile, to engines that have begun to
+    // drain.
     if (fleet_watcher_) fleet_watcher_->check_now();
     if (for_ms >= kMinLoggedStall) log("warn", "stalled", {{"ms", std::round(for_ms)}});
 }
@@ -113,9 +114,9 @@
     std::optional<std::vector<settings::Engine>> engines;
     if (!options_.state.empty()) {
         snapshot_store_ = std::make_shared<state::SnapshotStore>(options_.state, "fleet");
-        std::string why;
-        if (const auto text = snapshot_store_->load(why))
-            engines = settings::parse_fleet(*text, program_, faults);
+        const state::LoadedSnapshot snapshot = snapshot_store_->load();
+        std::string why = snapshot.error ? snapshot.error->message : "";
+        if (snapshot.text) engines = settings::parse_fleet(*snapshot.text, program_, faults);
         if (!faults.empty()) why = settings::render("saved list", faults);
         if (!why.empty()) log("warn", "cached_endpoint_list", {{"why", why}});
     }
@@ -159,7 +160,10 @@
     const auto why = std::make_shared<std::string>();
     const auto list = std::make_shared<std::string>(*std::exchange(unsaved_list_, std::nullopt));
     net::run_on_thread_pool(
-        loop_, [saved = snapshot_store_, list, why] { saved->save(*list, *why); },
+        loop_,
+        [saved = snapshot_store_, list, why] {
+            if (const auto error = saved->save(*list)) *why = error->message;
+        },
         [this, alive = std::weak_ptr<bool>(alive_), list, why] {
             if (alive.expired()) return;
             saving_ = false;
