--- /dev/null
+++ b/src/cli/check_command.cpp
@@ -0,0 +1,22 @@
+#include <iostream>
+#include <memory>
+
+#include "cli/command.h"
+#include "cli/exit_code.h"
+#include "cli/settings_file.h"
+
+namespace gorsenotch::cli {
+
+Command add_check_command(CLI::App& app) {
+    const auto file = std::make_shared<std::string>();
+    CLI::App* command = app.add_subcommand("check", "check a settings file; all faults at once");
+    command->add_option("settings", *file)->required();
+    const auto run = [file] {
+        if (!load_settings(*file)) return kExitRefused;
+        std::cout << *file << ": good\n";
+        return kExitDone;
+    };
+    return {command, run};
+}
+
+}  // namespace gorsenotch::cli
--- /dev/null
+++ b/src/cli/client_command.cpp
@@ -0,0 +1,80 @@
+#include <algorithm>
+#include <memory>
+
+#include "cli/command.h"
+#include "cli/exit_code.h"
+#include "cli/stop_signals.h"
+#include "fault_scenario/scripted_clients.h"
+
+namespace gorsenotch::cli {
+
+namespace {
+
+struct ClientArguments {
+    std::string gateways;  // addresses, separated by commas
+    fault_scenario::ClientOptions options;
+    bool complete_responses = false;
+};
+
+std::vector<std::string> split_at_commas(const std::string& text) {
+    std::vector<std::string> parts;
+    for (std::size_t from = 0; from <= text.size();) {
+        const auto comma = std::min(text.find(',', from), text.size());
+        parts.push_back(text.substr(from, comma - from));
+        from = comma + 1;
+    }
+    return parts;
+}
+
+int run_client(const ClientArguments& arguments) {
+    fault_scenario::ClientOptions options = arguments.options;
+    options.load.stream = !arguments.complete_responses;
+    options.gateways = split_at_commas(arguments.gateways);
+    net::EventLoop loop;
+    int exit_code = kExitDone;
+    fault_scenario::ScriptedClients clients(loop, std::move(options));
+    const StopSignals stop_signals(loop, [&] {
+        exit_code = kExitInterrupted;
+        loop.stop();
+    });
+    clients.start([&] { loop.stop(); });
+    loop.run();
+    return exit_code;
+}
+
+void add_load_options(CLI::App& command, fault_scenario::Load& load) {
+    command.add_option("--key", load.key)->required();
+    command.add_option("--class", load.cls);
+    command.add_option("--model", load.model);
+    command.add_option("--per-s", load.per_s);
+    command.add_option("--impatient", load.impatient);
+    command.add_option("--prompt-tokens", load.prompt_tokens);
+    command.add_option("--prefix-tokens", load.prefix_tokens);
+    command.add_option("--prefixes", load.prefixes);
+    command.add_option("--max-tokens", load.max_tokens);
+    command.add_option("--turns", load.turns);
+    command.add_option("--retries", load.retries);
+    command.add_option("--think-ms", load.think);
+    command.add_option("--patience-ms", load.patience);
+    command.add_option("--usual-answer", load.usual_answer);
+    command.add_option("--from-ms", load.from);
+    command.add_flag("--keyed", load.keyed);
+}
+
+}  // namespace
+
+Command add_client_command(CLI::App& app) {
+    const auto arguments = std::make_shared<ClientArguments>();
+    CLI::App* command = app.add_subcommand("client", "scripted clients, as a scenario starts them");
+    command->add_option("--gateways", arguments->gateways)->required();
+    fault_scenario::ClientOptions& options = arguments->options;
+    add_load_options(*command, options.load);
+    command->add_option("--seed", options.seed);
+    command->add_option("--length-ms", options.length);
+    command->add_option("--overdue-ms", options.overdue);
+    command->add_option("--record", options.record);
+    command->add_flag("--whole", arguments->complete_responses);
+    return {command, [arguments] { return run_client(*arguments); }};
+}
+
+}  // namespace gorsenotch::cli
--- /dev/null
+++ b/src/cli/stop_signals.h
@@ -0,0 +1,26 @@
+// The signals that ask a process to stop.
+#pragma once
+
+#include <csignal>
+#include <functional>
+
+#include "net/event_loop.h"
+
+namespace gorsenotch::cli {
+
+// Calls `on_signal` for each SIGTERM, SIGINT and SIGHUP, in the loop. To be made before anything that takes
+// time: a signal that comes while the process starts is then kept, and delivered in the loop's first turn.
+class StopSignals {
+public:
+    StopSignals(net::EventLoop& loop, const std::function<void()>& on_signal)
+        : terminate_(loop, SIGTERM, on_signal),
+          interrupt_(loop, SIGINT, on_signal),
+          hangup_(loop, SIGHUP, on_signal) {}
+
+private:
+    net::SignalWatcher terminate_;
+    net::SignalWatcher interrupt_;
+    net::SignalWatcher hangup_;
+};
+
+}  // namespace gorsenotch::cli
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -166,7 +166,7 @@
     const auto& program = plan_.program;
     const auto id = std::to_string(s.engine.endpoint.id);
     std::vector<std::string> args = {options_.self,
-                                     "standin",
+                                     "fake-engine",
                                      plan_.settings_file,
                                      "--server",
                                      id,
--- a/tests/life/node.test.mjs
+++ b/tests/life/node.test.mjs
@@ -295,9 +295,12 @@
   };
   const load = Array.from({ length: 150 }, (_, i) => sleep(4 * i).then(() => gateway.ask(`load-${i}`)));
   await new Promise((done) => {
-    const s = net.connect(gateway.port, '127.0.0.1', () => s.write(posted('pace-1', 'connection: close\r\n')));
-    s.on('data', (d) => { for (const _ of String(d).match(/data: \d+/g) ?? []) at.push(Date.now()); });
-    s.on('close', done);
+    const socket = net.connect(gateway.port, '127.0.0.1', () => socket.write(posted('pace-1', 'connection: close\r\n')));
+    socket.on('data', (chunk) => {
+      const events = String(chunk).match(/data: \d+/g) ?? [];
+      events.forEach(() => at.push(Date.now()));
+    });
+    socket.on('close', done);
   });
   await Promise.all(load);
   writer.behave = () => false;
--- a/tests/soak/paths.mjs
+++ b/tests/soak/paths.mjs
@@ -2,6 +2,7 @@
 import { fork } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import { PORT } from './addresses.mjs';
+import { without } from './objects.mjs';
 
 export class Paths {
   constructor(world) {
@@ -28,8 +29,7 @@
   cut(servers, { inward = '', outward = '', openOnly = false }) {
     const cut = { id: this.cuts.length + 1, servers: servers.map((s) => s.name), inward, outward, openOnly, from: this.world.now(), to: Infinity };
     this.cuts.push(cut);
-    const { from, to, ...order } = cut;
-    if (this.proxy.connected) this.proxy.send({ cut: order });
+    if (this.proxy.connected) this.proxy.send({ cut: without(cut, ['from', 'to']) });
     return cut;
   }
   // `reset`: the connections that are open are reset, as by a machine that is back.
--- a/tests/soak/world.mjs
+++ b/tests/soak/world.mjs
@@ -7,6 +7,7 @@
 import { Discovery } from './discovery.mjs';
 import { Gateway } from './gateways.mjs';
 import { judge } from './oracle.mjs';
+import { without } from './objects.mjs';
 import { Paths } from './paths.mjs';
 import { Random } from './random.mjs';
 import { ModelServer } from './servers.mjs';
@@ -204,7 +205,7 @@
   // All that is known of a violation, in a file of its own.
   trace(violation) {
     const file = path.join(this.dir, `violation-${violation.rule}-${violation.txn.replace(/\W/g, '_')}.json`);
-    const plain = ({ connection, crossed, first, bytes, ...rest }) => rest;
+    const plain = (request) => without(request, ['connection', 'crossed', 'first', 'bytes']);
     const requests = this.records.requests.filter((r) => r.txn === violation.txn);
     const rank = requests[0]?.gateway;
     const text = {
@@ -215,7 +216,7 @@
       states: this.records.states.filter((s) => s.txn === violation.txn),
       cuts: this.paths.cuts.filter((c) => c.from < violation.at + 1000 && c.to > violation.at - 8000),
       releases: this.records.releases.filter((r) => r.txn === violation.txn),
-      lives: rank === undefined ? [] : this.gateways[rank].lives.map(({ done, whenEnded, state, ...rest }) => rest),
+      lives: rank === undefined ? [] : this.gateways[rank].lives.map((life) => without(life, ['done', 'whenEnded', 'state'])),
       stops: rank === undefined ? [] : this.gateways[rank].stops,
       servers: this.servers.map((s) => [s.name, s.health, Boolean(s.server)]),
       changes: this.discovery.changes.filter((c) => Math.abs(c.at - violation.at) < 10000),
