--- a/tests/router/health_monitor_test.cpp
+++ b/tests/router/health_monitor_test.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kInterval = 50;  // a twentieth of the shortest latency objective
 
 Settings polling() {
-    Settings settings = plain_settings();
+    Settings settings = test_settings();
     settings.discovery = Discovery::poll;
     settings.poll_interval = 4000;
     return settings;
--- a/tests/router/request_dispatcher_test.cpp
+++ b/tests/router/request_dispatcher_test.cpp
@@ -12,7 +12,7 @@
 
 class RequestDispatcherTest : public ::testing::Test {
 protected:
-    RequestDispatcherTest() : RequestDispatcherTest(plain_settings()) {}
+    RequestDispatcherTest() : RequestDispatcherTest(test_settings()) {}
     explicit RequestDispatcherTest(const Settings& settings) : fleet(settings) {
         actions.begin_event(emitted);
     }
@@ -40,7 +40,7 @@
 protected:
     UnsafeRequestDispatcherTest() : RequestDispatcherTest(unsafe_settings()) {}
     static Settings unsafe_settings() {
-        Settings settings = plain_settings();
+        Settings settings = test_settings();
         settings.classes[0].idempotency = Idempotency::unsafe;
         return settings;
     }
