--- a/src/router/endpoint_registry.cpp
+++ b/src/router/endpoint_registry.cpp
@@ -75,16 +75,6 @@
     });
 }
 
-EndpointState* EndpointRegistry::find(EndpointId id) {
-    const auto found = endpoints_.find(id);
-    return found == endpoints_.end() ? nullptr : &found->second;
-}
-
-const EndpointState* EndpointRegistry::find(EndpointId id) const {
-    const auto found = endpoints_.find(id);
-    return found == endpoints_.end() ? nullptr : &found->second;
-}
-
 const std::vector<EndpointState*>& EndpointRegistry::decode_capable_in(std::uint64_t cell) const {
     static const std::vector<EndpointState*> none;
     const auto found = decode_capable_by_cell_.find(cell);
--- a/src/router/endpoint_registry.h
+++ b/src/router/endpoint_registry.h
@@ -34,8 +34,14 @@
     void forget_removed(Millis now);
 
     // nullptr if unknown.
-    EndpointState* find(EndpointId id);
-    const EndpointState* find(EndpointId id) const;
+    EndpointState* find(EndpointId id) {
+        const auto found = endpoints_.find(id);
+        return found == endpoints_.end() ? nullptr : &found->second;
+    }
+    const EndpointState* find(EndpointId id) const {
+        const auto found = endpoints_.find(id);
+        return found == endpoints_.end() ? nullptr : &found->second;
+    }
     const std::map<EndpointId, EndpointState>& endpoints() const { return endpoints_; }
     // Healthy endpoints by role.
     const EndpointRing& with_role(Role role) const { return healthy_by_role_[role]; }
--- a/src/router/fleet_stats.cpp
+++ b/src/router/fleet_stats.cpp
@@ -18,14 +18,6 @@
     return found == cells_.end() ? unknown_cell : found->second;
 }
 
-double FleetStats::prefill_weight(const EndpointState& endpoint) const {
-    return low_sample_rate() ? cell(endpoint.info.cell).weight : 1;
-}
-
-bool FleetStats::low_sample_rate() const {
-    return settings_.gateways > kFewGateways && baseline_rate_[settings_.kinds[0].role] * kCompletionSpan < 1;
-}
-
 void FleetStats::record_arrival(const RequestState& request) {
     // The mean of the first arrivals, then a moving average.
     const double weight = static_cast<double>(std::min(request.serial, kTypicalPromptArrivals));
--- a/src/router/fleet_stats.h
+++ b/src/router/fleet_stats.h
@@ -26,13 +26,18 @@
     const std::map<std::uint64_t, Cell>& cells() const { return cells_; }
     // Weight of an endpoint in the choice of a prefill endpoint: more where decode endpoints are near, as
     // transfers from far ones fill links.
-    double prefill_weight(const EndpointState& endpoint) const;
+    double prefill_weight(const EndpointState& endpoint) const {
+        return low_sample_rate() ? cell(endpoint.info.cell).weight : 1;
+    }
     double typical_prompt_tokens() const { return typical_prompt_tokens_; }
     double typical_uncached_kilotokens() const { return typical_uncached_kilotokens_; }
 
     // Whether this gateway uses an endpoint too rarely for its own queues to show the load. The endpoint list
     // and observed times are used in their place.
-    bool low_sample_rate() const;
+    bool low_sample_rate() const {
+        return settings_.gateways > kFewGateways &&
+               baseline_rate_[settings_.kinds[0].role] * kCompletionSpan < 1;
+    }
     // Whether, besides, no endpoint reports its load.
     bool no_load_signal() const { return low_sample_rate() && !has_load_reports_; }
 
--- a/src/router/outlier_detector.cpp
+++ b/src/router/outlier_detector.cpp
@@ -4,8 +4,6 @@
 #include <cmath>
 #include <utility>
 
-#include "router/request_properties.h"
-
 namespace gorsenotch::router {
 
 OutlierDetector::OutlierDetector(const Settings& settings, EndpointRegistry& registry,
@@ -16,25 +14,12 @@
       fleet_stats_(fleet_stats),
       completion_times_(completion_times) {}
 
-bool OutlierDetector::admits(Millis now, const EndpointState& endpoint, const RequestState& request) const {
-    const EndpointHealth& health = endpoint.health;
-    if (now < health.rejecting_until) return false;
-    // Class ejection: an endpoint that failed a class may serve the others. Guards against one class that
-    // gets no answer and, where samples are too rare for the error rate, against failures in general, of any
-    // number of endpoints. Lasts longer than an overload.
-    if (fleet_stats_.low_sample_rate() &&
-        now - health.last_class_failure[class_index(request)] < kClassEjectionTime)
-        return false;
-    if (!health.ejected) return true;
-    return now >= health.ejected_until && endpoint.load.in_flight_total() < health.concurrency_limit;
-}
-
 bool OutlierDetector::any_decode_reachable(Millis now) const {
     const auto& endpoints = registry_.decode_capable().by_id();
     return std::any_of(endpoints.begin(), endpoints.end(), [now](const EndpointState* endpoint) {
         const EndpointHealth& health = endpoint->health;
         if (!health.ejected || !health.was_unreachable) return true;
-        return now >= health.ejected_until && endpoint->load.in_flight_total() < health.concurrency_limit;
+        return may_get_trial(now, *endpoint);
     });
 }
 
--- a/src/router/outlier_detector.h
+++ b/src/router/outlier_detector.h
@@ -11,6 +11,7 @@
 #include "router/endpoint_registry.h"
 #include "router/fleet_stats.h"
 #include "router/records.h"
+#include "router/request_properties.h"
 
 namespace gorsenotch::router {
 
@@ -29,7 +30,11 @@
                     CompletionTimes& completion_times);
 
     // Whether the endpoint's health permits to send it the request.
-    bool admits(Millis now, const EndpointState& endpoint, const RequestState& request) const;
+    bool admits(Millis now, const EndpointState& endpoint, const RequestState& request) const {
+        if (now < endpoint.health.rejecting_until) return false;
+        if (is_class_ejected(now, endpoint, request)) return false;
+        return !endpoint.health.ejected || may_get_trial(now, endpoint);
+    }
     // Whether a decode endpoint is reachable, or may be tried. Guards against prefills that no endpoint can
     // continue: each one that is down gets one trial request at a time.
     bool any_decode_reachable(Millis now) const;
@@ -45,6 +50,18 @@
     std::vector<EndpointState*> eject_slow(Millis now, const StagesByEndpoint& delayed_stages);
 
 private:
+    // An endpoint that failed a class may serve the others. Guards against one class that gets no answer and,
+    // where samples are too rare for the error rate, against failures in general, of any number of endpoints.
+    // Lasts longer than an overload.
+    bool is_class_ejected(Millis now, const EndpointState& endpoint, const RequestState& request) const {
+        return fleet_stats_.low_sample_rate() &&
+               now - endpoint.health.last_class_failure[class_index(request)] < kClassEjectionTime;
+    }
+    // Of an ejected endpoint.
+    static bool may_get_trial(Millis now, const EndpointState& endpoint) {
+        return now >= endpoint.health.ejected_until &&
+               endpoint.load.in_flight_total() < endpoint.health.concurrency_limit;
+    }
     void record_success(Millis now, EndpointState& endpoint, const RequestState& request,
                         AttemptResult result, bool sent_before_ejection);
     void record_unreachable(Millis now, EndpointState& endpoint, const RequestState& request,
--- a/src/router/slow_start.cpp
+++ b/src/router/slow_start.cpp
@@ -10,10 +10,9 @@
 // warm peers get from this same gateway, so that the sum stays below the limit. A budget below one send is
 // taken as a probability, drawn once for each request and endpoint. Where this gateway has ejected many
 // peers, so may have all others: less is sent then.
-bool SlowStart::within_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
-                              const FleetStats& fleet_stats) const {
+bool SlowStart::within_warming_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
+                                      const FleetStats& fleet_stats) const {
     const Millis warming_for = now - endpoint.warming_since;
-    if (warming_for >= settings_.slow_start_duration) return true;
     const auto& recent = endpoint.sends.recent;
     const auto in_window = std::upper_bound(recent.begin(), recent.end(), now - settings_.overload_window);
     const auto sent = static_cast<double>(recent.end() - in_window);
--- a/src/router/slow_start.h
+++ b/src/router/slow_start.h
@@ -18,10 +18,18 @@
     // Whether the endpoint may get the request: it is warm, or this gateway's share of its slow-start budget
     // is not used up.
     bool within_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
-                       const FleetStats& fleet_stats) const;
+                       const FleetStats& fleet_stats) const {
+        return !is_warming(now, endpoint) || within_warming_budget(now, endpoint, request, fleet_stats);
+    }
     void record_send(Millis now, EndpointState& endpoint) const;
 
 private:
+    bool is_warming(Millis now, const EndpointState& endpoint) const {
+        return now - endpoint.warming_since < settings_.slow_start_duration;
+    }
+    bool within_warming_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
+                               const FleetStats& fleet_stats) const;
+
     const Settings& settings_;
     const std::uint64_t seed_;
 };
