--- a/src/platform/access_log.cpp
+++ b/src/platform/access_log.cpp
@@ -12,7 +12,18 @@
                                                  "cancelled", "not_sent",    "prefill_done"};
 constexpr std::size_t kAttemptsLogged = 8;
 
-std::string whole(Millis t) { return std::to_string(std::lround(t)); }
+std::string rounded(double number) { return std::to_string(std::lround(number)); }
+
+void append_attempt(std::string& text, const AttemptRecord& attempt) {
+    text.append(attempt.is_prefill ? "; prefill " : "; decode ").append(attempt.server);
+    text.append(" ").append(rounded(attempt.sent));
+    if (attempt.out) {
+        text.append(" in_flight");
+        return;
+    }
+    text.append(" +").append(rounded(attempt.ended - attempt.sent));
+    text.append(" ").append(kResults[static_cast<std::size_t>(attempt.result)]);
+}
 
 }  // namespace
 
@@ -28,30 +39,31 @@
 
 std::string describe_timeline(const control::KvLease::Timeline& timeline, Millis arrived, Millis now,
                               const std::string& holder, const std::string& awaited) {
-    std::string s("lease ");
-    s.append(whole(now - timeline.acquired)).append(" ");
-    s.append(control::kLeaseOriginNames[static_cast<std::size_t>(timeline.origin)])
+    std::string text("lease ");
+    text.append(rounded(now - timeline.acquired)).append(" ");
+    text.append(control::kLeaseOriginNames[static_cast<std::size_t>(timeline.origin)])
         .append(" at ")
         .append(holder);
-    s.append(", acquired ").append(whole(timeline.acquired - arrived));
-    if (timeline.expiring >= 0) s.append(", expiring ").append(whole(timeline.expiring - arrived));
-    if (timeline.released >= 0) s.append(", release ").append(whole(timeline.released - arrived));
-    if (timeline.written < timeline.acquired) return s;
-    s.append("; ").append(awaited).append(" sent ").append(whole(timeline.written - arrived));
-    if (timeline.arrived < 0) return s.append(" unconfirmed");
-    return s.append(" arrived ").append(whole(timeline.arrived - arrived));
+    text.append(", acquired ").append(rounded(timeline.acquired - arrived));
+    if (timeline.expiring >= 0) text.append(", expiring ").append(rounded(timeline.expiring - arrived));
+    if (timeline.released >= 0) text.append(", release ").append(rounded(timeline.released - arrived));
+    if (timeline.written < timeline.acquired) return text;
+    text.append("; ").append(awaited).append(" sent ").append(rounded(timeline.written - arrived));
+    if (timeline.arrived < 0) return text.append(" unconfirmed");
+    return text.append(" arrived ").append(rounded(timeline.arrived - arrived));
 }
 
 RequestOutcome AccessLog::served(const RequestRecord& record) const {
     const ClassSettings& class_settings = settings_.classes[static_cast<std::size_t>(record.cls)];
-    const Millis aim = class_settings.latency_objective +
-                       class_settings.latency_objective_per_1000_tokens * record.prompt_tokens / 1000;
-    if (record.first > aim) {
-        const bool read_late =
-            std::any_of(record.attempts.begin(), record.attempts.end(), [&](const AttemptRecord& l) {
-                return l.result == AttemptResult::prefill_done && !l.out && l.ended > aim;
+    const Millis objective = class_settings.latency_objective +
+                             class_settings.latency_objective_per_1000_tokens * record.prompt_tokens / 1000;
+    if (record.first > objective) {
+        const bool prefill_late =
+            std::any_of(record.attempts.begin(), record.attempts.end(), [&](const AttemptRecord& attempt) {
+                return attempt.result == AttemptResult::prefill_done && !attempt.out &&
+                       attempt.ended > objective;
             });
-        return read_late ? RequestOutcome::late_prefill : RequestOutcome::late_decode;
+        return prefill_late ? RequestOutcome::late_prefill : RequestOutcome::late_decode;
     }
     const bool slow =
         record.tokens > 1 && class_settings.inter_token_objective > 0 &&
@@ -67,41 +79,28 @@
 }
 
 std::string AccessLog::line(const RequestRecord& record, RequestOutcome disposition) {
-    std::string s(record.txn);
-    s.append(" ").append(kOutcomeNames[static_cast<std::size_t>(disposition)]);
-    if (record.cause) s.append(" cause ").append(kEndCauseNames[static_cast<std::size_t>(*record.cause)]);
-    s.append(" class ").append(std::to_string(record.cls));
-    s.append(" prompt ").append(whole(record.prompt_tokens));
-    if (record.first >= 0) s.append(" first ").append(whole(record.first));
-    s.append(" end ").append(whole(record.ended));
-    for (std::size_t i = 0; i < std::min(kAttemptsLogged, record.attempts.size()); ++i) {
-        const AttemptRecord& l = record.attempts[i];
-        s.append(l.is_prefill ? "; prefill " : "; decode ")
-            .append(l.server)
-            .append(" ")
-            .append(whole(l.sent));
-        if (l.out) {
-            s.append(" in_flight");
-        } else {
-            s.append(" +")
-                .append(whole(l.ended - l.sent))
-                .append(" ")
-                .append(kResults[static_cast<std::size_t>(l.result)]);
-        }
-    }
-    if (!record.lease.empty()) s.append("; ").append(record.lease);
-    return s;
+    std::string text(record.txn);
+    text.append(" ").append(kOutcomeNames[static_cast<std::size_t>(disposition)]);
+    if (record.cause) text.append(" cause ").append(kEndCauseNames[static_cast<std::size_t>(*record.cause)]);
+    text.append(" class ").append(std::to_string(record.cls));
+    text.append(" prompt ").append(rounded(record.prompt_tokens));
+    if (record.first >= 0) text.append(" first ").append(rounded(record.first));
+    text.append(" end ").append(rounded(record.ended));
+    const std::size_t logged = std::min(kAttemptsLogged, record.attempts.size());
+    for (std::size_t i = 0; i < logged; ++i) append_attempt(text, record.attempts[i]);
+    if (!record.lease.empty()) text.append("; ").append(record.lease);
+    return text;
 }
 
 double completion_tokens(std::string_view events) {
-    constexpr std::string_view name = "\"completion_tokens\":";
-    const auto at = events.find(name);
+    constexpr std::string_view kField = "\"completion_tokens\":";
+    const auto at = events.find(kField);
     if (at == std::string_view::npos) return 0;
-    std::size_t from = at + name.size();
+    std::size_t from = at + kField.size();
     while (from < events.size() && events[from] == ' ') ++from;
-    int n = 0;
-    std::from_chars(events.data() + from, events.data() + events.size(), n);
-    return std::max(0, n);
+    int tokens = 0;
+    std::from_chars(events.data() + from, events.data() + events.size(), tokens);
+    return std::max(0, tokens);
 }
 
 }  // namespace gorsenotch::platform
--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -1,7 +1,7 @@
-// What became of each request, by where its worth went, and a line for each that did not end well. No I/O.
+// The outcome of each request, and a log line for each that was not served in time. No I/O.
 //
-// Bounds: at most kLinesPerSecond lines a second, a line at most some hundred bytes long; what is left out is
-// counted.
+// Bounds: at most AccessLog::kLinesPerSecond lines a second, a line at most some hundred bytes long; what is
+// left out is counted. Times: ms. Threading: one thread.
 #pragma once
 
 #include <array>
@@ -16,10 +16,11 @@
 
 namespace gorsenotch::platform {
 
-// So many lines a second at most; the rest is counted.
+// Bounds the lines of one kind in the log. Owns the count of the present second and of the lines left out.
 class LineBudget {
 public:
     explicit LineBudget(int lines_per_second) : lines_per_second_(lines_per_second) {}
+    // True if a line may be logged now.
     bool take(Millis now);
     std::uint64_t not_logged() const { return not_logged_; }
 
@@ -30,8 +31,9 @@
     std::uint64_t not_logged_ = 0;
 };
 
-// Where the worth of a request went. `late_prefill`: the prompt was read only after the aim; `late_decode`:
-// it was read in time, and the first token came after the aim; `slow_stream`: tokens came slower than wanted.
+// How a request ended. `late_prefill`: its prefill ended only after the latency objective; `late_decode`:
+// that ended in time, and the first token came after the objective; `slow_stream`: tokens came more slowly
+// than the inter-token objective.
 enum class RequestOutcome {
     in_time,
     late_prefill,
@@ -53,32 +55,37 @@
     "attempts_exhausted", "may_have_run",    "retry_budget",
     "no_endpoint",        "decode_too_late", "shutdown"};
 
-// One attempt as the log tells of it; times are ms since the request's first byte.
+// One attempt for the log; times are ms since the request's first byte.
 struct AttemptRecord {
-    std::string server;
-    bool is_prefill = false, out = false;
+    std::string server;  // the endpoint's name
+    bool is_prefill = false;
+    bool out = false;  // in flight
     AttemptResult result = AttemptResult::served;
-    Millis sent = 0, ended = 0;
+    Millis sent = 0;
+    Millis ended = 0;
 };
 
 struct RequestRecord {
     std::string_view txn;
     int cls = 0;
-    double prompt_tokens = 0, tokens = 0;  // tokens: of the answer, 0 where it did not say
-    Millis first = -1, ended = 0;          // the first token, if it came, and the end
-    std::optional<EndCause> cause;         // of a final answer without a stream
+    double prompt_tokens = 0;
+    double tokens = 0;  // of the answer, 0 where it did not say
+    Millis first = -1;  // of the first token; below 0: none came
+    Millis ended = 0;
+    std::optional<EndCause> cause;  // of a final answer without a stream
     std::vector<AttemptRecord> attempts;
-    std::string lease;  // what was held for it as it ended: see describe_timeline; empty: nothing
+    std::string lease;  // what endpoints may keep for it as it ends: see describe_timeline; empty: nothing
 };
 
+// Ownership: the counts of outcomes and causes. Errors: none.
 class AccessLog {
 public:
     static constexpr int kLinesPerSecond = 10;
     explicit AccessLog(const Settings& settings) : settings_(settings) {}
 
-    // A whole answer is in time, late or slow.
+    // The outcome of a complete answer: in time, late or slow.
     RequestOutcome served(const RequestRecord& record) const;
-    // Counts it; true if it is to be logged.
+    // Counts the outcome of a request; true if its line is to be logged.
     bool count(Millis now, RequestOutcome disposition, std::optional<EndCause> cause = std::nullopt);
     static std::string line(const RequestRecord& record, RequestOutcome disposition);
 
@@ -93,8 +100,8 @@
     LineBudget lines_{kLinesPerSecond};
 };
 
-// A held state's life: "held 612 prefill_done at r1, made 23, at_risk 623; w0 sent 23 unproved". Times are ms
-// since `arrived`, but for the first, its age at `now`.
+// The history of a lease: "lease 612 prefill_done at r1, acquired 23, expiring 623; w0 sent 23 unconfirmed".
+// Times are ms since `arrived`, but for the first, its age at `now`.
 std::string describe_timeline(const control::KvLease::Timeline& timeline, Millis arrived, Millis now,
                               const std::string& holder, const std::string& awaited);
 
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -9,16 +9,19 @@
 
 using Json = nlohmann::json;
 
+constexpr int kMaxDepth = 16;      // of the settings
+constexpr double kMaxLimit = 1e9;  // of a number in `limits`
+
 std::string plain(const Json& json) {
     if (json.is_string()) return json.get<std::string>();
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 void flatten(const Json& json, const std::string& path, int depth, settings::SettingValues& out) {
-    if (depth > 16) throw ConfigError("settings." + path + ": nested too deeply");
+    if (depth > kMaxDepth) throw ConfigError("settings." + path + ": nested too deeply");
     if (json.is_object()) {
-        for (const auto& [name, value] : json.items())
-            flatten(value, path.empty() ? name : path + "." + name, depth + 1, out);
+        const std::string prefix = path.empty() ? "" : path + ".";
+        for (const auto& [name, value] : json.items()) flatten(value, prefix + name, depth + 1, out);
     } else if (json.is_array() && !json.empty() && json[0].is_object()) {
         out.set(path + ".count", {std::to_string(json.size())});
         for (std::size_t i = 0; i < json.size(); ++i)
@@ -42,7 +45,7 @@
 std::size_t count_at(const Json& limits, const char* name) {
     const auto it = limits.find(name);
     if (it == limits.end()) return 0;
-    if (!it->is_number() || it->get<double>() < 0 || it->get<double>() > 1e9)
+    if (!it->is_number() || it->get<double>() < 0 || it->get<double>() > kMaxLimit)
         throw ConfigError(std::string("limits.") + name + ": should be a number from 0 to 1e9");
     return static_cast<std::size_t>(it->get<double>());
 }
@@ -70,16 +73,18 @@
         if (error != std::errc() || end != seed.data() + seed.size())
             throw ConfigError("seed: '" + seed + "' is no hexadecimal number");
     }
-    if (const auto it = json.find("limits"); it != json.end() && it->is_object())
-        config.memory_mb = count_at(*it, "memory_mb"), config.sockets = count_at(*it, "sockets");
+    if (const auto it = json.find("limits"); it != json.end() && it->is_object()) {
+        config.memory_mb = count_at(*it, "memory_mb");
+        config.sockets = count_at(*it, "sockets");
+    }
     const auto settings = json.find("settings");
     if (settings == json.end() || !settings->is_object()) throw ConfigError("settings: an object is needed");
     settings::SettingValues info;
     flatten(*settings, "", 0, info);
     try {
         config.named = settings::parse_named_settings(info);
-    } catch (const settings::SettingsError& e) {
-        throw ConfigError(std::string("settings.") + e.what());
+    } catch (const settings::SettingsError& error) {
+        throw ConfigError(std::string("settings.") + error.what());
     }
     if (const auto it = json.find("known"); it != json.end() && it->is_object()) config.known = plain(*it);
     return config;
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -2,8 +2,10 @@
 
 #include <xxhash.h>
 
+#include <algorithm>
 #include <cmath>
 #include <nlohmann/json.hpp>
+#include <utility>
 
 #include "net/event_loop.h"
 
@@ -12,56 +14,91 @@
 
 using Json = nlohmann::json;
 
-struct Bad {
-    std::string why;
+constexpr double kNoVersion = -1;
+constexpr double kMaxVersion = 1e15;
+constexpr double kMaxCell = 9e15;
+// So many full lists of a lower version, one after another, are taken for discovery's present state.
+constexpr int kOlderListsTaken = 3;
+
+// Why a list is rejected: the path of the field and what is wrong with it.
+struct ListError {
+    std::string message;
 };
 
 double number(const Json& json, const char* name, double absent) {
     const auto it = json.find(name);
     if (it == json.end() || it->is_null()) return absent;
     if (!it->is_number() || !std::isfinite(it->get<double>()))
-        throw Bad{std::string(name) + ": should be a number"};
+        throw ListError{std::string(name) + ": should be a number"};
     return it->get<double>();
 }
 
 std::string text(const Json& json, const char* name) {
     const auto it = json.find(name);
-    if (it == json.end() || !it->is_string()) throw Bad{std::string(name) + ": text is needed"};
+    if (it == json.end() || !it->is_string()) throw ListError{std::string(name) + ": text is needed"};
     return it->get<std::string>();
 }
 
-int index(const std::map<std::string, int>& names, const std::string& name, const char* what) {
+int index(const std::map<std::string, int>& names, const std::string& name, const char* field) {
     const auto it = names.find(name);
-    if (it == names.end()) throw Bad{std::string(what) + ": unknown '" + name + "'"};
+    if (it == names.end()) throw ListError{std::string(field) + ": unknown '" + name + "'"};
     return it->second;
 }
 
-DiscoveredEndpoint read_host(const Json& row, const settings::NamedSettings& named) {
-    if (!row.is_object()) throw Bad{"should be an object"};
-    DiscoveredEndpoint endpoint;
-    endpoint.name = text(row, "host");
-    const std::string state = text(row, "health");
-    Endpoint& s = endpoint.endpoint;
-    s.status = state == "up"         ? EndpointStatus::healthy
-               : state == "draining" ? EndpointStatus::draining
-               : state == "removed"  ? EndpointStatus::removed
-                                     : throw Bad{"health: unknown '" + state + "'"};
-    if (s.status == EndpointStatus::removed && !row.contains("class")) return endpoint;  // its name is enough
-    endpoint.dial_address = text(row, "dial");
+// Discovery's words for the status of an endpoint.
+EndpointStatus status(const std::string& health) {
+    if (health == "up") return EndpointStatus::healthy;
+    if (health == "draining") return EndpointStatus::draining;
+    if (health == "removed") return EndpointStatus::removed;
+    throw ListError{"health: unknown '" + health + "'"};
+}
+
+DiscoveredEndpoint read_row(const Json& row, const settings::NamedSettings& named) {
+    if (!row.is_object()) throw ListError{"should be an object"};
+    DiscoveredEndpoint discovered;
+    discovered.name = text(row, "host");
+    Endpoint& endpoint = discovered.endpoint;
+    endpoint.status = status(text(row, "health"));
+    // The name of a removed endpoint is enough.
+    if (endpoint.status == EndpointStatus::removed && !row.contains("class")) return discovered;
+    discovered.dial_address = text(row, "dial");
     sockaddr_storage storage{};
-    if (!net::parse_address(endpoint.dial_address, storage)) throw Bad{"dial: no address"};
-    s.zone = index(named.zones, text(row, "site"), "site");
-    s.kind = index(named.kinds, text(row, "class"), "class");
+    if (!net::parse_address(discovered.dial_address, storage)) throw ListError{"dial: no address"};
+    endpoint.zone = index(named.zones, text(row, "site"), "site");
+    endpoint.kind = index(named.kinds, text(row, "class"), "class");
     const double cell = number(row, "block", 0);
-    s.cell = cell > 0 && cell < 9e15 ? static_cast<std::uint64_t>(cell) : 0;
-    s.weight = number(row, "share", 1);
-    endpoint.incarnation = std::max(0.0, number(row, "born_ms", 0));
-    return endpoint;
+    endpoint.cell = cell > 0 && cell < kMaxCell ? static_cast<std::uint64_t>(cell) : 0;
+    endpoint.weight = number(row, "share", 1);
+    discovered.incarnation = std::max(0.0, number(row, "born_ms", 0));
+    return discovered;
+}
+
+std::vector<DiscoveredEndpoint> read_rows(const Json& rows, const settings::NamedSettings& named) {
+    std::vector<DiscoveredEndpoint> endpoints;
+    for (std::size_t i = 0; i < rows.size(); ++i) {
+        try {
+            endpoints.push_back(read_row(rows[i], named));
+        } catch (const ListError& error) {
+            throw ListError{"hosts[" + std::to_string(i) + "]." + error.message};
+        }
+    }
+    return endpoints;
+}
+
+struct ParsedList {
+    std::uint64_t version = 0;
+    bool full = false;  // all endpoints; else changes
+    std::vector<DiscoveredEndpoint> endpoints;
+};
+
+EndpointUpdate::Kind update_kind(EndpointList::Source source, bool full) {
+    if (source == EndpointList::Source::cached) return EndpointUpdate::Kind::cached;
+    return full ? EndpointUpdate::Kind::full : EndpointUpdate::Kind::incremental;
 }
 
 }  // namespace
 
-// The same at every gateway, as the homes of prompts are chosen by it.
+// The same at every gateway, as the cells for prefixes are chosen by it.
 EndpointId EndpointList::id_for(const std::string& name) {
     if (const auto it = ids_.find(name); it != ids_.end()) return it->second;
     EndpointId id = XXH32(name.data(), name.size(), 0);
@@ -69,68 +106,68 @@
     return id;
 }
 
+// A list that is older than the one in force is rejected, unless discovery stays with it. Another discovery
+// counts by itself: where its full list was rejected as older, drains that only it lists would be missed.
+void EndpointList::check_version(std::uint64_t version, bool full, Source source) {
+    const bool first_of_another = source == Source::new_address && full;
+    if (version >= version_ || first_of_another) return;
+    if (full && ++older_lists_ >= kOlderListsTaken) return;
+    throw ListError{"seq: went back from " + std::to_string(version_) + " to " + std::to_string(version)};
+}
+
 std::optional<EndpointUpdate> EndpointList::take(const std::string& body, Source source, Millis now,
                                                  std::string& why) {
     try {
         const Json json = Json::parse(body, nullptr, false);
-        if (json.is_discarded() || !json.is_object()) throw Bad{"not a JSON object"};
+        if (json.is_discarded() || !json.is_object()) throw ListError{"not a JSON object"};
         const auto rows = json.find("hosts");
-        if (rows == json.end() || !rows->is_array()) throw Bad{"hosts: a list is needed"};
-        const double seq = number(json, "seq", -1);
-        if (seq < 0 || seq > 1e15) throw Bad{"seq: a version is needed"};
-        const auto version = static_cast<std::uint64_t>(seq);
-        const auto form = json.find("whole");
-        const bool whole = form != json.end() && form->is_boolean() && form->get<bool>();
-        // A list that is older than the one held changes nothing, unless discovery stays with it. Another
-        // discovery counts by itself: where its whole list was refused as older, drains that only it tells
-        // would be missed.
-        const bool first_of_another = source == Source::new_address && whole;
-        if (version < version_ && !first_of_another && !(whole && ++older_ >= 3))
-            throw Bad{"seq: went back from " + std::to_string(version_) + " to " + std::to_string(version)};
-        EndpointUpdate update;
-        update.kind = source == Source::cached ? EndpointUpdate::Kind::cached
-                      : whole                  ? EndpointUpdate::Kind::full
-                                               : EndpointUpdate::Kind::incremental;
-        std::vector<DiscoveredEndpoint> read;
-        for (std::size_t i = 0; i < rows->size(); ++i) {
-            try {
-                read.push_back(read_host((*rows)[i], named_));
-            } catch (const Bad& b) {
-                throw Bad{"hosts[" + std::to_string(i) + "]." + b.why};
-            }
-        }
-        // All of it is good: taken from here on.
-        older_ = 0, version_ = version;
-        std::map<EndpointId, DiscoveredEndpoint> before;
-        if (whole) before.swap(endpoints_);
-        for (auto& endpoint : read) {
-            endpoint.endpoint.id = id_for(endpoint.name);
-            if (endpoint.endpoint.status != EndpointStatus::removed)
-                endpoint.endpoint.started_at = starts_.on_listed(endpoint.name, endpoint.incarnation, now);
-            if (const auto was = before.find(endpoint.endpoint.id); was != before.end())
-                endpoint.last_success = was->second.last_success,
-                endpoint.last_failure = was->second.last_failure;
-            if (const DiscoveredEndpoint* was = find(endpoint.endpoint.id))
-                endpoint.last_success = was->last_success, endpoint.last_failure = was->last_failure;
-            update.endpoints.push_back(endpoint.endpoint);
-            if (endpoint.endpoint.status == EndpointStatus::removed) {
-                endpoints_.erase(endpoint.endpoint.id);
-                ids_.erase(endpoint.name);
-            } else {
-                ids_[endpoint.name] = endpoint.endpoint.id;
-                endpoints_[endpoint.endpoint.id] = std::move(endpoint);
-            }
-        }
-        if (whole && source != Source::cached) starts_.on_full_list();
-        starts_.forget(endpoints_.size(), now);
-        if (whole) std::erase_if(ids_, [&](const auto& id) { return !endpoints_.count(id.second); });
-        return update;
-    } catch (const Bad& b) {
-        why = b.why;
+        if (rows == json.end() || !rows->is_array()) throw ListError{"hosts: a list is needed"};
+        const double seq = number(json, "seq", kNoVersion);
+        if (seq < 0 || seq > kMaxVersion) throw ListError{"seq: a version is needed"};
+        ParsedList list;
+        list.version = static_cast<std::uint64_t>(seq);
+        const auto full = json.find("whole");
+        list.full = full != json.end() && full->is_boolean() && full->get<bool>();
+        check_version(list.version, list.full, source);
+        list.endpoints = read_rows(*rows, named_);
+        version_ = list.version;
+        return apply(std::move(list.endpoints), list.full, source, now);
+    } catch (const ListError& error) {
+        why = error.message;
         return std::nullopt;
     }
 }
 
+EndpointUpdate EndpointList::apply(std::vector<DiscoveredEndpoint> listed, bool full, Source source,
+                                   Millis now) {
+    EndpointUpdate update;
+    update.kind = update_kind(source, full);
+    older_lists_ = 0;
+    std::map<EndpointId, DiscoveredEndpoint> before;
+    if (full) before.swap(endpoints_);
+    for (DiscoveredEndpoint& discovered : listed) {
+        Endpoint& endpoint = discovered.endpoint;
+        endpoint.id = id_for(discovered.name);
+        if (endpoint.status != EndpointStatus::removed)
+            endpoint.started_at = starts_.on_listed(discovered.name, discovered.incarnation, now);
+        if (const auto previous = before.find(endpoint.id); previous != before.end())
+            discovered.copy_evidence(previous->second);
+        if (const DiscoveredEndpoint* previous = find(endpoint.id)) discovered.copy_evidence(*previous);
+        update.endpoints.push_back(endpoint);
+        if (endpoint.status == EndpointStatus::removed) {
+            endpoints_.erase(endpoint.id);
+            ids_.erase(discovered.name);
+        } else {
+            ids_[discovered.name] = endpoint.id;
+            endpoints_[endpoint.id] = std::move(discovered);
+        }
+    }
+    if (full && source != Source::cached) starts_.on_full_list();
+    starts_.forget(endpoints_.size(), now);
+    if (full) std::erase_if(ids_, [&](const auto& entry) { return !endpoints_.count(entry.second); });
+    return update;
+}
+
 DiscoveredEndpoint* EndpointList::find(EndpointId id) {
     const auto it = endpoints_.find(id);
     return it == endpoints_.end() ? nullptr : &it->second;
--- a/src/platform/endpoint_watcher.cpp
+++ b/src/platform/endpoint_watcher.cpp
@@ -6,7 +6,10 @@
 namespace gorsenotch::platform {
 namespace {
 
-constexpr std::size_t kMost = 8 << 20;  // bytes of a list
+constexpr std::size_t kKibibyte = 1024;
+constexpr std::size_t kMaxListBytes = 8 * kKibibyte * kKibibyte;
+constexpr std::size_t kMaxHeadBytes = 16 * kKibibyte;
+constexpr std::size_t kMaxHeaders = 100;
 
 }  // namespace
 
@@ -54,19 +57,19 @@
     call.address = address_;
     call.began = net::now();
     call.stream = std::make_unique<net::TcpStream>(loop_);
-    call.parser =
-        std::make_unique<http::Parser>(http::Parser::Kind::response, http::Limits{16 * 1024, 100, kMost});
-    call.parser->on_body = [&call](std::string_view b) { call.body.append(b); };
-    call.stream->on_data = [this, &call](std::string_view b) { on_data(call, b); };
+    call.parser = std::make_unique<http::Parser>(http::Parser::Kind::response,
+                                                 http::Limits{kMaxHeadBytes, kMaxHeaders, kMaxListBytes});
+    call.parser->on_body = [&call](std::string_view bytes) { call.body.append(bytes); };
+    call.stream->on_data = [this, &call](std::string_view bytes) { on_data(call, bytes); };
     call.stream->on_end = [this, &call](int code) { on_call_failed(call, net::error_text(code)); };
     retry_timer_.fire_after_poll(config_.connect_timeout);
-    const int e = call.stream->connect(call.address, "", [this, &call](int code) {
+    const int error = call.stream->connect(call.address, "", [this, &call](int code) {
         if (code != 0) return on_call_failed(call, net::error_text(code));
         call.stream->set_reading(true);
         retry_timer_.fire_after_poll(config_.full_list_timeout);
         send_poll(call, true);
     });
-    if (e != 0) on_call_failed(call, net::error_text(e));
+    if (error != 0) on_call_failed(call, net::error_text(error));
 }
 
 void EndpointWatcher::start_call_after_pause() {
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -29,7 +29,7 @@
 public:
     // `file`: of the configuration, read again by reload().
     Node(net::EventLoop& loop, Config config, std::string file);
-    ~Node();
+    ~Node() override;
     Node(const Node&) = delete;
     Node& operator=(const Node&) = delete;
 
