--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -71,7 +71,7 @@
 }
 
 void ClientConnection::finish_stream() {
-    if (is_chunked()) write(std::string(http::last_chunk));
+    if (is_chunked()) write(std::string(http::kLastChunk));
     end_answer();
 }
 
--- a/src/gateway/environment.h
+++ b/src/gateway/environment.h
@@ -11,6 +11,9 @@
 
 namespace gorsenotch::gateway {
 
+// Client::send_complete() without the header retry-after.
+constexpr Millis kNoRetryAfter = -1;
+
 // Where a request's answer goes; owned by the front end. Called until finish_stream() or send_complete(), or
 // until RequestLifecycle::on_client_disconnected().
 class Client {
@@ -22,8 +25,8 @@
     virtual void send_body(std::string bytes) = 0;
     // The stream has ended; last call.
     virtual void finish_stream() = 0;
-    // A complete answer; last call. `pause`: ms for the header retry-after, below 0 for none. `retry`: the
-    // header x-should-retry.
+    // A complete answer; last call. `pause`: ms for the header retry-after, kNoRetryAfter for none. `retry`:
+    // the header x-should-retry.
     virtual void send_complete(int status, std::string bytes, Millis pause, std::optional<bool> retry) = 0;
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -90,7 +90,8 @@
 }
 
 void Gateway::on_stall(Millis for_ms) {
-    // Guards against requests sent by a list that was replaced meanwhile, to engines that have begun to drain.
+    // Guards against requests sent by a list that was replaced meanwhile, to engines that have begun to
+    // drain.
     if (fleet_watcher_) fleet_watcher_->check_now();
     if (for_ms >= kMinLoggedStall) log("warn", "stalled", {{"ms", std::round(for_ms)}});
 }
--- a/src/gateway/request_intake.cpp
+++ b/src/gateway/request_intake.cpp
@@ -102,12 +102,12 @@
         std::vector<std::string> models;
         std::copy_if(program.models.begin(), program.models.end(), std::back_inserter(models),
                      [&](const std::string& model) { return tenant_may_use(program, tenant, model); });
-        return Reply{200, api::messages::models_body(models), std::nullopt, -1};
+        return Reply{200, api::messages::models_body(models), std::nullopt, kNoRetryAfter};
     }
     const std::string model = request.path.substr(kModelsPath.size() + 1);
     if (!contains(program.models, model) || !tenant_may_use(program, tenant, model))
         return error_reply(404, "not_found_error", "model: " + model, id);
-    return Reply{200, api::messages::model_body(model), std::nullopt, -1};
+    return Reply{200, api::messages::model_body(model), std::nullopt, kNoRetryAfter};
 }
 
 bool is_valid_idempotency_key(const std::string& key) {
@@ -154,7 +154,7 @@
     if (!contains(program.models, model)) return error_reply(404, "not_found_error", "model: " + model, id);
     if (!tenant_may_use(program, accepted.tenant, model))
         return error_reply(403, "permission_error", "this key may not use model " + model, id);
-    if (count_only) return Reply{200, api::messages::count_body(accepted.chat), std::nullopt, -1};
+    if (count_only) return Reply{200, api::messages::count_body(accepted.chat), std::nullopt, kNoRetryAfter};
 
     accepted.cls = class_of(program, accepted, request.headers);
     if (const auto* key = http::find(request.headers, "idempotency-key")) {
--- a/src/gateway/request_intake.h
+++ b/src/gateway/request_intake.h
@@ -14,8 +14,8 @@
 struct Reply {
     int status = 200;
     std::string body;
-    std::optional<bool> retry;  // x-should-retry
-    Millis pause = -1;          // ms for the header retry-after; below 0: none
+    std::optional<bool> retry;     // x-should-retry
+    Millis pause = kNoRetryAfter;  // ms for the header retry-after
 };
 
 struct HttpRequest {
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -65,8 +65,9 @@
     void fail_stream(OpenRequest& request, const api::ApiError& error);
     void log_request(const OpenRequest& request);
 
-    // Attempts
     void execute(const Action& action);
+
+    // Attempts, in request_attempts.cpp
     void start_attempt(const StartAttempt& start);
     void report_not_sent(OpenRequest& request, AttemptState attempt, int number);
     engine::UpstreamRequest upstream_request(const OpenRequest& request, const AttemptState& attempt,
@@ -78,22 +79,22 @@
     void on_attempt_sent(const std::string& id, int number);
     void on_stream_begun(const std::string& id, int number);
     void on_stream_text(const std::string& id, int number, std::string_view piece);
-    void on_attempt_ended(const std::string& id, int number, AttemptOutcome outcome);
+    void on_attempt_ended(const std::string& id, int number, const AttemptOutcome& outcome);
     void update_leases(OpenRequest& request, int number, const AttemptOutcome& outcome, Millis now);
     void finish_response(OpenRequest& request, const AttemptOutcome& outcome);
     void log_failed_attempt(const std::string& id, int number, EndpointId endpoint,
                             const AttemptOutcome& outcome);
 
-    // Leases
+    // Leases, in request_attempts.cpp
     void release_leases(OpenRequest& request, bool all);
     void schedule_lease_check(OpenRequest& request);
+    void on_lease_timer(OpenRequest& request);
 
     // Timers
     void set_timer(TimerKind kind, Millis at, OpenRequest* owner, int attempt = 0);
     void on_timer(const Driver::Timer& timer);
     void on_attempt_timeout(OpenRequest& request, int number);
     void on_stream_idle(OpenRequest& request, int number);
-    void on_lease_timer(OpenRequest& request);
     void on_complete_answer_timeout(OpenRequest& request);
     void on_keepalive(OpenRequest& request);
 
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -1,179 +1,231 @@
 #include "http/parser.h"
 
 #include <algorithm>
+#include <climits>
+#include <cstddef>
 #include <cstdio>
+#include <iterator>
 
 namespace gorsenotch::http {
 
+namespace {
+
+// The line end behind a chunk's data: CR and LF.
+constexpr int kLineEndBytes = 2;
+
+char lower_case(char letter) {
+    return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
+}
+
+std::ptrdiff_t count(const Headers& headers, std::string_view name) {
+    return std::count_if(headers.begin(), headers.end(),
+                         [name](const auto& header) { return header.first == name; });
+}
+
+}  // namespace
+
 const std::string* find(const Headers& headers, std::string_view name) {
-    for (const auto& [n, v] : headers) {
-        if (n == name) return &v;
+    for (const auto& [header, value] : headers) {
+        if (header == name) return &value;
     }
     return nullptr;
 }
 
 Parser::Parser(Kind kind, Limits limits) : limits_(limits) {
-    http_parser_init(&p_, kind == Kind::request ? HTTP_REQUEST : HTTP_RESPONSE);
-    p_.data = this;
+    http_parser_init(&parser_, kind == Kind::request ? HTTP_REQUEST : HTTP_RESPONSE);
+    parser_.data = this;
 }
 
-bool Parser::take(std::size_t n) {
-    header_bytes_ += n;
-    if (header_bytes_ <= limits_.header_bytes && headers.size() <= limits_.headers) return true;
-    fault_ = Fault::headers_too_large;
-    return false;
+// ---- callbacks of http-parser: 0 goes on, anything else ends parsing ------------------------------------
+
+Parser& Parser::from(http_parser* parser) { return *static_cast<Parser*>(parser->data); }
+
+int Parser::on_message_begin(http_parser* parser) {
+    Parser& self = Parser::from(parser);
+    self.method.clear();
+    self.target.clear();
+    self.headers.clear();
+    self.status = 0;
+    self.header_bytes_ = 0;
+    self.body_bytes_ = 0;
+    self.complete_ = false;
+    self.begun_ = true;
+    self.in_header_value_ = false;
+    return 0;
+}
+
+int Parser::on_url(http_parser* parser, const char* at, std::size_t n) {
+    Parser& self = Parser::from(parser);
+    if (!self.count_header_bytes(n)) return 1;
+    self.target.append(at, n);
+    return 0;
+}
+
+int Parser::on_status(http_parser* parser, const char*, std::size_t n) {
+    return from(parser).count_header_bytes(n) ? 0 : 1;
+}
+
+int Parser::on_header_field(http_parser* parser, const char* at, std::size_t n) {
+    Parser& self = Parser::from(parser);
+    if (self.in_header_value_ || self.headers.empty()) self.headers.emplace_back();
+    self.in_header_value_ = false;
+    if (!self.count_header_bytes(n)) return 1;
+    std::transform(at, at + n, std::back_inserter(self.headers.back().first), lower_case);
+    return 0;
+}
+
+int Parser::on_header_value(http_parser* parser, const char* at, std::size_t n) {
+    Parser& self = Parser::from(parser);
+    self.in_header_value_ = true;
+    if (!self.count_header_bytes(n) || self.headers.empty()) return 1;
+    self.headers.back().second.append(at, n);
+    return 0;
 }
 
-int Parser::header_field(http_parser* parser, const char* at, std::size_t n) {
-    auto* self = static_cast<Parser*>(parser->data);
-    if (self->value_ || self->headers.empty()) self->headers.emplace_back();
-    self->value_ = false;
-    if (!self->take(n)) return 1;
-    for (std::size_t i = 0; i < n; ++i) {
-        const char c = at[i];
-        self->headers.back().first += c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
+int Parser::on_headers_complete(http_parser* parser) {
+    Parser& self = Parser::from(parser);
+    self.status = static_cast<int>(parser->status_code);
+    self.method = http_method_str(static_cast<http_method>(parser->method));
+    self.minor = parser->http_minor;
+    self.keep_alive = http_should_keep_alive(parser) != 0;
+    const bool has_length = parser->content_length != ULLONG_MAX;
+    self.framed = (parser->flags & F_CHUNKED) != 0 || has_length;
+    // Guards against two readings of one message (smuggling): a length given twice, or both forms.
+    const auto lengths = count(self.headers, "content-length");
+    const auto codings = count(self.headers, "transfer-encoding");
+    if (lengths > 1 || codings > 1 || (lengths > 0 && codings > 0)) {
+        self.fault_ = Fault::malformed;
+        return -1;
     }
+    const bool limited = self.limits_.body > 0 && lengths > 0 && has_length;
+    if (limited && parser->content_length > self.limits_.body) {
+        self.fault_ = Fault::body_too_large;
+        return -1;
+    }
+    if (self.on_headers) self.on_headers();
     return 0;
 }
 
-int Parser::header_value(http_parser* parser, const char* at, std::size_t n) {
-    auto* self = static_cast<Parser*>(parser->data);
-    self->value_ = true;
-    if (!self->take(n) || self->headers.empty()) return 1;
-    self->headers.back().second.append(at, n);
+int Parser::on_body_bytes(http_parser* parser, const char* at, std::size_t n) {
+    Parser& self = Parser::from(parser);
+    self.body_bytes_ += n;
+    if (self.limits_.body > 0 && self.body_bytes_ > self.limits_.body) {
+        self.fault_ = Fault::body_too_large;
+        return 1;
+    }
+    const bool ends_chunk = (parser->flags & F_CHUNKED) != 0 && parser->content_length == 0;
+    if (ends_chunk) {
+        self.line_end_left_ = kLineEndBytes;
+        self.check_line_end(at + n);
+    }
+    if (self.on_body) self.on_body({at, n});
+    return self.fault_ == Fault::none ? 0 : 1;
+}
+
+// Guards against a chunk that is said to be huge and keeps on coming.
+int Parser::on_chunk_header(http_parser* parser) {
+    Parser& self = Parser::from(parser);
+    if (self.limits_.chunk == 0 || parser->content_length <= self.limits_.chunk) return 0;
+    self.fault_ = Fault::body_too_large;
+    return 1;
+}
+
+int Parser::on_message_complete(http_parser* parser) {
+    Parser& self = Parser::from(parser);
+    self.complete_ = true;
+    self.begun_ = false;
+    http_parser_pause(parser, 1);
     return 0;
 }
 
+const http_parser_settings& Parser::callbacks() {
+    static const http_parser_settings callbacks = [] {
+        http_parser_settings settings;
+        http_parser_settings_init(&settings);
+        settings.on_message_begin = on_message_begin;
+        settings.on_url = on_url;
+        settings.on_status = on_status;
+        settings.on_header_field = on_header_field;
+        settings.on_header_value = on_header_value;
+        settings.on_headers_complete = on_headers_complete;
+        settings.on_body = on_body_bytes;
+        settings.on_chunk_header = on_chunk_header;
+        settings.on_message_complete = on_message_complete;
+        return settings;
+    }();
+    return callbacks;
+}
+
+// ---- Parser ---------------------------------------------------------------------------------------------
+
+bool Parser::count_header_bytes(std::size_t n) {
+    header_bytes_ += n;
+    if (header_bytes_ <= limits_.header_bytes && headers.size() <= limits_.headers) return true;
+    fault_ = Fault::headers_too_large;
+    return false;
+}
+
 // Guards against a chunk that does not have the size it says: the library, as Debian builds it, takes any two
 // bytes for the end of a chunk's line.
 void Parser::check_line_end(const char* at) {
-    for (; line_end_ > 0 && at < end_; ++at, --line_end_) {
-        if (*at != (line_end_ == 2 ? '\r' : '\n')) fault_ = Fault::malformed;
+    for (; line_end_left_ > 0 && at < fed_end_; ++at, --line_end_left_) {
+        if (*at != (line_end_left_ == kLineEndBytes ? '\r' : '\n')) fault_ = Fault::malformed;
     }
 }
 
-const http_parser_settings& Parser::settings() {
-    static const http_parser_settings parser = [] {
-        http_parser_settings t;
-        http_parser_settings_init(&t);
-        const auto self = [](http_parser* p) { return static_cast<Parser*>(p->data); };
-        (void)self;
-        t.on_message_begin = [](http_parser* p) {
-            auto* m = static_cast<Parser*>(p->data);
-            m->method.clear(), m->target.clear(), m->headers.clear();
-            m->status = 0, m->header_bytes_ = m->body_bytes_ = 0;
-            m->complete_ = false, m->begun_ = true, m->value_ = false;
-            return 0;
-        };
-        t.on_url = [](http_parser* p, const char* at, std::size_t n) {
-            auto* m = static_cast<Parser*>(p->data);
-            if (!m->take(n)) return 1;
-            m->target.append(at, n);
-            return 0;
-        };
-        t.on_status = [](http_parser* p, const char*, std::size_t n) {
-            return static_cast<Parser*>(p->data)->take(n) ? 0 : 1;
-        };
-        t.on_header_field = header_field;
-        t.on_header_value = header_value;
-        t.on_headers_complete = [](http_parser* p) {
-            auto* m = static_cast<Parser*>(p->data);
-            m->status = static_cast<int>(p->status_code);
-            m->method = http_method_str(static_cast<http_method>(p->method));
-            m->minor = p->http_minor;
-            m->keep_alive = http_should_keep_alive(p) != 0;
-            m->framed = (p->flags & F_CHUNKED) != 0 || p->content_length != ULLONG_MAX;
-            // Guards against two readings of one message (smuggling): a length given twice, or both forms.
-            int lengths = 0, codings = 0;
-            for (const auto& [name, value] : m->headers) {
-                lengths += name == "content-length", codings += name == "transfer-encoding";
-            }
-            if (lengths > 1 || codings > 1 || (lengths > 0 && codings > 0)) {
-                m->fault_ = Fault::malformed;
-                return -1;
-            }
-            if (m->limits_.body > 0 && lengths > 0 && p->content_length != ULLONG_MAX &&
-                p->content_length > m->limits_.body) {
-                m->fault_ = Fault::body_too_large;
-                return -1;
-            }
-            if (m->on_headers) m->on_headers();
-            return 0;
-        };
-        t.on_body = [](http_parser* p, const char* at, std::size_t n) {
-            auto* m = static_cast<Parser*>(p->data);
-            m->body_bytes_ += n;
-            if (m->limits_.body > 0 && m->body_bytes_ > m->limits_.body) {
-                m->fault_ = Fault::body_too_large;
-                return 1;
-            }
-            if ((p->flags & F_CHUNKED) != 0 && p->content_length == 0) {
-                m->line_end_ = 2;
-                m->check_line_end(at + n);
-            }
-            if (m->on_body) m->on_body({at, n});
-            return m->fault_ == Fault::none ? 0 : 1;
-        };
-        t.on_chunk_header = [](http_parser* p) {
-            auto* m = static_cast<Parser*>(p->data);
-            // Guards against a chunk that is said to be huge and keeps on coming.
-            if (m->limits_.chunk == 0 || p->content_length <= m->limits_.chunk) return 0;
-            m->fault_ = Fault::body_too_large;
-            return 1;
-        };
-        t.on_message_complete = [](http_parser* p) {
-            auto* m = static_cast<Parser*>(p->data);
-            m->complete_ = true, m->begun_ = false;
-            http_parser_pause(p, 1);
-            return 0;
-        };
-        return t;
-    }();
-    return parser;
-}
-
 std::size_t Parser::feed(std::string_view bytes) {
     if (fault_ != Fault::none || bytes.empty()) return 0;
-    if (HTTP_PARSER_ERRNO(&p_) == HPE_PAUSED) http_parser_pause(&p_, 0);
+    if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) http_parser_pause(&parser_, 0);
     complete_ = false;
-    end_ = bytes.data() + bytes.size();
+    fed_end_ = bytes.data() + bytes.size();
     check_line_end(bytes.data());
     if (fault_ != Fault::none) return 0;
-    std::size_t n = http_parser_execute(&p_, &settings(), bytes.data(), bytes.size());
-    const auto error = HTTP_PARSER_ERRNO(&p_);
+    const std::size_t taken = http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
+    const auto error = HTTP_PARSER_ERRNO(&parser_);
     if (error == HPE_PAUSED || (complete_ && error == HPE_OK)) {
         // A message that ends with its head is paused before its last byte is counted.
-        if (error == HPE_PAUSED) http_parser_pause(&p_, 0);
+        if (error == HPE_PAUSED) http_parser_pause(&parser_, 0);
         if (on_complete) on_complete();
-        return n;
+        return taken;
     }
-    if (p_.upgrade) fault_ = Fault::malformed;
+    if (parser_.upgrade) fault_ = Fault::malformed;
     if (error != HPE_OK && fault_ == Fault::none) {
         fault_ = error == HPE_HEADER_OVERFLOW ? Fault::headers_too_large : Fault::malformed;
     }
-    return n;
+    return taken;
 }
 
 bool Parser::finish() {
     if (!begun_) return true;
-    http_parser_execute(&p_, &settings(), nullptr, 0);
+    http_parser_execute(&parser_, &callbacks(), nullptr, 0);
     if (!complete_) return false;
     if (on_complete) on_complete();
     return true;
 }
 
+// ---- writing --------------------------------------------------------------------------------------------
+
+namespace {
+
+void append_headers(std::string& head, const Headers& headers) {
+    for (const auto& [name, value] : headers) head.append(name).append(": ").append(value).append("\r\n");
+    head.append("\r\n");
+}
+
+}  // namespace
+
 std::string request_head(std::string_view method, std::string_view target, const Headers& headers) {
-    std::string s;
-    s.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
-    for (const auto& [n, v] : headers) s.append(n).append(": ").append(v).append("\r\n");
-    return s.append("\r\n");
+    std::string head;
+    head.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
+    append_headers(head, headers);
+    return head;
 }
 
 std::string response_head(int status, const Headers& headers) {
-    std::string s = "HTTP/1.1 " + std::to_string(status) + " ";
-    s.append(reason(status)).append("\r\n");
-    for (const auto& [n, v] : headers) s.append(n).append(": ").append(v).append("\r\n");
-    return s.append("\r\n");
+    std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
+    head.append(reason(status)).append("\r\n");
+    append_headers(head, headers);
+    return head;
 }
 
 void append_chunk(std::string& out, std::string_view bytes) {
@@ -184,9 +236,9 @@
 }
 
 std::string chunk(std::string_view bytes) {
-    std::string s;
-    append_chunk(s, bytes);
-    return s;
+    std::string rendered;
+    append_chunk(rendered, bytes);
+    return rendered;
 }
 
 std::string_view reason(int status) {
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -1,8 +1,4 @@
-// HTTP/1.1 messages from bytes, in pieces of any size: http-parser, wrapped once. No I/O.
-//
-// A Parser reads one message after another. It stops at the end of each (feed returns how many bytes it
-// took); the caller calls feed again with the rest when it is ready for the next one. Limits hold before
-// memory is taken. Errors are for good: the connection must be closed after the answer.
+// HTTP/1.1 messages: read from bytes in pieces of any size, by http-parser, and written. No I/O.
 #pragma once
 
 #include <http_parser.h>
@@ -22,26 +18,31 @@
 // The first value of a header; null if absent. `name` in lower case.
 const std::string* find(const Headers& headers, std::string_view name);
 
+// Hold before memory is taken.
 struct Limits {
-    std::size_t header_bytes = 16 * 1024;  // names and values of one message, start line too
+    std::size_t header_bytes = std::size_t{16} * 1024;  // names and values of one message, start line too
     std::size_t headers = 100;
-    std::size_t body = 4 * 1024 * 1024;  // bytes; 0: no limit (a body that is streamed on)
-    std::uint64_t chunk = 0;             // bytes of one chunk; 0: no limit
+    std::size_t body = std::size_t{4} * 1024 * 1024;  // bytes; 0: no limit (a body that is streamed on)
+    std::uint64_t chunk = 0;                          // bytes of one chunk; 0: no limit
 };
 
 enum class Fault { none, malformed, headers_too_large, body_too_large };
 
+// Reads one message after another and stops at the end of each, so that the caller decides when the next one
+// is read. A fault is final: the connection must be closed after the answer. Callbacks are called from within
+// feed() and finish(), and may not destroy the parser.
 class Parser {
 public:
     enum class Kind { request, response };
 
     // What was read of the current message.
-    std::string method, target;  // requests
-    int status = 0;              // responses
-    int minor = 1;               // HTTP/1.x
+    std::string method;  // requests
+    std::string target;  // requests
+    int status = 0;      // responses
+    int minor = 1;       // HTTP/1.x
     Headers headers;
     bool keep_alive = false;
-    bool framed = false;  // its end is told by a length or by chunks, not by the connection's end
+    bool framed = false;  // it ends by a length or by chunks, not with the connection
 
     std::function<void()> on_headers;
     std::function<void(std::string_view)> on_body;
@@ -49,7 +50,7 @@
 
     Parser(Kind kind, Limits limits);
 
-    // Takes bytes up to the end of the current message; returns how many. Check fault() afterwards.
+    // Reads bytes up to the end of the current message; returns how many. Check fault() afterwards.
     std::size_t feed(std::string_view bytes);
     // The peer closed: true if that ends a message rightly (a response without a length, or none begun).
     bool finish();
@@ -59,27 +60,44 @@
     bool begun() const { return begun_; }        // bytes of a message have come that has not ended
 
 private:
-    static int header_field(http_parser* parser, const char* at, std::size_t n);
-    static int header_value(http_parser* parser, const char* at, std::size_t n);
-    bool take(std::size_t n);
+    static Parser& from(http_parser* parser);
+    static int on_message_begin(http_parser* parser);
+    static int on_url(http_parser* parser, const char* at, std::size_t n);
+    static int on_status(http_parser* parser, const char* at, std::size_t n);
+    static int on_header_field(http_parser* parser, const char* at, std::size_t n);
+    static int on_header_value(http_parser* parser, const char* at, std::size_t n);
+    static int on_headers_complete(http_parser* parser);
+    static int on_body_bytes(http_parser* parser, const char* at, std::size_t n);
+    static int on_chunk_header(http_parser* parser);
+    static int on_message_complete(http_parser* parser);
+    static const http_parser_settings& callbacks();
+    // False: a limit is exceeded.
+    bool count_header_bytes(std::size_t n);
     void check_line_end(const char* at);
-    static const http_parser_settings& settings();
 
-    http_parser p_{};
+    http_parser parser_{};
     Limits limits_;
     Fault fault_ = Fault::none;
-    bool complete_ = false, begun_ = false, value_ = false;
-    const char* end_ = nullptr;  // of the bytes being fed
-    int line_end_ = 0;           // bytes that a chunk still owes: its CR and LF
-    std::size_t header_bytes_ = 0, body_bytes_ = 0;
+    bool complete_ = false;
+    bool begun_ = false;
+    bool in_header_value_ = false;
+    const char* fed_end_ = nullptr;  // of the bytes being fed
+    int line_end_left_ = 0;          // bytes of the line end behind a chunk that have yet to come
+    std::size_t header_bytes_ = 0;
+    std::size_t body_bytes_ = 0;
 };
 
-// One message head, with the headers as given; "\r\n\r\n" included.
+// The head of a message, with the headers as given; the empty line behind them included.
 std::string request_head(std::string_view method, std::string_view target, const Headers& headers);
 std::string response_head(int status, const Headers& headers);
+// Appends what chunk() returns.
 void append_chunk(std::string& out, std::string_view bytes);
-std::string chunk(std::string_view bytes);  // one chunk of a chunked body; empty input gives no bytes
-constexpr std::string_view last_chunk = "0\r\n\r\n";
+// One chunk of a chunked body; empty input gives no bytes.
+std::string chunk(std::string_view bytes);
+constexpr std::string_view kLastChunk = "0\r\n\r\n";
+// NOLINTNEXTLINE(readability-identifier-naming): the former name, until its users have the new one.
+constexpr std::string_view last_chunk = kLastChunk;
+// The reason phrase of a status; "Status" if it is none that this program sends.
 std::string_view reason(int status);
 
 }  // namespace gorsenotch::http
--- a/src/http/sse.cpp
+++ b/src/http/sse.cpp
@@ -4,22 +4,32 @@
 
 namespace gorsenotch::http {
 
+namespace {
+
+constexpr std::string_view kByteOrderMark = "\xEF\xBB\xBF";
+
+// Where the first line in `bytes` ends; npos if it does not.
+std::size_t find_line_end(std::string_view bytes) {
+    // The LF first: a CR is searched for in one line only, however long the rest is.
+    const auto line_feed = bytes.find('\n');
+    const auto carriage_return = bytes.substr(0, line_feed).find('\r');
+    return carriage_return != std::string_view::npos ? carriage_return : line_feed;
+}
+
+}  // namespace
+
 bool SseReader::feed(std::string_view bytes) {
-    if (broken_) return false;
+    if (too_long_) return false;
     while (!bytes.empty()) {
-        if (after_cr_) {
-            after_cr_ = false;
-            if (bytes.front() == '\n') {
-                bytes.remove_prefix(1);
-                continue;
-            }
+        if (std::exchange(after_cr_, false) && bytes.front() == '\n') {
+            bytes.remove_prefix(1);
+            continue;
         }
-        auto end = bytes.find('\n');
-        if (const auto cr = bytes.substr(0, end).find('\r'); cr != std::string_view::npos) end = cr;
+        const auto end = find_line_end(bytes);
         const auto part = bytes.substr(0, end);
         // Guards against memory taken by a line that never ends.
-        if (line_.size() + data_.size() + part.size() > max_) {
-            broken_ = true;
+        if (line_.size() + data_.size() + part.size() > max_event_) {
+            too_long_ = true;
             return false;
         }
         if (end == std::string_view::npos) {
@@ -28,51 +38,54 @@
         }
         after_cr_ = bytes[end] == '\r';
         bytes.remove_prefix(end + 1);
-        bool ok = true;
-        if (line_.empty()) {
-            ok = line(part);
-        } else {
-            line_.append(part);
-            const std::string whole = std::move(line_);
-            line_.clear();
-            ok = line(whole);
-        }
-        if (!ok) return false;
+        end_line(part);
+        if (too_long_) return false;
     }
     return true;
 }
 
-bool SseReader::line(std::string_view text) {
-    if (first_) {
-        first_ = false;
-        if (text.substr(0, 3) == "\xEF\xBB\xBF") text.remove_prefix(3);
-    }
-    if (text.empty()) {
-        // Handed on in place: the strings keep their memory for the next event.
-        if (std::exchange(has_data_, false) && on_event) on_event(name_, data_);
-        name_.clear(), data_.clear();
-        return !broken_;
-    }
-    if (text.front() == ':') return true;
-    const auto colon = text.find(':');
-    const auto field = text.substr(0, colon);
-    auto value = colon == std::string_view::npos ? std::string_view() : text.substr(colon + 1);
+void SseReader::end_line(std::string_view rest) {
+    if (line_.empty()) return on_line(rest);
+    line_.append(rest);
+    const std::string line = std::move(line_);
+    line_.clear();
+    on_line(line);
+}
+
+void SseReader::on_line(std::string_view line) {
+    if (std::exchange(first_line_, false) && line.substr(0, kByteOrderMark.size()) == kByteOrderMark)
+        line.remove_prefix(kByteOrderMark.size());
+    if (line.empty()) return end_event();
+    if (line.front() == ':') return;  // a comment
+    const auto colon = line.find(':');
+    auto value = colon == std::string_view::npos ? std::string_view() : line.substr(colon + 1);
     if (!value.empty() && value.front() == ' ') value.remove_prefix(1);
-    if (field == "data") {
+    on_field(line.substr(0, colon), value);
+}
+
+void SseReader::end_event() {
+    // Handed on in place: the strings keep their memory for the next event.
+    if (std::exchange(has_data_, false) && on_event) on_event(name_, data_);
+    name_.clear();
+    data_.clear();
+}
+
+void SseReader::on_field(std::string_view name, std::string_view value) {
+    if (name == "data") {
         if (has_data_) data_ += '\n';
         data_.append(value);
         has_data_ = true;
-    } else if (field == "event") {
+    } else if (name == "event") {
         name_ = value;
     }
-    return true;
 }
 
 std::string sse_event(std::string_view name, std::string_view data) {
-    std::string s;
-    s.reserve(name.size() + data.size() + 18);
-    if (!name.empty()) s.append("event: ").append(name).append("\n");
-    return s.append("data: ").append(data).append("\n\n");
+    constexpr std::size_t kFraming = std::string_view("event: \ndata: \n\n").size();
+    std::string event;
+    event.reserve(name.size() + data.size() + kFraming);
+    if (!name.empty()) event.append("event: ").append(name).append("\n");
+    return event.append("data: ").append(data).append("\n\n");
 }
 
 }  // namespace gorsenotch::http
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,7 +1,7 @@
-// Structured logs: one JSON object a line to standard error, on spdlog, wrapped once.
+// Structured logs: one JSON object a line to standard error, by spdlog.
 //
-// Between open() and close() the lines are written by a thread of their own, so that a slow terminal, pipe or
-// disk holds nobody up. Up to 8,192 lines wait for it; of more the oldest are dropped, and close() says how
+// Between open() and close() a thread of its own writes the lines, so that a slow terminal, pipe or disk
+// delays no caller. Up to 8,192 lines wait for it; beyond that the oldest are dropped, and close() logs how
 // many. Threading: all calls from one thread.
 #pragma once
 
@@ -11,9 +11,10 @@
 
 namespace gorsenotch::log {
 
-// `level`: debug, info, warn or error.
+// `level`: debug, info, warn or error; lines below it are not written.
 void open(const std::string& level);
-// Before open() and after close() the line is written at once.
+// Writes one line: `fields` with the time, the level and the event added. Before open() and after close() the
+// line is written before the call returns.
 void write(const char* level, const char* event, nlohmann::json fields);
 // Returns when all lines are written.
 void close();
