--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -1,41 +1,139 @@
 #include "settings/deployment_settings.h"
 
+#include <array>
 #include <cmath>
+#include <cstddef>
 
 #include "settings/text_values.h"
 
 namespace gorsenotch::settings {
 namespace {
 
-double number(const std::string& path, const std::string& s) {
-    const auto value = to_number<double>(s);
-    if (!value) throw SettingsError(path + ": bad number '" + s + "'");
+constexpr double kMaxCount = 10000;  // of classes or tenants
+constexpr double kMaxInteger = 1e9;
+
+// The operators' words.
+constexpr std::array<NamedValue<Idempotency>, 3> kIdempotencyWords = {
+    {{"repeatable", Idempotency::idempotent},
+     {"by_key", Idempotency::with_key},
+     {"once", Idempotency::unsafe}}};
+constexpr std::array<NamedValue<DedupScope>, 3> kDedupScopeWords = {
+    {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}}};
+constexpr std::array<NamedValue<Role>, 3> kRoleWords = {
+    {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}}};
+
+double parse_number(const std::string& path, const std::string& text) {
+    const auto value = to_number<double>(text);
+    if (!value) throw SettingsError(path + ": bad number '" + text + "'");
     return *value;
 }
 
-template <class T>
-T choice(const std::string& path, const std::string& word,
-         std::initializer_list<std::pair<const char*, T>> names) {
-    const auto value = to_one_of(word, names);
+template <class Value, std::size_t count>
+Value parse_word(const std::string& path, const std::string& word,
+                 const std::array<NamedValue<Value>, count>& words) {
+    const auto value = to_one_of(word, words);
     if (!value) throw SettingsError(path + ": unknown word '" + word + "'");
     return *value;
 }
 
-double item(const SettingValues& info, const std::string& path, std::size_t i, double absent) {
-    const auto& values = info.list(path);
-    return i < values.size() ? number(path, values[i]) : absent;
+double item(const SettingValues& values, const std::string& path, std::size_t index, double absent) {
+    const auto& items = values.list(path);
+    return index < items.size() ? parse_number(path, items[index]) : absent;
+}
+
+std::size_t count(const SettingValues& values, const std::string& path) {
+    const double number = values.number_or(path, 0);
+    if (number < 0 || number > kMaxCount) throw SettingsError(path + ": out of range");
+    return static_cast<std::size_t>(number);
+}
+
+int integer(const SettingValues& values, const std::string& path, int absent) {
+    const double number = values.number_or(path, absent);
+    if (std::abs(number) > kMaxInteger) throw SettingsError(path + ": out of range");
+    return static_cast<int>(number);
+}
+
+ClassSettings parse_class(const SettingValues& values, const std::string& prefix, std::size_t index) {
+    ClassSettings cls;
+    cls.latency_objective = values.number_or(prefix + "SloMs", 0);
+    cls.latency_objective_per_1000_tokens =
+        item(values, "FamilyInfo.AimUsPer1000PromptTokens", index, 0) / 1000.0;
+    cls.deadline = values.number_or(prefix + "DeadlineMs", 0);
+    cls.priority_weight = values.number_or(prefix + "Importance", 1);
+    cls.late_value_fraction = values.number_or(prefix + "LateShare", 0);
+    cls.inter_token_objective = item(values, "FamilyInfo.TokenAimMs", index, 0);
+    cls.idempotency =
+        parse_word(prefix + "Effect", values.text(prefix + "Effect", "once"), kIdempotencyWords);
+    cls.dedup_scope = parse_word(prefix + "Group", values.text(prefix + "Group", "all"), kDedupScopeWords);
+    cls.dedup_window = values.number_or(prefix + "WindowMs", 0);
+    return cls;
+}
+
+void parse_classes(const SettingValues& values, NamedSettings& named) {
+    for (std::size_t i = 0; i < count(values, "Lanes.count"); ++i) {
+        const std::string prefix = "Lanes." + std::to_string(i) + ".";
+        named.settings.classes.push_back(parse_class(values, prefix, i));
+        named.classes.emplace(values.text(prefix + "Name", ""), static_cast<int>(i));
+    }
+}
+
+void parse_tenants(const SettingValues& values, NamedSettings& named) {
+    for (std::size_t i = 0; i < count(values, "Tenants.count"); ++i) {
+        const std::string prefix = "Tenants." + std::to_string(i) + ".";
+        named.settings.tenants.push_back({values.number_or(prefix + "QuotaPerS", 0)});
+        named.tenants.emplace(values.text(prefix + "Name", ""), static_cast<int>(i));
+    }
+}
+
+void parse_kinds(const SettingValues& values, NamedSettings& named) {
+    const auto& kinds = values.list("Flavors");
+    const auto& roles = values.list("FamilyInfo.RoleByKind");
+    if (kinds.size() != roles.size()) return;  // then no kind is known, which the Router refuses
+    for (std::size_t i = 0; i < kinds.size(); ++i) {
+        const Role role = parse_word("FamilyInfo.RoleByKind", roles[i], kRoleWords);
+        named.settings.kinds.push_back({role, item(values, "FamilyInfo.KindMemoryTokens", i, 0)});
+        named.kinds[kinds[i]] = static_cast<int>(i);
+    }
+}
+
+void parse_zones(const SettingValues& values, NamedSettings& named) {
+    const auto& zones = values.list("Azs");
+    for (std::size_t i = 0; i < zones.size(); ++i) {
+        named.zones[zones[i]] = static_cast<int>(i);
+        if (zones[i] == values.text("Zone", "")) named.settings.own_zone = static_cast<int>(i);
+    }
+    named.settings.zones = static_cast<int>(zones.size());
 }
 
-std::size_t count(const SettingValues& info, const std::string& path) {
-    const double n = info.number_or(path, 0);
-    if (n < 0 || n > 10000) throw SettingsError(path + ": out of range");
-    return static_cast<std::size_t>(n);
+void parse_discovery(const SettingValues& values, Settings& settings) {
+    settings.discovery = values.text("Discovery", "push") == "ask" ? Discovery::poll : Discovery::watch;
+    settings.poll_interval = values.number_or("Guarantees.AskWithinMs", 0);
 }
 
-int whole(const SettingValues& info, const std::string& path, int absent) {
-    const double n = info.number_or(path, absent);
-    if (std::abs(n) > 1e9) throw SettingsError(path + ": out of range");
-    return static_cast<int>(n);
+// What the Router may do, and how often.
+void parse_features(const SettingValues& values, Settings& settings) {
+    settings.max_attempts = integer(values, "Ceilings.AttemptsCap", 1);
+    settings.cancellation = values.flag("Ceilings.Cancel");
+    settings.hedging = values.flag("Ceilings.SecondCopies");
+    settings.health_checks = values.flag("Ceilings.Probes");
+    settings.slot_reservation = values.flag("FamilyInfo.Ahead");
+    settings.retry_after = values.flag("Ceilings.RetryAfter");
+    settings.local_prefill = values.flag("FamilyInfo.LocalRead");
+    settings.stream_migration = values.flag("FamilyInfo.Resume");
+    settings.max_retry_after = values.number_or("Ceilings.MaxRetryAfterMs", 0);
+    settings.connect_timeout = values.number_or("Ceilings.DialTimeoutMs", 0);
+    settings.over_quota_weight = values.number_or("OverShareWorth", 1);
+}
+
+// What the Router must keep to.
+void parse_guarantees(const SettingValues& values, Settings& settings) {
+    settings.answer_slack = values.number_or("Guarantees.AnswerSlackMs", 0);
+    settings.drain_grace = values.number_or("Guarantees.DrainGraceMs", 0);
+    settings.lease_release_timeout = values.number_or("FamilyInfo.LetGoByMs", 0);
+    settings.overload_factor = values.number_or("Guarantees.FallMultiple", 1);
+    settings.overload_window = values.number_or("Guarantees.TipAfterMs", 0);
+    settings.initial_capacity = values.number_or("Guarantees.StartCapacity", 1);
+    settings.slow_start_duration = values.number_or("Guarantees.WarmWithinMs", 0);
 }
 
 }  // namespace
@@ -43,13 +141,13 @@
 double SettingValues::number_or(const std::string& path, double absent) const {
     const auto it = values_.find(path);
     if (it == values_.end() || it->second.empty() || it->second[0] == "-") return absent;
-    return number(path, it->second[0]);
+    return parse_number(path, it->second[0]);
 }
 
 bool SettingValues::flag(const std::string& path) const {
-    const std::string s = text(path, "-");
-    const auto value = to_bool(s);
-    if (!value) throw SettingsError(path + ": bad bool '" + s + "'");
+    const std::string word = text(path, "-");
+    const auto value = to_bool(word);
+    if (!value) throw SettingsError(path + ": bad bool '" + word + "'");
     return *value;
 }
 
@@ -64,74 +162,18 @@
     return it == values_.end() ? none : it->second;
 }
 
-NamedSettings parse_named_settings(const SettingValues& info) {
+NamedSettings parse_named_settings(const SettingValues& values) {
     NamedSettings named;
-    Settings& settings = named.settings;
-    for (std::size_t i = 0; i < count(info, "Lanes.count"); ++i) {
-        const std::string p = "Lanes." + std::to_string(i) + ".";
-        ClassSettings class_settings;
-        class_settings.latency_objective = info.number_or(p + "SloMs", 0);
-        class_settings.latency_objective_per_1000_tokens =
-            item(info, "FamilyInfo.AimUsPer1000PromptTokens", i, 0) / 1000.0;
-        class_settings.deadline = info.number_or(p + "DeadlineMs", 0);
-        class_settings.priority_weight = info.number_or(p + "Importance", 1);
-        class_settings.late_value_fraction = info.number_or(p + "LateShare", 0);
-        class_settings.inter_token_objective = item(info, "FamilyInfo.TokenAimMs", i, 0);
-        class_settings.idempotency = choice<Idempotency>(p + "Effect", info.text(p + "Effect", "once"),
-                                                         {{"repeatable", Idempotency::idempotent},
-                                                          {"by_key", Idempotency::with_key},
-                                                          {"once", Idempotency::unsafe}});
-        class_settings.dedup_scope = choice<DedupScope>(
-            p + "Group", info.text(p + "Group", "all"),
-            {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
-        class_settings.dedup_window = info.number_or(p + "WindowMs", 0);
-        settings.classes.push_back(class_settings);
-        named.classes.emplace(info.text(p + "Name", ""), static_cast<int>(i));
-    }
-    for (std::size_t i = 0; i < count(info, "Tenants.count"); ++i) {
-        const std::string p = "Tenants." + std::to_string(i) + ".";
-        settings.tenants.push_back({info.number_or(p + "QuotaPerS", 0)});
-        named.tenants.emplace(info.text(p + "Name", ""), static_cast<int>(i));
-    }
-    const auto &flavors = info.list("Flavors"), &roles = info.list("FamilyInfo.RoleByKind"),
-               &zones = info.list("Azs");
-    if (flavors.size() == roles.size()) {  // else no kind is known, which the module refuses
-        for (std::size_t i = 0; i < flavors.size(); ++i) {
-            const Role role =
-                choice<Role>("FamilyInfo.RoleByKind", roles[i],
-                             {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}});
-            settings.kinds.push_back({role, item(info, "FamilyInfo.KindMemoryTokens", i, 0)});
-            named.kinds[flavors[i]] = static_cast<int>(i);
-        }
-    }
-    for (std::size_t i = 0; i < zones.size(); ++i) {
-        named.zones[zones[i]] = static_cast<int>(i);
-        if (zones[i] == info.text("Zone", "")) settings.own_zone = static_cast<int>(i);
-    }
-    settings.zones = static_cast<int>(zones.size());
-    settings.gateways = whole(info, "Balancers", 1);
-    settings.discovery = info.text("Discovery", "push") == "ask" ? Discovery::poll : Discovery::watch;
-    settings.poll_interval = info.number_or("Guarantees.AskWithinMs", 0);
-    settings.max_attempts = whole(info, "Ceilings.AttemptsCap", 1);
-    settings.cancellation = info.flag("Ceilings.Cancel");
-    settings.hedging = info.flag("Ceilings.SecondCopies");
-    settings.health_checks = info.flag("Ceilings.Probes");
-    settings.slot_reservation = info.flag("FamilyInfo.Ahead");
-    settings.retry_after = info.flag("Ceilings.RetryAfter");
-    settings.local_prefill = info.flag("FamilyInfo.LocalRead");
-    settings.stream_migration = info.flag("FamilyInfo.Resume");
-    settings.max_retry_after = info.number_or("Ceilings.MaxRetryAfterMs", 0);
-    settings.connect_timeout = info.number_or("Ceilings.DialTimeoutMs", 0);
-    settings.over_quota_weight = info.number_or("OverShareWorth", 1);
-    settings.answer_slack = info.number_or("Guarantees.AnswerSlackMs", 0);
-    settings.drain_grace = info.number_or("Guarantees.DrainGraceMs", 0);
-    settings.lease_release_timeout = info.number_or("FamilyInfo.LetGoByMs", 0);
-    settings.overload_factor = info.number_or("Guarantees.FallMultiple", 1);
-    settings.overload_window = info.number_or("Guarantees.TipAfterMs", 0);
-    settings.initial_capacity = info.number_or("Guarantees.StartCapacity", 1);
-    settings.slow_start_duration = info.number_or("Guarantees.WarmWithinMs", 0);
-    settings.event_interval = info.number_or("StepMs", 1);
-    named.idle_close = info.number_or("Ceilings.IdleCloseMs", 0);
+    parse_classes(values, named);
+    parse_tenants(values, named);
+    parse_kinds(values, named);
+    parse_zones(values, named);
+    named.settings.gateways = integer(values, "Balancers", 1);
+    parse_discovery(values, named.settings);
+    parse_features(values, named.settings);
+    parse_guarantees(values, named.settings);
+    named.settings.event_interval = values.number_or("StepMs", 1);
+    named.idle_close = values.number_or("Ceilings.IdleCloseMs", 0);
     return named;
 }
 
--- /dev/null
+++ b/src/settings/fleet_file.h
@@ -0,0 +1,15 @@
+// The list of engines, in the settings file or in a fleet file of its own.
+#pragma once
+
+#include <vector>
+
+#include "settings/section_reader.h"
+#include "settings/settings.h"
+#include "settings/xml.h"
+
+namespace gorsenotch::settings {
+
+// The engines of a <fleet> element, by the names of the reader's Program.
+std::vector<Engine> read_engines(SectionReader& reader, const Element& list);
+
+}  // namespace gorsenotch::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -1,302 +1,334 @@
 #include "settings/settings.h"
 
-#include <openssl/sha.h>
-
 #include <algorithm>
+#include <array>
+#include <cctype>
 #include <filesystem>
 #include <set>
 #include <sstream>
+#include <stdexcept>
+
+#include "settings/fleet_file.h"
+#include "settings/section_reader.h"
+#include "settings/text_values.h"
 
 namespace gorsenotch::settings {
 namespace {
 
-class Reader {
-public:
-    Reader(Program& program, std::vector<FileFault>& faults) : program_(program), faults_(faults) {}
+constexpr std::array<NamedValue<Idempotency>, 3> kIdempotencyWords = {
+    {{"repeatable", Idempotency::idempotent},
+     {"by_key", Idempotency::with_key},
+     {"once", Idempotency::unsafe}}};
+constexpr std::array<NamedValue<DedupScope>, 3> kDedupScopeWords = {
+    {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}}};
+constexpr std::array<NamedValue<Role>, 3> kRoleWords = {
+    {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}}};
 
-    void fault(const Element& element, const std::string& reason) {
-        faults_.push_back({element.line(), element.name(), reason});
-    }
+// ---- <limits> ----
 
-    int index(const Element& element, const char* attribute, const std::vector<std::string>& names) {
-        const std::string name = element.text(attribute);
-        const auto it = std::find(names.begin(), names.end(), name);
-        if (it != names.end()) return static_cast<int>(it - names.begin());
-        fault(element, std::string(attribute) + ": there is no '" + name + "'");
-        return 0;
-    }
+void read_limits(SectionReader& reader, const Element& element) {
+    if (!element) return;
+    const auto size = [&](const char* attribute) {
+        return static_cast<std::size_t>(element.number(attribute));
+    };
+    Limits& limits = reader.program().limits;
+    limits.header_bytes = size("header-bytes");
+    limits.headers = size("headers");
+    limits.body_bytes = size("body-bytes");
+    limits.open_requests = size("open-requests");
+    limits.stream_buffer = size("stream-buffer-bytes");
+    limits.whole_answer = size("whole-answer-bytes");
+    limits.event_bytes = size("event-bytes");
+    limits.header_ms = element.number("header-ms");
+    limits.body_ms = element.number("body-ms");
+    limits.idle_ms = element.number("idle-ms");
+    limits.stream_idle_ms = element.number("stream-idle-ms");
+    limits.ping_ms = element.number("ping-ms");
+    limits.drain_ms = element.number("drain-ms");
+    limits.whole_answer_ms = element.number("whole-answer-ms");
+    limits.engine_idle_ms = element.number("engine-idle-ms");
+    limits.engine_idle = size("engine-idle-connections");
+}
 
-    void names(const Element& list, const char* child, std::vector<std::string>& out) {
-        for (const auto& element : list.children(child)) {
-            const std::string name = element.text("name");
-            if (std::find(out.begin(), out.end(), name) != out.end())
-                fault(element, "'" + name + "' stands twice");
-            out.push_back(name);
-        }
-    }
+// ---- <tenants> ----
 
-    std::vector<Engine> engines(const Element& list) {
-        std::vector<Engine> all;
-        std::set<EndpointId> ids;
-        std::set<std::string> addresses;
-        for (const auto& element : list.children("engine")) {
-            Engine engine;
-            engine.endpoint.id = static_cast<EndpointId>(element.large("id"));
-            engine.endpoint.kind = index(element, "kind", program_.kinds);
-            engine.endpoint.zone = index(element, "zone", program_.zones);
-            engine.endpoint.cell = element.large("cell");
-            engine.endpoint.weight = element.number("weight");
-            engine.endpoint.started_at = element.number("started");
-            const std::string mode = element.text("mode");
-            engine.endpoint.status = mode == "draining" ? EndpointStatus::draining
-                                     : mode == "gone"   ? EndpointStatus::removed
-                                                        : EndpointStatus::healthy;
-            engine.address = element.text("address");
-            if (!ids.insert(engine.endpoint.id).second)
-                fault(element, "id " + element.text("id") + " stands twice");
-            // Two servers behind one address would each be counted for the other's work.
-            if (!addresses.insert(engine.address).second)
-                fault(element, "address " + engine.address + " stands twice");
-            all.push_back(engine);
-        }
-        return all;
-    }
+// The schema has checked that `hex` has two digits a byte.
+Digest parse_digest(const std::string& hex) {
+    Digest digest{};
+    for (std::size_t i = 0; i < digest.size(); ++i)
+        digest[i] = static_cast<unsigned char>(std::stoi(hex.substr(2 * i, 2), nullptr, 16));
+    return digest;
+}
 
-    void classes(const Element& list) {
-        names(list, "class", program_.classes);
-        for (const auto& element : list.children("class")) {
-            ClassSettings class_settings;
-            class_settings.latency_objective = element.number("aim-ms");
-            class_settings.latency_objective_per_1000_tokens = element.number("aim-ms-per-1000-tokens");
-            class_settings.deadline = element.number("deadline-ms");
-            class_settings.priority_weight = element.number("worth");
-            class_settings.late_value_fraction = element.number("late-share");
-            class_settings.inter_token_objective = element.number("token-aim-ms");
-            const std::string effect = element.text("effect"), group = element.text("group");
-            class_settings.idempotency = effect == "by_key" ? Idempotency::with_key
-                                         : effect == "once" ? Idempotency::unsafe
-                                                            : Idempotency::idempotent;
-            class_settings.dedup_scope = group == "zone"   ? DedupScope::zone
-                                         : group == "cell" ? DedupScope::cell
-                                                           : DedupScope::all;
-            class_settings.dedup_window = element.number("window-ms");
-            if (class_settings.latency_objective > class_settings.deadline)
-                fault(element, "aim-ms is beyond deadline-ms");
-            // A second send could come after the servers have forgotten the first.
-            if (class_settings.idempotency == Idempotency::with_key && class_settings.dedup_window <= 0)
-                fault(element, "effect 'by_key' needs window-ms: how long engines remember a key");
-            if (class_settings.idempotency != Idempotency::with_key && class_settings.dedup_window > 0)
-                fault(element, "window-ms is for effect 'by_key' only");
-            program_.router.classes.push_back(class_settings);
-        }
-        // Without a key nothing tells an engine of a repeat: such a request counts as one to be run once.
-        for (std::size_t i = 0, n = program_.router.classes.size(); i < n; ++i) {
-            ClassSettings twin = program_.router.classes[i];
-            if (twin.idempotency != Idempotency::with_key) continue;
-            twin.idempotency = Idempotency::unsafe, twin.dedup_window = 0;
-            program_.unkeyed_class[static_cast<int>(i)] = static_cast<int>(program_.router.classes.size());
-            program_.router.classes.push_back(twin);
-            program_.classes.push_back(program_.classes[i]);
-        }
+std::vector<std::string> read_tenant_models(SectionReader& reader, const Element& element) {
+    const std::vector<std::string>& known = reader.program().models;
+    std::vector<std::string> models;
+    std::istringstream words(element.text("models"));
+    for (std::string model; words >> model;) {
+        if (std::find(known.begin(), known.end(), model) == known.end())
+            reader.add_fault(element, "models: there is no '" + model + "'");
+        models.push_back(model);
     }
+    return models;
+}
 
-    void tenants(const Element& list) {
-        names(list, "tenant", program_.tenants);
-        int i = 0;
-        std::set<std::string> digests;
-        for (const auto& element : list.children("tenant")) {
-            program_.router.tenants.push_back({element.number("quota-per-s")});
-            std::istringstream models(element.text("models"));
-            program_.tenant_models.emplace_back();
-            for (std::string m; models >> m;) {
-                if (std::find(program_.models.begin(), program_.models.end(), m) == program_.models.end())
-                    fault(element, "models: there is no '" + m + "'");
-                program_.tenant_models.back().push_back(m);
-            }
-            for (const auto& k : element.children("key")) {
-                const std::string hex = k.text("sha256");
-                if (!digests.insert(hex).second) fault(k, "this key stands twice");
-                Digest d{};
-                for (std::size_t b = 0; b < d.size(); ++b) {
-                    d[b] = static_cast<unsigned char>(std::stoi(hex.substr(2 * b, 2), nullptr, 16));
-                }
-                program_.keys.emplace_back(d, i);
-            }
-            ++i;
+void read_tenants(SectionReader& reader, const Element& list) {
+    Program& program = reader.program();
+    reader.read_names(list, "tenant", program.tenants);
+    int tenant = 0;
+    std::set<std::string> digests;
+    for (const auto& element : list.children("tenant")) {
+        program.router.tenants.push_back({element.number("quota-per-s")});
+        program.tenant_models.push_back(read_tenant_models(reader, element));
+        for (const auto& key : element.children("key")) {
+            const std::string hex = key.text("sha256");
+            if (!digests.insert(hex).second) reader.add_fault(key, "this key stands twice");
+            program.keys.emplace_back(parse_digest(hex), tenant);
         }
+        ++tenant;
     }
+}
 
-    void routes(const Element& list) {
-        const auto all = list.children("route");
-        for (const auto& element : all) {
-            Route route;
-            route.cls = index(element, "class", program_.classes);
-            route.model = element.text("model");
-            if (!route.model.empty()) index(element, "model", program_.models);
-            if (element.has("tenant")) route.tenant = index(element, "tenant", program_.tenants);
-            route.header = element.text("header");
-            std::transform(route.header.begin(), route.header.end(), route.header.begin(),
-                           [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-            route.value = element.text("value");
-            if (route.header.empty() != !element.has("value")) fault(element, "header and value go together");
-            route.min_prompt_tokens = element.number("least-prompt-tokens");
-            if (route.any() && &element != &all.back())
-                fault(element, "matches all, so no later route is ever reached");
-            program_.routes.push_back(route);
-        }
-        if (!program_.routes.back().any())
-            fault(all.back(), "the last route must match all: give it a class only");
-    }
+// ---- <classes> ----
 
-    void kinds(const Element& list) {
-        names(list, "kind", program_.kinds);
-        for (const auto& element : list.children("kind")) {
-            const std::string role = element.text("role");
-            program_.router.kinds.push_back({role == "read"    ? Role::prefill
-                                             : role == "write" ? Role::decode
-                                                               : Role::mixed,
-                                             element.number("memory-tokens")});
-            if (program_.router.kinds.back().memory_tokens < 1)
-                fault(element, "memory-tokens should be 1 or more");
-        }
-    }
+ClassSettings read_class(const Element& element) {
+    ClassSettings cls;
+    cls.latency_objective = element.number("aim-ms");
+    cls.latency_objective_per_1000_tokens = element.number("aim-ms-per-1000-tokens");
+    cls.deadline = element.number("deadline-ms");
+    cls.priority_weight = element.number("worth");
+    cls.late_value_fraction = element.number("late-share");
+    cls.inter_token_objective = element.number("token-aim-ms");
+    cls.idempotency = to_one_of(element.text("effect"), kIdempotencyWords).value_or(Idempotency::idempotent);
+    cls.dedup_scope = to_one_of(element.text("group"), kDedupScopeWords).value_or(DedupScope::all);
+    cls.dedup_window = element.number("window-ms");
+    return cls;
+}
 
-    void limits(const Element& element) {
-        Limits& l = program_.limits;
-        if (!element) return;
-        const auto size = [&](const char* a) { return static_cast<std::size_t>(element.number(a)); };
-        l.header_bytes = size("header-bytes"), l.headers = size("headers"), l.body_bytes = size("body-bytes");
-        l.open_requests = size("open-requests"), l.stream_buffer = size("stream-buffer-bytes");
-        l.whole_answer = size("whole-answer-bytes"), l.event_bytes = size("event-bytes");
-        l.header_ms = element.number("header-ms"), l.body_ms = element.number("body-ms"),
-        l.idle_ms = element.number("idle-ms");
-        l.stream_idle_ms = element.number("stream-idle-ms"), l.ping_ms = element.number("ping-ms");
-        l.drain_ms = element.number("drain-ms"), l.whole_answer_ms = element.number("whole-answer-ms");
-        l.engine_idle_ms = element.number("engine-idle-ms"), l.engine_idle = size("engine-idle-connections");
+void check_class(SectionReader& reader, const Element& element, const ClassSettings& cls) {
+    if (cls.latency_objective > cls.deadline) reader.add_fault(element, "aim-ms is beyond deadline-ms");
+    // A retry could come after the engines have forgotten the first attempt.
+    if (cls.idempotency == Idempotency::with_key && cls.dedup_window <= 0)
+        reader.add_fault(element, "effect 'by_key' needs window-ms: how long engines remember a key");
+    if (cls.idempotency != Idempotency::with_key && cls.dedup_window > 0)
+        reader.add_fault(element, "window-ms is for effect 'by_key' only");
+}
+
+// Without a key nothing tells an engine of a repeat: such a request counts as unsafe, in a class of its own.
+void add_unkeyed_classes(Program& program) {
+    const std::size_t count = program.router.classes.size();
+    for (std::size_t i = 0; i < count; ++i) {
+        ClassSettings unkeyed = program.router.classes[i];
+        if (unkeyed.idempotency != Idempotency::with_key) continue;
+        unkeyed.idempotency = Idempotency::unsafe;
+        unkeyed.dedup_window = 0;
+        program.unkeyed_class[static_cast<int>(i)] = static_cast<int>(program.router.classes.size());
+        program.router.classes.push_back(unkeyed);
+        program.classes.push_back(program.classes[i]);
     }
+}
 
-    void routing(const Element& element, const Element& g) {
-        Settings& settings = program_.router;
-        settings.max_attempts = 6, settings.cancellation = true, settings.retry_after = true;
-        settings.max_retry_after = 5000, settings.connect_timeout = 250, settings.over_quota_weight = 0.05;
-        settings.answer_slack = 50, settings.drain_grace = 250, settings.lease_release_timeout = 1000;
-        settings.overload_factor = 2.5, settings.overload_window = 2000, settings.initial_capacity = 0.3,
-        settings.slow_start_duration = 10000;
-        settings.event_interval = 2;  // the loop's timers are whole milliseconds; events come at once
-        settings.zones = static_cast<int>(program_.zones.size());
-        if (element) {
-            settings.gateways = element.whole("gateways"),
-            settings.max_attempts = element.whole("max-attempts");
-            settings.cancellation = element.yes("cancel"), settings.local_prefill = element.yes("local-read");
-            settings.retry_after = element.yes("retry-after"),
-            settings.max_retry_after = element.number("max-retry-after-ms");
-            settings.connect_timeout = element.number("dial-timeout-ms");
-            settings.over_quota_weight = element.number("over-share-worth");
-            program_.source = element.text("source");
-            if (element.has("seed")) program_.seed = element.large("seed");
-            for (const auto& class_settings : settings.classes) {
-                if (settings.connect_timeout >= class_settings.deadline) {
-                    fault(element,
-                          "dial-timeout-ms reaches a class's deadline-ms: no second server could be tried");
-                    break;
-                }
-            }
-        }
-        if (g) {
-            settings.answer_slack = g.number("answer-slack-ms"),
-            settings.drain_grace = g.number("drain-grace-ms");
-            settings.lease_release_timeout = g.number("let-go-ms"),
-            settings.overload_factor = g.number("fall-multiple");
-            settings.overload_window = g.number("fall-window-ms"),
-            settings.initial_capacity = g.number("start-capacity");
-            settings.slow_start_duration = g.number("warm-ms");
-            if (settings.initial_capacity <= 0) fault(g, "start-capacity should be above 0");
-            if (settings.overload_factor < 1) fault(g, "fall-multiple should be 1 or more");
-        }
+void read_classes(SectionReader& reader, const Element& list) {
+    Program& program = reader.program();
+    reader.read_names(list, "class", program.classes);
+    for (const auto& element : list.children("class")) {
+        const ClassSettings cls = read_class(element);
+        check_class(reader, element, cls);
+        program.router.classes.push_back(cls);
     }
+    add_unkeyed_classes(program);
+}
 
-    void standins(const Element& list) {
-        if (!list) return;
-        for (const auto& element : list.children("standin")) {
-            FakeEngineSettings settings;
-            settings.slots = element.whole("slots"), settings.queue = element.whole("queue");
-            settings.read_per_s = element.number("read-tokens-per-s"),
-            settings.fetch_per_s = element.number("fetch-tokens-per-s");
-            settings.step = element.number("step-ms"), settings.per_stream = element.number("per-stream-ms");
-            settings.answer_tokens = element.whole("answer-tokens"),
-            settings.kept_tokens = element.number("kept-tokens");
-            settings.cancels = element.yes("cancels"), settings.lease = element.number("lease-ms");
-            if (!program_.fake_engines.emplace(index(element, "kind", program_.kinds), settings).second)
-                fault(element, "this kind stands twice");
-        }
+// ---- <kinds> ----
+
+void read_kinds(SectionReader& reader, const Element& list) {
+    Program& program = reader.program();
+    reader.read_names(list, "kind", program.kinds);
+    for (const auto& element : list.children("kind")) {
+        const Role role = to_one_of(element.text("role"), kRoleWords).value_or(Role::mixed);
+        const double memory_tokens = element.number("memory-tokens");
+        program.router.kinds.push_back({role, memory_tokens});
+        if (memory_tokens < 1) reader.add_fault(element, "memory-tokens should be 1 or more");
     }
+}
 
-    void all(const Element& root, const std::string& file) {
-        program_.listen = root.child("listen").text("address");
-        if (const Element log = root.child("log")) program_.log_level = log.text("level");
-        limits(root.child("limits"));
-        names(root.child("models"), "model", program_.models);
-        tenants(root.child("tenants"));
-        classes(root.child("classes"));
-        names(root.child("zones"), "zone", program_.zones);
-        program_.router.own_zone = index(root.child("zones"), "own", program_.zones);
-        kinds(root.child("kinds"));
-        routes(root.child("routes"));
-        routing(root.child("routing"), root.child("guarantees"));
-        const Element fleet = root.child("fleet");
-        program_.engines = engines(fleet);
-        program_.fleet_file = fleet.text("file");
-        if (program_.fleet_file.empty() && program_.engines.empty())
-            fault(fleet, "give engines, a file, or both");
-        if (!program_.fleet_file.empty() && program_.fleet_file.front() != '/') {
-            program_.fleet_file = (std::filesystem::path(file).parent_path() / program_.fleet_file).string();
-        }
-        standins(root.child("standins"));
-        if (!faults_.empty()) return;
-        try {
-            Router probe(program_.router, 1);  // what the module itself refuses
-        } catch (const std::invalid_argument& e) {
-            faults_.push_back({root.line(), root.name(), e.what()});
-        }
+// ---- <routes> ----
+
+std::string lower_case(std::string text) {
+    std::transform(text.begin(), text.end(), text.begin(),
+                   [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
+    return text;
+}
+
+Route read_route(SectionReader& reader, const Element& element) {
+    const Program& program = reader.program();
+    Route route;
+    route.cls = reader.index_of(element, "class", program.classes);
+    route.model = element.text("model");
+    if (!route.model.empty()) reader.index_of(element, "model", program.models);
+    if (element.has("tenant")) route.tenant = reader.index_of(element, "tenant", program.tenants);
+    route.header = lower_case(element.text("header"));
+    route.value = element.text("value");
+    if (route.header.empty() != !element.has("value"))
+        reader.add_fault(element, "header and value go together");
+    route.min_prompt_tokens = element.number("least-prompt-tokens");
+    return route;
+}
+
+void read_routes(SectionReader& reader, const Element& list) {
+    const auto elements = list.children("route");
+    std::vector<Route>& routes = reader.program().routes;
+    for (const auto& element : elements) {
+        routes.push_back(read_route(reader, element));
+        if (routes.back().any() && &element != &elements.back())
+            reader.add_fault(element, "matches all, so no later route is ever reached");
     }
+    if (!routes.back().any())
+        reader.add_fault(elements.back(), "the last route must match all: give it a class only");
+}
 
-private:
-    Program& program_;
-    std::vector<FileFault>& faults_;
-};
+// ---- <routing> and <guarantees> ----
 
-}  // namespace
+void set_routing_defaults(Settings& settings) {
+    settings.max_attempts = 6;
+    settings.cancellation = true;
+    settings.retry_after = true;
+    settings.max_retry_after = 5000;
+    settings.connect_timeout = 250;
+    settings.over_quota_weight = 0.05;
+    settings.answer_slack = 50;
+    settings.drain_grace = 250;
+    settings.lease_release_timeout = 1000;
+    settings.overload_factor = 2.5;
+    settings.overload_window = 2000;
+    settings.initial_capacity = 0.3;
+    settings.slow_start_duration = 10000;
+    settings.event_interval = 2;  // the loop's timers are whole milliseconds; events come at once
+}
+
+void read_routing(SectionReader& reader, const Element& element) {
+    if (!element) return;
+    Program& program = reader.program();
+    Settings& settings = program.router;
+    settings.gateways = element.whole("gateways");
+    settings.max_attempts = element.whole("max-attempts");
+    settings.cancellation = element.yes("cancel");
+    settings.local_prefill = element.yes("local-read");
+    settings.retry_after = element.yes("retry-after");
+    settings.max_retry_after = element.number("max-retry-after-ms");
+    settings.connect_timeout = element.number("dial-timeout-ms");
+    settings.over_quota_weight = element.number("over-share-worth");
+    program.source = element.text("source");
+    if (element.has("seed")) program.seed = element.large("seed");
+    const bool reaches_deadline =
+        std::any_of(settings.classes.begin(), settings.classes.end(),
+                    [&](const ClassSettings& cls) { return settings.connect_timeout >= cls.deadline; });
+    if (reaches_deadline)
+        reader.add_fault(element,
+                         "dial-timeout-ms reaches a class's deadline-ms: no second server could be tried");
+}
+
+void read_guarantees(SectionReader& reader, const Element& element) {
+    if (!element) return;
+    Settings& settings = reader.program().router;
+    settings.answer_slack = element.number("answer-slack-ms");
+    settings.drain_grace = element.number("drain-grace-ms");
+    settings.lease_release_timeout = element.number("let-go-ms");
+    settings.overload_factor = element.number("fall-multiple");
+    settings.overload_window = element.number("fall-window-ms");
+    settings.initial_capacity = element.number("start-capacity");
+    settings.slow_start_duration = element.number("warm-ms");
+    if (settings.initial_capacity <= 0) reader.add_fault(element, "start-capacity should be above 0");
+    if (settings.overload_factor < 1) reader.add_fault(element, "fall-multiple should be 1 or more");
+}
+
+// ---- <fleet> ----
+
+// `file`: the settings file, from whose folder a relative path of the fleet file counts.
+void read_fleet(SectionReader& reader, const Element& element, const std::string& file) {
+    Program& program = reader.program();
+    program.engines = read_engines(reader, element);
+    program.fleet_file = element.text("file");
+    if (program.fleet_file.empty() && program.engines.empty())
+        reader.add_fault(element, "give engines, a file, or both");
+    if (program.fleet_file.empty() || program.fleet_file.front() == '/') return;
+    program.fleet_file = (std::filesystem::path(file).parent_path() / program.fleet_file).string();
+}
 
-Digest sha256(std::string_view text) {
-    Digest d{};
-    SHA256(reinterpret_cast<const unsigned char*>(text.data()), text.size(), d.data());
-    return d;
+// ---- <standins> ----
+
+FakeEngineSettings read_fake_engine(const Element& element) {
+    FakeEngineSettings settings;
+    settings.slots = element.whole("slots");
+    settings.queue = element.whole("queue");
+    settings.read_per_s = element.number("read-tokens-per-s");
+    settings.fetch_per_s = element.number("fetch-tokens-per-s");
+    settings.step = element.number("step-ms");
+    settings.per_stream = element.number("per-stream-ms");
+    settings.answer_tokens = element.whole("answer-tokens");
+    settings.kept_tokens = element.number("kept-tokens");
+    settings.cancels = element.yes("cancels");
+    settings.lease = element.number("lease-ms");
+    return settings;
+}
+
+void read_fake_engines(SectionReader& reader, const Element& list) {
+    if (!list) return;
+    Program& program = reader.program();
+    for (const auto& element : list.children("standin")) {
+        const int kind = reader.index_of(element, "kind", program.kinds);
+        if (!program.fake_engines.emplace(kind, read_fake_engine(element)).second)
+            reader.add_fault(element, "this kind stands twice");
+    }
 }
 
-int tenant_of(const Program& program, std::string_view key) {
-    const Digest d = sha256(key);
-    int found = -1;
-    // Guards against keys guessed by time: every stored digest is compared, and whole.
-    for (const auto& [stored, tenant] : program.keys) {
-        unsigned differ = 0;
-        for (std::size_t i = 0; i < d.size(); ++i) differ |= static_cast<unsigned>(stored[i] ^ d[i]);
-        const int same = differ == 0 ? -1 : 0;
-        found = (tenant & same) | (found & ~same);
+// ---- all of them, in an order in which names are known before they are referred to ----
+
+void read_all(SectionReader& reader, const Element& root, const std::string& file) {
+    Program& program = reader.program();
+    program.listen = root.child("listen").text("address");
+    if (const Element log = root.child("log")) program.log_level = log.text("level");
+    read_limits(reader, root.child("limits"));
+    reader.read_names(root.child("models"), "model", program.models);
+    read_tenants(reader, root.child("tenants"));
+    read_classes(reader, root.child("classes"));
+    reader.read_names(root.child("zones"), "zone", program.zones);
+    program.router.own_zone = reader.index_of(root.child("zones"), "own", program.zones);
+    read_kinds(reader, root.child("kinds"));
+    read_routes(reader, root.child("routes"));
+    set_routing_defaults(program.router);
+    program.router.zones = static_cast<int>(program.zones.size());
+    read_routing(reader, root.child("routing"));
+    read_guarantees(reader, root.child("guarantees"));
+    read_fleet(reader, root.child("fleet"), file);
+    read_fake_engines(reader, root.child("standins"));
+}
+
+// What the Router itself refuses.
+void check_with_router(const Program& program, const Element& root, std::vector<FileFault>& faults) {
+    try {
+        const Router router(program.router, 1);
+    } catch (const std::invalid_argument& error) {
+        faults.push_back({root.line(), root.name(), error.what()});
     }
-    return found;
 }
 
+}  // namespace
+
 std::optional<Program> parse(std::string_view text, const std::string& file, std::vector<FileFault>& faults) {
-    const auto doc = Document::parse(text, "gorsenotch", faults);
-    if (!doc) return std::nullopt;
+    const auto document = Document::parse(text, "gorsenotch", faults);
+    if (!document) return std::nullopt;
     Program program;
-    Reader(program, faults).all(doc->root(), file);
+    SectionReader reader(program, faults);
+    read_all(reader, document->root(), file);
+    if (faults.empty()) check_with_router(program, document->root(), faults);
     if (!faults.empty()) return std::nullopt;
     return program;
 }
 
 std::optional<Program> load(const std::string& file, std::vector<FileFault>& faults) {
-    std::string text, why;
+    std::string text;
+    std::string why;
     if (!read_file(file, text, why)) {
         faults.push_back({0, "", why});
         return std::nullopt;
@@ -304,31 +336,4 @@
     return parse(text, file, faults);
 }
 
-std::optional<std::vector<Engine>> parse_fleet(std::string_view text, const Program& program,
-                                               std::vector<FileFault>& faults) {
-    const auto doc = Document::parse(text, "fleet", faults);
-    if (!doc) return std::nullopt;
-    Program names = program;
-    auto engines = Reader(names, faults).engines(doc->root());
-    if (!faults.empty()) return std::nullopt;
-    return engines;
-}
-
-std::string write_fleet(const std::vector<Engine>& engines, const Program& program) {
-    std::ostringstream out;
-    out << "<fleet xmlns=\"urn:gorsenotch:1\">\n";
-    for (const auto& engine : engines) {
-        const char* mode = engine.endpoint.status == EndpointStatus::healthy    ? "healthy"
-                           : engine.endpoint.status == EndpointStatus::draining ? "draining"
-                                                                                : "gone";
-        out << "  <engine id=\"" << engine.endpoint.id << "\" kind=\""
-            << program.kinds[static_cast<std::size_t>(engine.endpoint.kind)] << "\" zone=\""
-            << program.zones[static_cast<std::size_t>(engine.endpoint.zone)] << "\" cell=\""
-            << engine.endpoint.cell << "\" address=\"" << engine.address << "\" mode=\"" << mode
-            << "\" started=\"" << static_cast<std::uint64_t>(engine.endpoint.started_at) << "\"/>\n";
-    }
-    out << "</fleet>\n";
-    return out.str();
-}
-
 }  // namespace gorsenotch::settings
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,4 +1,5 @@
-// What a gateway is told at start: the settings file, checked and resolved to indices.
+// A gateway's settings at start: the settings file, checked and resolved to indices. Times are ms, sizes
+// bytes. Errors: all faults of a file, each with its line.
 #pragma once
 
 #include <array>
--- a/src/settings/text_values.h
+++ b/src/settings/text_values.h
@@ -1,40 +1,48 @@
-// Values in the operators' texts: numbers, bools, words from a set. Nothing where the text is none; whoever
-// reads says where that was.
+// Values in the operators' texts: numbers, bools, words from a set. Nothing where the text is no such value;
+// the caller, who knows where it was found, reports that.
 #pragma once
 
+#include <array>
 #include <charconv>
 #include <cmath>
-#include <initializer_list>
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <type_traits>
-#include <utility>
 
 namespace gorsenotch::settings {
 
-// The whole text as a number; a fraction must be finite.
-template <class T>
-std::optional<T> to_number(const std::string& s) {
-    T value{};
-    const auto [end, error] = std::from_chars(s.data(), s.data() + s.size(), value);
-    if (error != std::errc() || end != s.data() + s.size()) return std::nullopt;
-    if constexpr (std::is_floating_point_v<T>) {
+// A word of a text and the value that it stands for.
+template <class Value>
+struct NamedValue {
+    const char* name;
+    Value value;
+};
+
+// All of the text as a number; a fraction must be finite.
+template <class Number>
+std::optional<Number> to_number(const std::string& text) {
+    Number value{};
+    const char* const text_end = text.data() + text.size();
+    const auto [end, error] = std::from_chars(text.data(), text_end, value);
+    if (error != std::errc() || end != text_end) return std::nullopt;
+    if constexpr (std::is_floating_point_v<Number>) {
         if (!std::isfinite(value)) return std::nullopt;
     }
     return value;
 }
 
 // "-" says absent, which is no.
-inline std::optional<bool> to_bool(const std::string& s) {
-    if (s == "1" || s == "true") return true;
-    if (s == "0" || s == "false" || s == "-") return false;
+inline std::optional<bool> to_bool(const std::string& text) {
+    if (text == "1" || text == "true") return true;
+    if (text == "0" || text == "false" || text == "-") return false;
     return std::nullopt;
 }
 
-template <class T>
-std::optional<T> to_one_of(const std::string& s, std::initializer_list<std::pair<const char*, T>> names) {
-    for (const auto& [name, value] : names) {
-        if (s == name) return value;
+template <class Value, std::size_t count>
+std::optional<Value> to_one_of(const std::string& text, const std::array<NamedValue<Value>, count>& words) {
+    for (const auto& word : words) {
+        if (text == word.name) return word.value;
     }
     return std::nullopt;
 }
--- a/src/settings/xml.cpp
+++ b/src/settings/xml.cpp
@@ -15,37 +15,52 @@
 namespace gorsenotch::settings {
 namespace {
 
-xmlNode* node(void* n) { return static_cast<xmlNode*>(n); }
-const xmlChar* x(const char* s) { return reinterpret_cast<const xmlChar*>(s); }
-
-std::string trimmed(std::string s) {
-    while (!s.empty() && (s.back() == '\n' || s.back() == ' ')) s.pop_back();
-    // The schema's namespace says nothing to a reader.
-    const std::string space = "{urn:gorsenotch:1}";
-    for (std::size_t at; (at = s.find(space)) != std::string::npos;) s.erase(at, space.size());
-    return s;
+constexpr std::size_t kMaxFaults = 100;  // of one file, so that a broken one does not fill the log
+constexpr std::size_t kMaxFileMib = 16;
+constexpr std::size_t kMaxFileBytes = kMaxFileMib * 1024 * 1024;
+
+xmlNode* node(void* untyped) { return static_cast<xmlNode*>(untyped); }
+const xmlChar* xml_text(const char* text) { return reinterpret_cast<const xmlChar*>(text); }
+
+// Without the line's end, and without the schema's namespace, which says nothing to a reader.
+std::string trimmed(std::string message) {
+    while (!message.empty() && (message.back() == '\n' || message.back() == ' ')) message.pop_back();
+    const std::string name_space = "{urn:gorsenotch:1}";
+    for (auto at = message.find(name_space); at != std::string::npos; at = message.find(name_space))
+        message.erase(at, name_space.size());
+    return message;
 }
 
-void note(void* into, xmlErrorPtr e) {
+// libxml2's callback; `into` is the vector of faults.
+void add_fault(void* into, xmlErrorPtr error) {
     auto& faults = *static_cast<std::vector<FileFault>*>(into);
-    if (faults.size() >= 100) return;
-    std::string reason = trimmed(e->message ? e->message : "unknown fault");
+    if (faults.size() >= kMaxFaults) return;
+    std::string reason = trimmed(error->message ? error->message : "unknown fault");
     std::string element;
-    if (e->node) element = reinterpret_cast<const char*>(static_cast<xmlNode*>(e->node)->name);
+    if (error->node) element = reinterpret_cast<const char*>(static_cast<xmlNode*>(error->node)->name);
     const std::string prefix = "Element '" + element + "'";
     if (!element.empty() && reason.rfind(prefix, 0) == 0)
         reason.erase(0, prefix.size() + 2);  // and ": " or ", "
-    faults.push_back({e->line, element, reason});
+    faults.push_back({error->line, element, reason});
 }
 
+// Parsed once, and kept for the life of the process.
 xmlSchemaPtr schema() {
-    static xmlSchemaPtr s = [] {
+    static xmlSchemaPtr parsed = [] {
         auto* parser = xmlSchemaNewMemParserCtxt(kSchema, static_cast<int>(std::strlen(kSchema)));
         auto* made = xmlSchemaParse(parser);
         xmlSchemaFreeParserCtxt(parser);
         return made;
     }();
-    return s;
+    return parsed;
+}
+
+void validate(xmlDoc* document, std::vector<FileFault>& faults) {
+    auto* valid = xmlSchemaNewValidCtxt(schema());
+    xmlSchemaSetValidStructuredErrors(valid, add_fault, &faults);
+    xmlSchemaSetValidOptions(valid, XML_SCHEMA_VAL_VC_I_CREATE);  // fill in defaults
+    xmlSchemaValidateDoc(valid, document);
+    xmlSchemaFreeValidCtxt(valid);
 }
 
 }  // namespace
@@ -62,32 +77,36 @@
 
 std::string Element::name() const { return reinterpret_cast<const char*>(node(node_)->name); }
 int Element::line() const { return static_cast<int>(xmlGetLineNo(node(node_))); }
-bool Element::has(const char* a) const { return node_ && xmlHasProp(node(node_), x(a)) != nullptr; }
+bool Element::has(const char* attribute) const {
+    return node_ && xmlHasProp(node(node_), xml_text(attribute)) != nullptr;
+}
 
-std::string Element::text(const char* a) const {
+std::string Element::text(const char* attribute) const {
     if (!node_) return {};
-    xmlChar* value = xmlGetProp(node(node_), x(a));
+    xmlChar* value = xmlGetProp(node(node_), xml_text(attribute));
     if (!value) return {};
-    std::string s = reinterpret_cast<const char*>(value);
+    std::string copy = reinterpret_cast<const char*>(value);
     xmlFree(value);
-    return s;
+    return copy;
 }
 
-double Element::number(const char* a) const {
-    const std::string s = text(a);
-    const char* from = s.data();
-    while (from < s.data() + s.size() && (*from == ' ' || *from == '+' || *from == '\n' || *from == '\t'))
-        ++from;
-    double v = 0;
-    std::from_chars(from, s.data() + s.size(), v);
-    return v;
+double Element::number(const char* attribute) const {
+    const std::string value = text(attribute);
+    const char* from = value.data();
+    const char* const value_end = value.data() + value.size();
+    while (from < value_end && (*from == ' ' || *from == '+' || *from == '\n' || *from == '\t')) ++from;
+    double number = 0;
+    std::from_chars(from, value_end, number);
+    return number;
 }
 
-std::uint64_t Element::large(const char* a) const { return std::strtoull(text(a).c_str(), nullptr, 10); }
+std::uint64_t Element::large(const char* attribute) const {
+    return std::strtoull(text(attribute).c_str(), nullptr, 10);
+}
 
-bool Element::yes(const char* a) const {
-    const std::string s = text(a);
-    return s == "true" || s == "1";
+bool Element::yes(const char* attribute) const {
+    const std::string value = text(attribute);
+    return value == "true" || value == "1";
 }
 
 Element Element::child(const char* name) const {
@@ -98,9 +117,10 @@
 std::vector<Element> Element::children(const char* name) const {
     std::vector<Element> all;
     if (!node_) return all;
-    for (xmlNode* c = node(node_)->children; c; c = c->next) {
-        if (c->type != XML_ELEMENT_NODE) continue;
-        if (!name || std::strcmp(reinterpret_cast<const char*>(c->name), name) == 0) all.emplace_back(c);
+    for (xmlNode* child = node(node_)->children; child; child = child->next) {
+        if (child->type != XML_ELEMENT_NODE) continue;
+        if (!name || std::strcmp(reinterpret_cast<const char*>(child->name), name) == 0)
+            all.emplace_back(child);
     }
     return all;
 }
@@ -108,9 +128,9 @@
 Document::~Document() {
     if (doc_) xmlFreeDoc(static_cast<xmlDoc*>(doc_));
 }
-Document::Document(Document&& o) noexcept : doc_(std::exchange(o.doc_, nullptr)) {}
-Document& Document::operator=(Document&& o) noexcept {
-    std::swap(doc_, o.doc_);
+Document::Document(Document&& other) noexcept : doc_(std::exchange(other.doc_, nullptr)) {}
+Document& Document::operator=(Document&& other) noexcept {
+    std::swap(doc_, other.doc_);
     return *this;
 }
 Element Document::root() const { return Element(xmlDocGetRootElement(static_cast<xmlDoc*>(doc_))); }
@@ -118,37 +138,34 @@
 std::unique_ptr<Document> Document::parse(std::string_view text, const char* root,
                                           std::vector<FileFault>& faults) {
     const std::size_t before = faults.size();
-    auto* ctxt = xmlNewParserCtxt();
+    auto* context = xmlNewParserCtxt();
     // The errors of this parse alone are gathered; nothing is printed.
-    xmlSetStructuredErrorFunc(&faults, note);
-    xmlDoc* doc = xmlCtxtReadMemory(ctxt, text.data(), static_cast<int>(text.size()), nullptr, nullptr,
-                                    XML_PARSE_NONET | XML_PARSE_BIG_LINES);
-    xmlFreeParserCtxt(ctxt);
-    std::unique_ptr<Document> d(new Document);
-    d->doc_ = doc;
-    if (!doc && faults.size() == before) faults.push_back({0, "", "not an XML document"});
-    if (doc && doc->intSubset) faults.push_back({0, "", "a document type declaration is not allowed"});
+    xmlSetStructuredErrorFunc(&faults, add_fault);
+    xmlDoc* parsed = xmlCtxtReadMemory(context, text.data(), static_cast<int>(text.size()), nullptr, nullptr,
+                                       XML_PARSE_NONET | XML_PARSE_BIG_LINES);
+    xmlFreeParserCtxt(context);
+    std::unique_ptr<Document> document(new Document);
+    document->doc_ = parsed;
+    if (!parsed && faults.size() == before) faults.push_back({0, "", "not an XML document"});
+    if (parsed && parsed->intSubset) faults.push_back({0, "", "a document type declaration is not allowed"});
     if (faults.size() == before) {
-        const Element top = d->root();
+        const Element top = document->root();
         if (!top || top.name() != root) {
             faults.push_back({top ? top.line() : 0, top ? top.name() : "",
                               std::string("the outermost element should be '") + root + "'"});
         } else {
-            auto* valid = xmlSchemaNewValidCtxt(schema());
-            xmlSchemaSetValidStructuredErrors(valid, note, &faults);
-            xmlSchemaSetValidOptions(valid, XML_SCHEMA_VAL_VC_I_CREATE);  // fill in defaults
-            xmlSchemaValidateDoc(valid, doc);
-            xmlSchemaFreeValidCtxt(valid);
+            validate(parsed, faults);
         }
     }
     xmlSetStructuredErrorFunc(nullptr, nullptr);
     if (faults.size() != before) return nullptr;
-    return d;
+    return document;
 }
 
 std::unique_ptr<Document> Document::load(const std::string& file, const char* root,
                                          std::vector<FileFault>& faults) {
-    std::string text, why;
+    std::string text;
+    std::string why;
     if (!read_file(file, text, why)) {
         faults.push_back({0, "", why});
         return nullptr;
@@ -164,8 +181,8 @@
         return false;
     }
     out = all.str();
-    if (out.size() <= 16 * 1024 * 1024) return true;
-    why = "the file is larger than 16 MiB";
+    if (out.size() <= kMaxFileBytes) return true;
+    why = "the file is larger than " + std::to_string(kMaxFileMib) + " MiB";
     return false;
 }
 
--- a/src/settings/xml.h
+++ b/src/settings/xml.h
@@ -1,7 +1,7 @@
 // XML files checked by a schema: libxml2, wrapped once. The schema is compiled into the program.
 //
 // External entities, DTDs from outside and the network are off; a document type declaration is refused.
-// All faults of a file are told at once, each with its line.
+// All faults of a file are reported at once, each with its line.
 #pragma once
 
 #include <memory>
@@ -11,9 +11,11 @@
 
 namespace gorsenotch::settings {
 
+// What is wrong with a file.
 struct FileFault {
-    int line = 0;  // 0: of the whole file
-    std::string element, reason;
+    int line = 0;         // 0: of the whole file
+    std::string element;  // its name; empty: of the whole file
+    std::string reason;
 };
 
 // "FILE:LINE: element: reason", a line each.
@@ -40,6 +42,7 @@
     void* node_;
 };
 
+// Owns a parsed document that the schema allows.
 class Document {
 public:
     ~Document();
@@ -58,7 +61,7 @@
     void* doc_ = nullptr;
 };
 
-// Reads a whole file; false and `why` if it can't be read or is larger than 16 MiB.
+// Reads all of a file; false and `why` if it can't be read or is larger than 16 MiB.
 bool read_file(const std::string& file, std::string& out, std::string& why);
 
 }  // namespace gorsenotch::settings
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -18,7 +18,7 @@
 std::string play(const std::string& input) {
     std::istringstream in(input);
     std::ostringstream out;
-    Host(in, out).run();
+    Session(in, out).run();
     return out.str();
 }
 
@@ -33,7 +33,7 @@
 
 TEST(Wire, AnEmptyBatchIsAnsweredByYield) { EXPECT_EQ(play("clock\t1\nover_to_you\n\n"), "yield\n"); }
 
-TEST(Wire, ARequestIsSentToTheReader) {
+TEST(Wire, ARequestIsSentToThePrefillEndpoint) {
     const std::string reply = play(
         std::string("clock\t10\n") + kInit + kList +
         "knock\tgateway_1\tid-1\ttalk\t-\t3\t5010\t-\t-\t100\t0\t50\t0\nsomething_new\tx\nover_to_you\n");
@@ -49,7 +49,7 @@
     EXPECT_EQ(reply.find("attempt"), std::string::npos);
 }
 
-TEST(Wire, SettingsThatCannotBeMetAreABug) {
+TEST(Wire, SettingsThatTheRouterRefusesAreReported) {
     const std::string reply = play("clock\t1\ninit\tgateway_1\t7\tLanes.count=0\nover_to_you\n");
     EXPECT_EQ(reply.rfind("bug\tgateway_1\t", 0), 0u);
 }
