--- a/src/fault_scenario/plan.cpp
+++ b/src/fault_scenario/plan.cpp
@@ -1,92 +1,147 @@
+#include "fault_scenario/plan.h"
+
 #include <algorithm>
 #include <filesystem>
-
-#include "fault_scenario/scenario.h"
+#include <map>
 
 namespace gorsenotch::fault_scenario {
 
 namespace {
 
-int index(const settings::Element& element, const char* attribute, const std::vector<std::string>& names,
-          std::vector<settings::FileFault>& faults) {
+// Reads the elements of one day file against its settings, and gathers their errors.
+class PlanReader {
+public:
+    PlanReader(ScenarioPlan& plan, std::vector<settings::FileFault>& errors)
+        : plan_(plan), program_(plan.program), errors_(errors) {}
+
+    EnginePool read_pool(const settings::Element& element);
+    Load read_load(const settings::Element& element);
+    Fault read_fault(const settings::Element& element);
+
+private:
+    // The index of the attribute's name among `names`; 0, with an error, if it is none of them.
+    int index_of(const settings::Element& element, const char* attribute,
+                 const std::vector<std::string>& names);
+    void add_error(const settings::Element& element, const std::string& message) {
+        errors_.push_back({element.line(), element.name(), message});
+    }
+
+    const ScenarioPlan& plan_;
+    const settings::Program& program_;
+    std::vector<settings::FileFault>& errors_;
+};
+
+int PlanReader::index_of(const settings::Element& element, const char* attribute,
+                         const std::vector<std::string>& names) {
     const std::string name = element.text(attribute);
     const auto it = std::find(names.begin(), names.end(), name);
     if (it != names.end()) return static_cast<int>(it - names.begin());
-    faults.push_back(
-        {element.line(), element.name(), std::string(attribute) + ": the settings have no '" + name + "'"});
+    add_error(element, std::string(attribute) + ": the settings have no '" + name + "'");
     return 0;
 }
 
+EnginePool PlanReader::read_pool(const settings::Element& element) {
+    EnginePool pool;
+    pool.kind = index_of(element, "kind", program_.kinds);
+    pool.zone = index_of(element, "zone", program_.zones);
+    pool.count = element.whole("count");
+    pool.cell = element.large("cell");
+    if (!program_.fake_engines.count(pool.kind))
+        add_error(element, "the settings say nothing of stand-ins of this kind");
+    return pool;
+}
+
+Load PlanReader::read_load(const settings::Element& element) {
+    Load load;
+    load.tenant = program_.tenants[static_cast<std::size_t>(index_of(element, "tenant", program_.tenants))];
+    load.key = element.text("key");
+    if (settings::tenant_of(program_, load.key) < 0) add_error(element, "key: no tenant has it");
+    load.cls = program_.classes[static_cast<std::size_t>(index_of(element, "class", program_.classes))];
+    load.model = program_.models.front();
+    load.per_s = element.number("per-s");
+    load.impatient = element.number("impatient");
+    load.prompt_tokens = element.whole("prompt-tokens");
+    load.prefix_tokens = element.whole("prefix-tokens");
+    load.prefixes = element.whole("prefixes");
+    load.max_tokens = element.whole("max-tokens");
+    load.turns = element.whole("turns");
+    load.retries = element.whole("retries");
+    load.think = element.number("think-ms");
+    load.patience = element.number("patience-ms");
+    load.stream = element.yes("stream");
+    load.keyed = element.yes("keyed");
+    load.from = element.number("from-ms");
+    load.until = element.number("until-ms");
+    if (load.from >= plan_.length || (load.until > 0 && load.until <= load.from))
+        add_error(element, "nothing would arrive between from-ms and until-ms");
+    for (const auto& [kind, fake_engine] : program_.fake_engines) {
+        const Role role = program_.router.kinds[static_cast<std::size_t>(kind)].role;
+        if (role != Role::prefill) load.usual_answer = fake_engine.answer_tokens;
+    }
+    return load;
+}
+
+Fault PlanReader::read_fault(const settings::Element& element) {
+    // What the file calls a trouble that is not an order to an engine.
+    static const std::map<std::string, FaultKind> kinds_by_word = {
+        {"crash", FaultKind::crash_engine},
+        {"drain", FaultKind::drain_engine},
+        {"cut", FaultKind::cut_zone},
+        {"kill-gateway", FaultKind::kill_gateway},
+        {"stop-gateway", FaultKind::suspend_gateway},
+        {"starve-gateways", FaultKind::suspend_gateways},
+    };
+    Fault fault;
+    const std::string what = element.text("what");
+    const auto kind = kinds_by_word.find(what);
+    fault.kind = kind == kinds_by_word.end() ? FaultKind::order_engine : kind->second;
+    if (fault.kind == FaultKind::order_engine)
+        fault.engine_order = what == "late-reports" ? "late_reports" : what;
+    fault.at = element.number("at-ms");
+    fault.length = element.number("for-ms");
+    fault.part = element.number("part");
+    fault.size = element.number("size");
+    fault.notice = element.number("notice-ms");
+    if (element.has("kind")) fault.engine_kind = index_of(element, "kind", program_.kinds);
+    if (element.has("zone")) fault.zone = index_of(element, "zone", program_.zones);
+    if (element.has("cell")) fault.cell = element.large("cell");
+    if (element.has("class"))
+        fault.cls = program_.classes[static_cast<std::size_t>(index_of(element, "class", program_.classes))];
+    if (fault.kind == FaultKind::cut_zone && !fault.zone) add_error(element, "a cut needs its zone");
+    if (fault.at >= plan_.length) add_error(element, "at-ms is past the day's end");
+    return fault;
+}
+
 }  // namespace
 
-std::optional<ScenarioPlan> load_plan(const std::string& file, std::string& out) {
-    std::vector<settings::FileFault> faults;
-    const auto doc = settings::Document::load(file, "day", faults);
-    if (!doc) return out = settings::render(file, faults), std::nullopt;
-    const auto root = doc->root();
+std::optional<ScenarioPlan> load_plan(const std::string& file, std::string& errors) {
+    std::vector<settings::FileFault> found;
+    const auto document = settings::Document::load(file, "day", found);
+    if (!document) {
+        errors = settings::render(file, found);
+        return std::nullopt;
+    }
+    const auto root = document->root();
     ScenarioPlan plan;
     plan.name = root.text("name");
     plan.settings_file = (std::filesystem::path(file).parent_path() / root.text("settings")).string();
     plan.length = root.number("length-ms");
     plan.seed = root.large("seed");
-    auto program = settings::load(plan.settings_file, faults);
-    if (!program) return out = settings::render(plan.settings_file, faults), std::nullopt;
+    auto program = settings::load(plan.settings_file, found);
+    if (!program) {
+        errors = settings::render(plan.settings_file, found);
+        return std::nullopt;
+    }
     plan.program = std::move(*program);
-    const auto& p = plan.program;
     plan.gateways = root.child("gateways").whole("count");
-    for (const auto& element : root.children("engines")) {
-        EnginePool pool;
-        pool.kind = index(element, "kind", p.kinds, faults),
-        pool.zone = index(element, "zone", p.zones, faults);
-        pool.count = element.whole("count"), pool.cell = element.large("cell");
-        if (!p.fake_engines.count(pool.kind))
-            faults.push_back(
-                {element.line(), element.name(), "the settings say nothing of stand-ins of this kind"});
-        plan.pools.push_back(pool);
-    }
-    for (const auto& element : root.children("load")) {
-        Load l;
-        l.tenant = p.tenants[static_cast<std::size_t>(index(element, "tenant", p.tenants, faults))];
-        l.key = element.text("key");
-        if (settings::tenant_of(p, l.key) < 0)
-            faults.push_back({element.line(), element.name(), "key: no tenant has it"});
-        l.cls = p.classes[static_cast<std::size_t>(index(element, "class", p.classes, faults))];
-        l.model = p.models.front();
-        l.per_s = element.number("per-s"), l.impatient = element.number("impatient");
-        l.prompt_tokens = element.whole("prompt-tokens"), l.prefix_tokens = element.whole("prefix-tokens");
-        l.prefixes = element.whole("prefixes"), l.max_tokens = element.whole("max-tokens"),
-        l.turns = element.whole("turns");
-        l.retries = element.whole("retries"), l.think = element.number("think-ms"),
-        l.patience = element.number("patience-ms");
-        l.stream = element.yes("stream"), l.keyed = element.yes("keyed");
-        l.from = element.number("from-ms"), l.until = element.number("until-ms");
-        if (l.from >= plan.length || (l.until > 0 && l.until <= l.from))
-            faults.push_back(
-                {element.line(), element.name(), "nothing would arrive between from-ms and until-ms"});
-        for (const auto& [kind, s] : p.fake_engines) {
-            if (p.router.kinds[static_cast<std::size_t>(kind)].role != Role::prefill)
-                l.usual_answer = s.answer_tokens;
-        }
-        plan.loads.push_back(l);
-    }
-    for (const auto& element : root.children("trouble")) {
-        Fault fault;
-        fault.what = element.text("what"), fault.at = element.number("at-ms"),
-        fault.length = element.number("for-ms");
-        fault.part = element.number("part"), fault.size = element.number("size"),
-        fault.notice = element.number("notice-ms");
-        if (element.has("kind")) fault.kind = index(element, "kind", p.kinds, faults);
-        if (element.has("zone")) fault.zone = index(element, "zone", p.zones, faults);
-        if (element.has("cell")) fault.cell = static_cast<long>(element.large("cell"));
-        if (element.has("class"))
-            fault.cls = p.classes[static_cast<std::size_t>(index(element, "class", p.classes, faults))];
-        if (fault.what == "cut" && fault.zone < 0)
-            faults.push_back({element.line(), element.name(), "a cut needs its zone"});
-        if (fault.at >= plan.length)
-            faults.push_back({element.line(), element.name(), "at-ms is past the day's end"});
-        plan.faults.push_back(fault);
+    PlanReader reader(plan, found);
+    for (const auto& element : root.children("engines")) plan.pools.push_back(reader.read_pool(element));
+    for (const auto& element : root.children("load")) plan.loads.push_back(reader.read_load(element));
+    for (const auto& element : root.children("trouble")) plan.faults.push_back(reader.read_fault(element));
+    if (!found.empty()) {
+        errors = settings::render(file, found);
+        return std::nullopt;
     }
-    if (!faults.empty()) return out = settings::render(file, faults), std::nullopt;
     return plan;
 }
 
--- a/src/fault_scenario/scenario.h
+++ b/src/fault_scenario/scenario.h
@@ -1,5 +1,6 @@
-// A bad day: starts gateways, stand-ins and clients as processes of their own on loopback, plays the traffic
-// and the troubles of a day file, then judges the rules from the records.
+// A fault scenario: starts gateways, fake engines and clients as processes of their own on loopback, plays
+// the traffic and the faults of a plan, then checks the invariants from the records of what their sockets
+// carried.
 #pragma once
 
 #include <functional>
@@ -11,41 +12,13 @@
 #include <string>
 #include <vector>
 
-#include "fault_scenario/scripted_clients.h"
+#include "fault_scenario/plan.h"
 #include "invariants/record_checker.h"
 #include "net/child_process.h"
 #include "net/event_loop.h"
-#include "settings/settings.h"
 
 namespace gorsenotch::fault_scenario {
 
-struct EnginePool {
-    int kind = 0, zone = 0, count = 1;
-    std::uint64_t cell = 0;
-};
-
-struct Fault {
-    std::string what, cls;
-    Millis at = 0, length = 0, notice = 300;
-    double part = 1, size = 1;
-    int kind = -1, zone = -1;
-    long cell = -1;
-};
-
-struct ScenarioPlan {
-    std::string name, settings_file;
-    settings::Program program;
-    Millis length = 10000;
-    std::uint64_t seed = 1;
-    int gateways = 2;
-    std::vector<EnginePool> pools;
-    std::vector<Load> loads;
-    std::vector<Fault> faults;
-};
-
-// Null and faults (with the file they stand in) if anything is wrong.
-std::optional<ScenarioPlan> load_plan(const std::string& file, std::string& faults);
-
 struct ScenarioOptions {
     std::string self;  // this program's own file
     std::string out;   // folder for records and logs; made anew
@@ -54,61 +27,95 @@
 
 struct ScenarioResult {
     invariants::Verdict verdict;
-    std::string error;         // the day could not be played, or a process died by itself
-    bool interrupted = false;  // a signal stopped it; nothing was judged
-    bool system = false;       // a process could not be started; nothing was judged
+    std::string error;         // the scenario could not be played, or a process died by itself
+    bool interrupted = false;  // a signal stopped it; there is no verdict
+    bool system = false;       // a process could not be started; there is no verdict
     double seconds = 0;
 };
 
+// Owns the loop and all processes of one run. Its code stands in four files: scenario.cpp (a run from start
+// to verdict), scenario_processes.cpp (how processes are started), scenario_faults.cpp, scenario_lists.cpp.
 class Scenario {
 public:
     Scenario(ScenarioPlan plan, ScenarioOptions options);
     ~Scenario();
+    // Plays the plan once and returns when every process has ended.
     ScenarioResult run();
 
 private:
-    struct Server;
-    struct Gate;
-    void start_server(Server& s, bool cold);
-    void start_gate(Gate& g);
-    void start_clients();
-    void record_notice(net::ChildProcess& child);
-    void could_not_start(const std::string& what, const std::string& log, int status, int signal);
-    void play(const Fault& fault, std::size_t number);
-    std::vector<Server*> affected_servers(const Fault& fault, std::mt19937_64& random);
-    void crash(Server& s, const Fault& fault);
-    void drain(Server& s, const Fault& fault);
-    void cut(int zone, bool on);
-    void kill_gate(const Fault& fault, std::mt19937_64& random);
-    void stop_gate(Gate& g, Millis length);
-    void starve_gateway(const Fault& fault, Millis until, std::size_t turn);
-    void order(const Server& s, invariants::Json order);
-    void write_lists(Millis notice);
-    void write_list(Gate& g);
-    void clients_done();
-    void stop_gates();
+    struct EngineProcess;
+    struct GatewayProcess;
+
+    // The run (scenario.cpp).
+    bool make_folders();
+    void start_engines();
+    void start_gateways();
+    void on_processes_ready();
+    void on_clients_done();
+    void stop_gateways();
+    void on_interrupt();
+    void on_start_timeout();
+    void fail_system(const std::string& error);
     void end();
-    void later(Millis delay, std::function<void()> what);
-    std::string place(int zone, int n) const;
+    void check_records(ScenarioResult& result) const;
+    void schedule(Millis delay, std::function<void()> task);
+
+    // Addresses and processes (scenario_processes.cpp).
+    std::string loopback_address(int network, int host) const;
     std::vector<std::string> free_addresses(const std::string& host, std::size_t count);
-    void place_server(Server& server);
+    void assign_addresses(EngineProcess& engine);
+    std::string dedup_folder(const Endpoint& endpoint) const;
+    void start_engine(EngineProcess& engine, bool cold);
+    void start_gateway(GatewayProcess& gateway);
+    void on_gateway_exit(GatewayProcess& gateway, const std::string& log, int status, int signal);
+    void start_clients();
+    void start_client(std::size_t index, const std::string& gateways);
+    std::vector<std::string> client_arguments(std::size_t index, const std::string& gateways) const;
+    void await_ready(net::ChildProcess& process);
+    void on_start_failure(const std::string& name, const std::string& log, int status, int signal);
+
+    // Faults (scenario_faults.cpp).
+    void play(const Fault& fault, std::size_t number);
+    void play_engine_fault(EngineProcess& engine, const Fault& fault);
+    std::vector<EngineProcess*> affected_engines(const Fault& fault, std::mt19937_64& random);
+    GatewayProcess* random_running_gateway(std::mt19937_64& random);
+    void crash_engine(EngineProcess& engine, const Fault& fault);
+    void drain_engine(EngineProcess& engine, const Fault& fault);
+    void replace_engine(EngineProcess& engine, Millis notice);
+    void set_cut(int zone, bool on);
+    void record_cut(const EngineProcess& engine, int zone);
+    void kill_gateway(GatewayProcess& gateway, const Fault& fault);
+    void suspend_gateway(GatewayProcess& gateway, Millis length);
+    void suspend_in_turn(const Fault& fault, Millis until, std::size_t turn);
+    void send_order(const EngineProcess& engine, const invariants::Json& order);
+
+    // Endpoint lists (scenario_lists.cpp).
+    void write_lists_after(Millis delay);
+    void write_list(GatewayProcess& gateway);
+    void record_list(GatewayProcess& gateway, const std::vector<settings::Engine>& engines, Millis before,
+                     Millis after);
 
     ScenarioPlan plan_;
     ScenarioOptions options_;
     net::EventLoop loop_;
-    std::unique_ptr<net::TcpListener> claim_;  // says that this day's addresses are taken
+    std::unique_ptr<net::TcpListener> network_lock_;  // shows other runs that the addresses are taken
     std::unique_ptr<invariants::Recorder> recorder_;
-    std::vector<std::unique_ptr<Server>> servers_;
-    std::vector<std::unique_ptr<Gate>> gates_;
+    std::vector<std::unique_ptr<EngineProcess>> engines_;
+    std::vector<std::unique_ptr<GatewayProcess>> gateways_;
     std::vector<std::unique_ptr<net::ChildProcess>> clients_;
     std::list<std::unique_ptr<net::Timer>> timers_;
-    std::list<std::unique_ptr<net::TcpStream>> calls_;
+    std::list<std::unique_ptr<net::TcpStream>> orders_;  // connections to engines' control ports
     std::uint64_t seed_ = 1;
-    int octet_ = 1, clients_out_ = 0, next_place_ = 0;
-    std::size_t starting_ = 0;  // processes that do not listen yet, before the clients come
-    bool playing_ = false, interrupted_ = false, system_ = false;
-    EndpointId next_id_ = 0;
-    bool ended_ = false, stopping_ = false;
+    int second_octet_ = 1;  // of all addresses of this run: 127.N.x.y
+    int running_clients_ = 0;
+    int next_engine_host_ = 0;
+    EndpointId next_engine_id_ = 0;
+    std::size_t awaited_ready_ = 0;  // processes that do not listen yet, before the clients start
+    bool playing_ = false;           // all processes listen
+    bool stopping_ = false;          // the gateways have got SIGTERM
+    bool ended_ = false;
+    bool interrupted_ = false;
+    bool system_ = false;
     std::string error_;
 };
 
