--- a/src/platform/endpoint_watcher.cpp
+++ b/src/platform/endpoint_watcher.cpp
@@ -40,7 +40,7 @@
     start_call();
 }
 
-// Guards against a discovery that is slower than the time between two tries and would never be heard. May do
+// Guards against a discovery that is slower than the time between two tries and would never be read. May do
 // harm by a call more at an agent that is crowded.
 void EndpointWatcher::successor_overdue() {
     const bool spent = late_call_ && net::now() - late_call_->began >= config_.slow_list_timeout;
@@ -77,9 +77,9 @@
     retry_timer_.fire_after(config_.retry_backoff * jitter);
 }
 
-void EndpointWatcher::send_poll(Call& call, bool whole) {
+void EndpointWatcher::send_poll(Call& call, bool full_list) {
     std::string target = "/api/targets";
-    if (!whole) {
+    if (!full_list) {
         target += "?from=" + std::to_string(*known_version_) +
                   "&hold_ms=" + std::to_string(static_cast<long>(config_.poll_hold));
     }
@@ -98,8 +98,8 @@
     }
 }
 
-// Guards against a list that comes slowly, in pieces or to a starved process, and is given up each time: then
-// no list would ever be taken. May do harm by one that trickles, up to `slowest` each time.
+// Guards against a list that comes slowly, in pieces or to a starved process, and is ended each time: then
+// no list would ever be taken. May do harm by one that trickles, up to slow_list_timeout each time.
 void EndpointWatcher::on_progress(Call& call) {
     if (&call == successor_.get() && net::now() - call.began < config_.slow_list_timeout)
         retry_timer_.fire_after_poll(config_.full_list_timeout);
@@ -112,7 +112,7 @@
     call.body.clear();
     const auto from =
         on_list(body, !last_answered_address_.empty() && last_answered_address_ != call.address);
-    if (!from) return on_call_failed(call, "");  // told by who refused it
+    if (!from) return on_call_failed(call, "");  // reported by whoever rejected it
     known_version_ = from;
     last_answered_address_ = call.address;
     fault_reported_ = false;
@@ -130,7 +130,8 @@
     send_poll(call, false);
 }
 
-// What is held goes on; the next try is soon, as what discovery has to tell counts as told.
+// The list in force stays; the next try is soon, as what discovery has to say counts from when it could be
+// read.
 void EndpointWatcher::on_call_failed(Call& call, const std::string& why) {
     if (!why.empty()) report_fault(why);
     if (&call == successor_.get()) {
--- a/src/platform/environment.h
+++ b/src/platform/environment.h
@@ -1,5 +1,4 @@
-// What the platform's pure parts ask of the process around them: the clock, connections to servers, the log.
-// Threading: one thread; start() and close() may call back into the attempt from within the call.
+// The interface to the process around: the clock, connections to endpoints, the log.
 #pragma once
 
 #include <memory>
@@ -9,21 +8,28 @@
 
 namespace gorsenotch::platform {
 
-// On which connection: a kept one, if there is one; or a new one, as kept ones may have fallen silent
-// unnoticed.
+// On which connection an exchange goes: an idle one, if there is one; or a new one, as idle ones may have
+// fallen silent unnoticed.
 enum class Connection { any, fresh };
 
+// Implemented by Node, and by tests. Times: ms on a monotonic clock. Threading: one thread; start_exchange()
+// and close() may call back into the exchange from within the call. Errors: those of a connection go to the
+// exchange.
 class Environment {
 public:
     virtual ~Environment() = default;
     virtual Millis now() = 0;  // monotonic
-    // Sends `request` on a connection there; what comes of it is told to `attempt`, perhaps at once.
+    // Sends `request` on a connection to `address`; what comes of it goes to `exchange`, which is kept until
+    // it is over.
     virtual void start_exchange(const std::string& address, std::string request,
-                                std::shared_ptr<UpstreamExchange> attempt,
+                                std::shared_ptr<UpstreamExchange> exchange,
                                 Connection connection = Connection::any) = 0;
-    virtual void pause(const UpstreamExchange& attempt, bool on) = 0;
-    virtual void close(const UpstreamExchange& attempt) = 0;
-    virtual bool has_idle_connection(const std::string& address) = 0;  // an idle connection is at hand there
+    // Stops or resumes reading the response.
+    virtual void pause(const UpstreamExchange& exchange, bool on) = 0;
+    // Closes the connection of the exchange, which hears no more of it.
+    virtual void close(const UpstreamExchange& exchange) = 0;
+    virtual bool has_idle_connection(const std::string& address) = 0;
+    // `level`: debug, info, warn or error.
     virtual void log(const char* level, const char* event, const std::string& text) = 0;
 };
 
