--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -35,20 +35,35 @@
 
 inline const std::string kStream =
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
-inline std::string chunked(const std::string& s) { return http::chunk(s); }
+inline std::string chunked(const std::string& text) { return http::chunk(text); }
 
+// Records what its request is answered with.
 struct RecordingClient : Client {
     std::string events;
-    int begun = 0, ended = 0, status = 0;
-    bool cutoff = false, closed = false;  // closed: its connection, though nobody has read that yet
+    int begun = 0;
+    int ended = 0;
+    int status = 0;
+    bool cutoff = false;
+    bool closed = false;  // its connection, though nobody has read that yet
+
     bool has_disconnected() override { return closed; }
-    void begin_stream(std::string_view e) override { ++begun, events.append(e); }
-    void send_events(std::string_view e) override { events.append(e); }
+    void begin_stream(std::string_view first) override {
+        ++begun;
+        events.append(first);
+    }
+    void send_events(std::string_view more) override { events.append(more); }
     void finish_stream() override { ++ended; }
-    void abort_stream() override { ++ended, cutoff = true; }
-    void send_final(int s, Millis, std::string_view) override { ++ended, status = s; }
+    void abort_stream() override {
+        ++ended;
+        cutoff = true;
+    }
+    void send_final(int final_status, Millis, std::string_view) override {
+        ++ended;
+        status = final_status;
+    }
 };
 
+// A clock of the test's own, and a note of each exchange that was started.
 struct FakeEnvironment : Environment {
     struct Sent {
         std::string address, request;
@@ -75,7 +90,7 @@
     }
     void pause(const platform::UpstreamExchange&, bool) override {}
     void close(const platform::UpstreamExchange& exchange) override {
-        for (auto& s : sent) s.closed |= s.attempt.get() == &exchange;
+        for (Sent& each : sent) each.closed |= each.attempt.get() == &exchange;
     }
     bool has_idle_connection(const std::string&) override { return false; }
     void log(const char*, const char*, const std::string&) override {}
@@ -121,9 +136,9 @@
     void answer(const std::string& bytes) { last().attempt->on_data(bytes); }
     void answer_prefill() { answer("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}"); }
     std::size_t releases() const {
-        return static_cast<std::size_t>(
-            std::count_if(world.sent.begin(), world.sent.end(),
-                          [](const auto& s) { return s.request.rfind("DELETE /bootstrap/rooms/", 0) == 0; }));
+        return static_cast<std::size_t>(std::count_if(
+            world.sent.begin(), world.sent.end(),
+            [](const auto& each) { return each.request.rfind("DELETE /bootstrap/rooms/", 0) == 0; }));
     }
     void drain_decode_endpoint(bool on = true) {
         list(
