--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -67,7 +67,7 @@
     std::unique_ptr<net::TcpStream> stream;
     std::string got;
     bool ended = false;
-    RawClient(net::EventLoop& loop, const std::string& address, std::string bytes, bool read = true) {
+    RawClient(net::EventLoop& loop, const std::string& address, const std::string& bytes, bool read = true) {
         stream = std::make_unique<net::TcpStream>(loop);
         stream->on_data = [this](std::string_view b) { got += b; };
         stream->on_end = [this](int) { ended = true; };
@@ -468,6 +468,7 @@
     if (setrlimit(RLIMIT_NOFILE, &few) != 0) GTEST_SKIP() << "limits can't be set here";
     begin();  // (150 - 32) * 2 / 5 = 47 connections
     std::vector<std::unique_ptr<RawClient>> idle;
+    idle.reserve(47);
     for (int i = 0; i < 47; ++i) idle.push_back(std::make_unique<RawClient>(loop, address(), ""));
     pass(100);
     RawClient more(loop, address(), post(false));
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -292,7 +292,10 @@
 }
 
 TEST_F(CoreTest, EndAllGivesEachItsAnswerAndLetsGo) {
-    FakeClient reading, waiting, streaming, once;
+    FakeClient reading;
+    FakeClient waiting;
+    FakeClient streaming;
+    FakeClient once;
     arrive(streaming);
     read_done();
     answer(last(), stream_head() + delta("a"));
@@ -317,9 +320,9 @@
 void run_random(std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const auto dice = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
-    CoreBench b;
-    b.p.router.cancellation = dice(4) > 0;
-    b.begin(seed);
+    CoreBench bench;
+    bench.p.router.cancellation = dice(4) > 0;
+    bench.begin(seed);
     struct Known {
         std::unique_ptr<FakeClient> client = std::make_unique<FakeClient>();
         std::string id;
@@ -358,68 +361,73 @@
         const int what = dice(20);
         if (what < 4 && all.size() < 40) {
             all.emplace_back();
-            auto& k = all.back();
-            k.stream = dice(3) > 0;
+            auto& known = all.back();
+            known.stream = dice(3) > 0;
             const int cls = dice(3);
             const Millis patience = dice(3) ? 0 : 200 + dice(2000);
-            k.patient = patience > 0;
-            k.deadline = b.world.clock + (patience > 0 ? std::min(patience, 3000.0) : 3000.0);
-            k.id = b.arrive(*k.client, cls, k.stream, patience);
-        } else if (what < 13 && !b.world.sent.empty()) {
-            const auto n = static_cast<std::size_t>(dice(static_cast<int>(b.world.sent.size())));
-            Sent sent = b.world.sent[n];
+            known.patient = patience > 0;
+            known.deadline = bench.world.clock + (patience > 0 ? std::min(patience, 3000.0) : 3000.0);
+            known.id = bench.arrive(*known.client, cls, known.stream, patience);
+        } else if (what < 13 && !bench.world.sent.empty()) {
+            const auto n = static_cast<std::size_t>(dice(static_cast<int>(bench.world.sent.size())));
+            Sent sent = bench.world.sent[n];
             step(sent, 4 + dice(3) - (dice(6) ? 0 : 4 + dice(3)));
         } else if (what == 13 && !all.empty()) {
-            auto& k = all[static_cast<std::size_t>(dice(static_cast<int>(all.size())))];
-            if (k.client->finals == 0) k.client->gone = true;
-            b.core->on_client_disconnected(k.id);
+            auto& known = all[static_cast<std::size_t>(dice(static_cast<int>(all.size())))];
+            if (known.client->finals == 0) known.client->gone = true;
+            bench.core->on_client_disconnected(known.id);
         } else if (what == 14) {
-            auto engines = b.engines;
+            auto engines = bench.engines;
             for (auto& engine : engines) {
                 if (dice(3) == 0)
                     engine.endpoint.status = dice(2) ? EndpointStatus::removed : EndpointStatus::draining;
             }
-            b.core->on_endpoint_list(engines, dice(2));
+            bench.core->on_endpoint_list(engines, dice(2));
         } else if (what == 15 && !all.empty()) {
-            b.core->on_client_congested(all[static_cast<std::size_t>(dice(static_cast<int>(all.size())))].id,
-                                        dice(2));
+            bench.core->on_client_congested(
+                all[static_cast<std::size_t>(dice(static_cast<int>(all.size())))].id, dice(2));
         } else {
-            b.advance(dice(4) ? dice(30) : dice(600));
+            bench.advance(dice(4) ? dice(30) : dice(600));
         }
         std::map<std::string, int> out;
-        for (const auto& sent : b.world.sent) {
+        for (const auto& sent : bench.world.sent) {
             const auto request = sent.id().substr(0, sent.id().rfind('.'));
             if (!sent.exchange->is_over() && ++out[request] > 1) FAIL() << "two attempts out for " << request;
         }
-        for (const auto& k : all) {
-            EXPECT_LE(k.client->finals, 1) << k.id;
+        for (const auto& known : all) {
+            EXPECT_LE(known.client->finals, 1) << known.id;
             // A whole answer that has begun counts as long as its client waits, which it may not have said.
-            const bool writing = !k.stream && !k.patient &&
-                                 std::any_of(b.world.sent.begin(), b.world.sent.end(), [&](const Sent& sent) {
-                                     return sent.id().rfind(k.id + ".", 0) == 0 && sent.exchange->begun();
-                                 });
-            const bool heard = k.client->finals > 0 || k.client->begun > 0 || k.client->gone || writing;
+            const bool writing =
+                !known.stream && !known.patient &&
+                std::any_of(bench.world.sent.begin(), bench.world.sent.end(), [&](const Sent& sent) {
+                    return sent.id().rfind(known.id + ".", 0) == 0 && sent.exchange->begun();
+                });
+            const bool heard =
+                known.client->finals > 0 || known.client->begun > 0 || known.client->gone || writing;
             if (!heard) {
-                EXPECT_LE(b.world.clock, k.deadline + b.p.router.answer_slack) << k.id << " unanswered";
+                EXPECT_LE(bench.world.clock, known.deadline + bench.p.router.answer_slack)
+                    << known.id << " unanswered";
             }
         }
         if (::testing::Test::HasFailure()) return;
     }
-    b.core->end_all();
-    b.advance(6000);
-    EXPECT_EQ(b.core->open(), 0u);
-    for (const auto& k : all) EXPECT_EQ(k.client->finals + (k.client->gone ? 1 : 0), 1) << k.id;
+    bench.core->end_all();
+    bench.advance(6000);
+    EXPECT_EQ(bench.core->open(), 0u);
+    for (const auto& known : all)
+        EXPECT_EQ(known.client->finals + (known.client->gone ? 1 : 0), 1) << known.id;
     // A read that was delivered leaves no state: its request's write began, or it was let go of by its id.
-    for (const auto& sent : b.world.sent) {
+    for (const auto& sent : bench.world.sent) {
         if (!sent.read() || script[sent.id()] == 0) continue;
         const auto request = sent.id().substr(0, sent.id().rfind('.'));
-        bool gone = std::any_of(b.world.let_go.begin(), b.world.let_go.end(), [&](const auto& l) {
-            return l.second == sent.id() && l.first == sent.address;
-        });
-        for (const auto& w : b.world.sent) {
-            if (w.id().rfind(request + ".", 0) == 0 && !w.read() &&
-                w.wanted.body.find("\"" + sent.id() + "\"") != std::string::npos &&
-                (w.exchange->begun() || script[w.id()] >= 2))
+        bool gone =
+            std::any_of(bench.world.let_go.begin(), bench.world.let_go.end(), [&](const auto& release) {
+                return release.second == sent.id() && release.first == sent.address;
+            });
+        for (const auto& decode : bench.world.sent) {
+            if (decode.id().rfind(request + ".", 0) == 0 && !decode.read() &&
+                decode.wanted.body.find("\"" + sent.id() + "\"") != std::string::npos &&
+                (decode.exchange->begun() || script[decode.id()] >= 2))
                 gone = true;
         }
         EXPECT_TRUE(gone) << sent.id() << " may be pinned";
