--- a/include/gorsenotch/actions.h
+++ b/include/gorsenotch/actions.h
@@ -81,6 +81,7 @@
     std::string text;
 };
 
+// What a Router asks its host to do, in the order given.
 using Action = std::variant<StartAttempt, StopAttempt, ReserveSlot, ReleaseLease, Reject, Fail, MigrateStream,
                             HealthCheck, SetTimer, WatchEndpoints, PollEndpoints, Log>;
 
--- a/include/gorsenotch/events.h
+++ b/include/gorsenotch/events.h
@@ -11,7 +11,9 @@
 
 namespace gorsenotch {
 
+// The host's id of a request; unique within a Router's life.
 using RequestId = std::string;
+// Names an endpoint; the same at every gateway.
 using EndpointId = std::uint32_t;
 
 // Load as an endpoint reports it. A value below 0 is absent.
@@ -135,6 +137,7 @@
 // The host is about to exit: each request without an answer gets its final one at once.
 struct Shutdown {};
 
+// All that a Router is told.
 using Event = std::variant<Arrival, AttemptEnded, FirstToken, ReservationReply, ClientDisconnected,
                            EndpointUpdate, HealthCheckResult, TimerFired, LeaseReleased, Shutdown>;
 
--- a/include/gorsenotch/settings.h
+++ b/include/gorsenotch/settings.h
@@ -6,6 +6,8 @@
 
 namespace gorsenotch {
 
+// A time or a duration in milliseconds, with fractions: a bare number, as the events of the simulator and the
+// records carry it and the estimators calculate with it.
 using Millis = double;
 
 enum class Idempotency { idempotent, with_key, unsafe };  // whether a request may be sent again
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -14,6 +14,7 @@
 
 namespace gorsenotch::gateway {
 
+// Where a gateway keeps what outlives its process.
 struct ServeOptions {
     std::string state;    // folder for the last list of engines; empty: it is not saved
     std::string journal;  // file for the Router's events and actions; empty: none
--- a/src/gateway/request_intake.h
+++ b/src/gateway/request_intake.h
@@ -18,6 +18,7 @@
     Millis pause = kNoRetryAfter;  // ms for the header retry-after
 };
 
+// A request as the HTTP server has read it.
 struct HttpRequest {
     std::string method;
     std::string path;  // without the query
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -26,6 +26,7 @@
     std::uint64_t chunk = 0;                          // bytes of one chunk; 0: no limit
 };
 
+// Why a message was refused.
 enum class Fault { none, malformed, headers_too_large, body_too_large };
 
 // Reads one message after another and stops at the end of each, so that the caller decides when the next one
--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -65,6 +65,7 @@
     Millis ended = 0;
 };
 
+// One request as the log describes it; times are ms since its first byte.
 struct RequestRecord {
     std::string_view txn;
     int cls = 0;
--- a/src/platform/client_connection.h
+++ b/src/platform/client_connection.h
@@ -43,6 +43,7 @@
     "closed_by_peer", "close_requested", "idle",        "request_timeout",   "evicted",
     "at_capacity",    "draining",        "bad_request", "pipeline_overflow", "stream_broken"};
 
+// Bounds of client connections; times are ms.
 struct ClientConnectionLimits {
     std::size_t max_connections = 300;                   // that serve; a few more may be ending
     std::size_t max_body_bytes = std::size_t{16} << 20;  // of requests that are being read, in sum
@@ -51,6 +52,7 @@
     Millis max_idle = 10000;
 };
 
+// Counts since the start, for the status line.
 struct ClientConnectionCounters {
     std::uint64_t accepted = 0;
     std::uint64_t bad = 0;  // requests that were not taken
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -14,6 +14,7 @@
     using std::runtime_error::runtime_error;
 };
 
+// The gateway's configuration, validated.
 struct Config {
     std::string name;
     std::string listen;     // the address and port for clients
--- a/src/platform/lease_releaser.h
+++ b/src/platform/lease_releaser.h
@@ -34,6 +34,7 @@
 constexpr std::array<const char*, 3> kReleaseReasons = {"request_over", "lease_expiring",
                                                         "prefill_unanswered"};
 
+// How a release ended: an endpoint answered it, none did in time, or another attempt began.
 enum class ReleaseEnd { answered, unanswered, withdrawn };
 constexpr std::array<const char*, 3> kReleaseEnds = {"answered", "unanswered", "withdrawn"};
 
--- a/src/platform/request_state.h
+++ b/src/platform/request_state.h
@@ -30,6 +30,7 @@
 struct RequestState;
 using Driver = proxy::RouterDriver<RequestState, TimerKind>;
 
+// How far an attempt has come.
 enum class AttemptPhase {
     awaiting_response,   // its connection is awaited, or its request was sent; no event has come
     streaming,           // its response is forwarded to the client
@@ -59,6 +60,8 @@
     void mark_ended();
 };
 
+// One client's request from its arrival until nothing of it is left. Owned by RequestTable; changed by the
+// parts of the request's lifecycle alone.
 struct RequestState {
     explicit RequestState(Millis lease_release_timeout) : lease(lease_release_timeout) {}
 
--- a/src/router/eligibility.h
+++ b/src/router/eligibility.h
@@ -10,6 +10,7 @@
 
 namespace gorsenotch::router {
 
+// How much an endpoint must promise to be chosen.
 enum class Strictness {
     strict,   // only endpoints that are expected to serve the request
     relaxed,  // all that may get it, where no other is left
