--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -15,63 +15,72 @@
 
 class Engine::Connection {
 public:
-    Connection(Engine& e, std::unique_ptr<net::TcpStream> s, bool control)
-        : engine(e), stream(std::move(s)), parser(http::Parser::Kind::request, {}), is_control(control) {
+    Connection(Engine& owner, std::unique_ptr<net::TcpStream> accepted, bool control)
+        : engine(owner),
+          stream(std::move(accepted)),
+          parser(http::Parser::Kind::request, {}),
+          is_control(control) {
         peer = stream->peer();
-        stream->on_data = [this](std::string_view b) { data(b); };
+        stream->on_data = [this](std::string_view bytes) { on_data(bytes); };
         stream->on_end = [this](int) { engine.closed(*this); };
-        parser.on_body = [this](std::string_view b) { body.append(b); };
+        parser.on_body = [this](std::string_view bytes) { body.append(bytes); };
         stream->set_reading(true);
     }
 
-    void data(std::string_view bytes) {
+    void on_data(std::string_view bytes) {
         pending.append(bytes);
-        go_on();
+        handle_pending();
     }
 
-    // Takes the next request, when the last is answered and nothing is cut.
-    void go_on() {
-        if (cut && engine.is_cut(*this)) return;
+    // Handles the next request, when the last has been answered and the connection is not cut.
+    void handle_pending() {
+        if (engine.is_cut(*this)) return;
         while (!busy && !pending.empty() && stream) {
             const std::string bytes = std::exchange(pending, {});
-            const std::size_t n = parser.feed(bytes);
+            const std::size_t used = parser.feed(bytes);
             if (parser.fault() != http::Fault::none) return engine.closed(*this);
             if (!parser.complete()) return;
-            pending = bytes.substr(n);
+            pending = bytes.substr(used);
             busy = true;
-            const std::string whole = std::exchange(body, {});
-            request_body = whole;
+            request_body = std::exchange(body, {});
             engine.handle(*this);
         }
     }
 
-    void write(std::string bytes) {
+    void write(const std::string& bytes) {
         if (!stream) return;
         if (engine.is_cut(*this)) {
-            held.append(bytes);
+            unsent.append(bytes);
             return;
         }
-        stream->write(std::exchange(held, {}) + bytes);
+        stream->write(std::exchange(unsent, {}) + bytes);
     }
 
     void answer(int status, const Json& json, const std::string& load) {
         const std::string text = json.dump();
-        const auto* c = http::find(parser.headers, "connection");
-        const bool last = c && *c == "close";
-        http::Headers h = {{"content-type", "application/json"},
-                           {"content-length", std::to_string(text.size())}};
-        if (!load.empty()) h.emplace_back("endpoint-load-metrics", load);
-        if (last) h.emplace_back("connection", "close");
-        write(http::response_head(status, h) + text);
-        if (last && stream) stream->shutdown_write();
+        const auto* connection = http::find(parser.headers, "connection");
+        const bool is_last = connection && *connection == "close";
+        http::Headers headers = {{"content-type", "application/json"},
+                                 {"content-length", std::to_string(text.size())}};
+        if (!load.empty()) headers.emplace_back("endpoint-load-metrics", load);
+        if (is_last) headers.emplace_back("connection", "close");
+        write(http::response_head(status, headers) + text);
+        if (is_last && stream) stream->shutdown_write();
         busy = false;
     }
 
     Engine& engine;
     std::unique_ptr<net::TcpStream> stream;
     http::Parser parser;
-    std::string peer, body, request_body, pending, held, ask;
-    bool is_control, busy = false, cut = false, gone = false;
+    std::string peer;
+    std::string body;          // of the request that is being read
+    std::string request_body;  // of the request that is being handled
+    std::string pending;       // bytes that have not been parsed
+    std::string unsent;        // bytes that a cut keeps back
+    std::string request_id;    // of the request that waits for its answer
+    bool is_control;
+    bool busy = false;  // a request has not been answered
+    bool gone = false;
     std::list<std::unique_ptr<Connection>>::iterator self;
 };
 
@@ -86,10 +95,49 @@
 
 namespace {
 
-EngineConfig cold_config(const EngineOptions& o) {
-    EngineConfig c = o.config;
-    if (!o.cold) c.slow_start_duration = 0;
-    return c;
+EngineConfig model_config(const EngineOptions& options) {
+    EngineConfig config = options.config;
+    if (!options.cold) config.slow_start_duration = 0;
+    return config;
+}
+
+const char* role_word(Role role) {
+    if (role == Role::prefill) return "read";
+    return role == Role::decode ? "write" : "both";
+}
+
+constexpr int kCrashStatus = 3;
+constexpr Millis kFetchTimeout = 2000;
+
+void set_member(std::set<std::string>& members, const std::string& value, bool is_member) {
+    if (is_member) {
+        members.insert(value);
+    } else {
+        members.erase(value);
+    }
+}
+
+bool names_class(const std::set<std::string>& classes, const std::string& cls) {
+    return classes.count("") || classes.count(cls);
+}
+
+std::string header(const http::Parser& parser, const char* name) {
+    const auto* value = http::find(parser.headers, name);
+    return value ? *value : std::string();
+}
+
+// The choices of an event that is not the last.
+Json choice(Json delta) {
+    return Json::array({{{"index", 0}, {"delta", std::move(delta)}, {"finish_reason", nullptr}}});
+}
+
+std::vector<std::string> stop_strings(const Json& request) {
+    std::vector<std::string> strings;
+    if (!request.contains("stop") || !request["stop"].is_array()) return strings;
+    for (const auto& entry : request["stop"]) {
+        if (entry.is_string() && !entry.get_ref<const std::string&>().empty()) strings.push_back(entry);
+    }
+    return strings;
 }
 
 Json error_json(const char* type, const char* message) {
@@ -102,17 +150,20 @@
     : loop_(loop),
       options_(std::move(options)),
       recorder_(options_.record),
-      model_(cold_config(options_), net::now(),
+      model_(model_config(options_), net::now(),
              {[this](const std::string& id, double kept) { read_done(id, kept); },
               [this](const std::string& id) { fetch(id); }, [this](const std::string& id) { running(id); },
-              [this](const std::string& id, const std::string& t, bool last, bool cut) {
-                  token(id, t, last, cut);
+              [this](const std::string& id, const std::string& text, bool last, bool cut) {
+                  token(id, text, last, cut);
               },
               [this](const std::string& id) {
                   record("lease", {{"id", id}});
               }}),
       timer_(loop, [this] { arm(); }),
-      burier_(loop, [this] { closed_connections_.clear(), ended_fetches_.clear(); }) {}
+      discard_timer_(loop, [this] {
+          closed_connections_.clear();
+          ended_fetches_.clear();
+      }) {}
 
 Engine::~Engine() = default;
 
@@ -122,22 +173,20 @@
     listener_->on_stream = [this](std::unique_ptr<net::TcpStream> stream) {
         accept(std::move(stream), false);
     };
-    if (const int e = listener_->listen(options_.address)) return e;
+    if (const int error = listener_->listen(options_.address)) return error;
     if (!options_.control.empty()) {
         at = options_.control;
         control_ = std::make_unique<net::TcpListener>(loop_);
         control_->on_stream = [this](std::unique_ptr<net::TcpStream> stream) {
             accept(std::move(stream), true);
         };
-        if (const int e = control_->listen(options_.control)) return e;
+        if (const int error = control_->listen(options_.control)) return error;
     }
-    const EngineConfig& c = options_.config;
-    record("up", {{"role", c.role == Role::prefill  ? "read"
-                           : c.role == Role::decode ? "write"
-                                                    : "both"},
+    const EngineConfig& config = options_.config;
+    record("up", {{"role", role_word(config.role)},
                   {"cold", options_.cold},
-                  {"start", c.initial_capacity},
-                  {"warm", c.slow_start_duration}});
+                  {"start", config.initial_capacity},
+                  {"warm", config.slow_start_duration}});
     arm();
     return 0;
 }
@@ -172,7 +221,6 @@
 void Engine::accept(std::unique_ptr<net::TcpStream> stream, bool control) {
     connections_.push_back(std::make_unique<Connection>(*this, std::move(stream), control));
     connections_.back()->self = std::prev(connections_.end());
-    connections_.back()->cut = true;
 }
 
 void Engine::handle(Connection& link) {
@@ -185,80 +233,75 @@
     link.answer(404, error_json("not_found", "no such path"), "");
 }
 
-void Engine::complete(Connection& link, const std::string& body) {
-    std::string why;
-    const Json j = api::parse_json(body, why);
-    if (!j.is_object() || !j.contains("messages"))
-        return link.answer(400, error_json("invalid_request_error", "bad body"), load_header());
-    ActiveRequest ask;
-    ask.link = &link;
-    const auto header = [&](const char* name) {
-        const auto* v = http::find(link.parser.headers, name);
-        return v ? *v : std::string();
-    };
-    ask.job.id = header("x-request-id"), ask.job.key = header("idempotency-key"),
-    ask.job.cls = header("x-class");
-    ask.job.max_tokens = std::max(1, j.value("max_tokens", 16));
+Engine::ActiveRequest Engine::parse_completion(Connection& link, const Json& json) {
+    ActiveRequest request;
+    request.link = &link;
+    Job& job = request.job;
+    job.id = header(link.parser, "x-request-id");
+    job.key = header(link.parser, "idempotency-key");
+    job.cls = header(link.parser, "x-class");
+    job.max_tokens = std::max(1, json.value("max_tokens", 16));
     std::uint64_t chain = 0;
-    for (const auto& json : j["messages"]) {
-        const std::string text = json.value("content", "");
-        chain = api::hash(text, chain + api::hash(json.value("role", "")));
-        ask.job.prompt += api::estimate_tokens(text) + 4;
-        ask.job.prefixes.emplace_back(chain, ask.job.prompt);
+    for (const auto& message : json["messages"]) {
+        const std::string text = message.value("content", "");
+        chain = api::hash(text, chain + api::hash(message.value("role", "")));
+        job.prompt += api::estimate_tokens(text) + 4;
+        job.prefixes.emplace_back(chain, job.prompt);
     }
-    ask.job.text_seed = chain;
-    if (j.contains("stop") && j["stop"].is_array()) {
-        std::vector<std::string> strings;
-        for (const auto& s : j["stop"]) {
-            if (s.is_string() && !s.get_ref<const std::string&>().empty()) strings.push_back(s);
-        }
-        ask.stops = StopSequences(std::move(strings));
+    job.text_seed = chain;
+    request.stops = StopSequences(stop_strings(json));
+    const bool has_transfer = json.contains("kv_transfer_params") && json["kv_transfer_params"].is_object();
+    const Json transfer = has_transfer ? json["kv_transfer_params"] : Json::object();
+    request.is_prefill = transfer.value("do_remote_decode", false);
+    if (transfer.value("do_remote_prefill", false)) {
+        job.has_state = true;
+        request.state_host = transfer.value("remote_host", "");
+        request.state_port = transfer.value("remote_port", 0);
+        request.state_id = transfer.value("remote_request_id", "");
+        request.cached_tokens = transfer.value("cached_tokens", 0L);
     }
-    const Json kv = j.contains("kv_transfer_params") && j["kv_transfer_params"].is_object()
-                        ? j["kv_transfer_params"]
-                        : Json::object();
-    ask.read = kv.value("do_remote_decode", false);
-    if (kv.value("do_remote_prefill", false)) {
-        ask.job.has_state = true;
-        ask.host = kv.value("remote_host", ""), ask.port = kv.value("remote_port", 0);
-        ask.remote = kv.value("remote_request_id", ""), ask.cached = kv.value("cached_tokens", 0L);
-    }
-    const std::string id = ask.job.id;
+    return request;
+}
+
+void Engine::complete(Connection& link, const std::string& body) {
+    std::string why;
+    const Json json = api::parse_json(body, why);
+    if (!json.is_object() || !json.contains("messages"))
+        return link.answer(400, error_json("invalid_request_error", "bad body"), load_header());
+    ActiveRequest request = parse_completion(link, json);
+    const Job job = request.job;
+    const std::string& id = job.id;
     record("recv", {{"id", id},
-                    {"op", ask.read ? "read" : "write"},
-                    {"key", ask.job.key},
-                    {"cls", ask.job.cls},
-                    {"work", model_.work(ask.job, ask.read)},
+                    {"op", request.is_prefill ? "read" : "write"},
+                    {"key", job.key},
+                    {"cls", job.cls},
+                    {"work", model_.work(job, request.is_prefill)},
                     {"peer", link.peer}});
     const auto refuse = [&](int status, const char* type, const char* how) {
         record("end", {{"id", id}, {"how", how}});
         link.answer(status, error_json(type, how), load_header());
     };
     if (id.empty() || active_requests_.count(id)) return refuse(400, "invalid_request_error", "doubled");
-    if (error_classes_.count("") || error_classes_.count(ask.job.cls))
-        return refuse(500, "internal_error", "error");
+    if (names_class(error_classes_, job.cls)) return refuse(500, "internal_error", "error");
     if (draining_) return refuse(429, "overloaded", "full");
-    link.ask = id;
-    if (silent_classes_.count("") || silent_classes_.count(ask.job.cls)) {
-        ask.silent = true;
-        active_requests_[id] = std::move(ask);
-        return;
-    }
-    ask.muted = mute_classes_.count("") || mute_classes_.count(ask.job.cls);
-    const bool read = ask.read;
-    const Job job = ask.job;
-    active_requests_[id] = std::move(ask);
-    const auto admit = read ? model_.read(net::now(), job) : model_.write(net::now(), job);
-    if (admit == Model::Admission::taken) return arm();
+    link.request_id = id;
+    request.silent = names_class(silent_classes_, job.cls);
+    request.muted = !request.silent && names_class(mute_classes_, job.cls);
+    const bool is_silent = request.silent;
+    const bool is_prefill = request.is_prefill;
+    active_requests_[id] = std::move(request);
+    if (is_silent) return;
+    const auto admission = is_prefill ? model_.read(net::now(), job) : model_.write(net::now(), job);
+    if (admission == Model::Admission::taken) return arm();
     active_requests_.erase(id);
-    link.ask.clear();
-    if (admit == Model::Admission::no_state) return refuse(424, "kv_transfer_error", "no_state");
+    link.request_id.clear();
+    if (admission == Model::Admission::no_state) return refuse(424, "kv_transfer_error", "no_state");
     refuse(429, "overloaded", "full");
 }
 
 void Engine::abort(Connection& link, const std::string& body) {
-    const Json j = Json::parse(body, nullptr, false);
-    const std::string id = j.is_object() ? j.value("rid", "") : "";
+    const Json json = Json::parse(body, nullptr, false);
+    const std::string id = json.is_object() ? json.value("rid", "") : "";
     record("let_go", {{"id", id}, {"found", model_.abort(net::now(), id)}});
     if (const auto it = active_requests_.find(id); it != active_requests_.end()) {
         Connection* waiting = it->second.link;
@@ -270,8 +313,8 @@
 }
 
 void Engine::take(Connection& link, const std::string& body) {
-    const Json j = Json::parse(body, nullptr, false);
-    const std::string id = j.is_object() ? j.value("rid", "") : "";
+    const Json json = Json::parse(body, nullptr, false);
+    const std::string id = json.is_object() ? json.value("rid", "") : "";
     double tokens = 0;
     const bool ok = model_.take(net::now(), id, tokens);
     if (ok) record("taken", {{"id", id}, {"tokens", tokens}});
@@ -280,70 +323,77 @@
 }
 
 void Engine::order(Connection& link, const std::string& body) {
-    const Json j = Json::parse(body, nullptr, false);
-    const std::string word = j.is_object() ? j.value("order", "") : "";
-    const bool on = j.is_object() && j.value("on", true);
-    const Millis now = net::now();
-    const auto set = [&](std::set<std::string>& s, const std::string& value) {
-        if (on) {
-            s.insert(value);
-        } else {
-            s.erase(value);
-        }
-    };
-    bool known = true;
-    if (word == "crash") _exit(3);
-    if (word == "restart" && !options_.args.empty()) {
-        record("down", Json::object());
-        // Every socket closes on the way: what was out breaks, as at a crash.
-        std::vector<char*> argv;
-        if (std::find(options_.args.begin(), options_.args.end(), "--cold") == options_.args.end())
-            options_.args.push_back("--cold");
-        for (auto& a : options_.args) argv.push_back(a.data());
-        argv.push_back(nullptr);
-        execv("/proc/self/exe", argv.data());
-        _exit(3);
-    }
+    const Json json = Json::parse(body, nullptr, false);
+    const std::string word = json.is_object() ? json.value("order", "") : "";
+    if (word == "crash") _exit(kCrashStatus);
+    if (word == "restart" && !options_.args.empty()) restart();
+    const bool is_known = apply_order(word, json);
+    if (is_known) record("order", json);
+    link.answer(is_known ? 200 : 400, {{"ok", is_known}}, "");
+    arm();
+}
+
+// Starts the process anew, cold. Every socket closes on the way, so that pending requests break, as at a
+// crash.
+void Engine::restart() {
+    record("down", Json::object());
+    if (std::find(options_.args.begin(), options_.args.end(), "--cold") == options_.args.end())
+        options_.args.emplace_back("--cold");
+    std::vector<char*> arguments;
+    arguments.reserve(options_.args.size() + 1);
+    for (auto& argument : options_.args) arguments.push_back(argument.data());
+    arguments.push_back(nullptr);
+    execv("/proc/self/exe", arguments.data());
+    _exit(kCrashStatus);
+}
+
+// False if the word is no order.
+bool Engine::apply_order(const std::string& word, const Json& json) {
+    const bool is_on = json.is_object() && json.value("on", true);
     if (word == "stall") {
-        model_.stall(now, on);
+        model_.stall(net::now(), is_on);
     } else if (word == "slow") {
-        model_.slow(now, on ? j.value("factor", 5.0) : 1.0);
+        model_.slow(net::now(), is_on ? json.value("factor", 5.0) : 1.0);
     } else if (word == "error") {
-        set(error_classes_, j.value("class", ""));
+        set_member(error_classes_, json.value("class", ""), is_on);
     } else if (word == "silent") {
-        set(silent_classes_, j.value("class", ""));
+        set_member(silent_classes_, json.value("class", ""), is_on);
     } else if (word == "mute") {
-        set(mute_classes_, j.value("class", ""));
+        set_member(mute_classes_, json.value("class", ""), is_on);
     } else if (word == "cut") {
-        set(cut_from_, j.value("from", ""));
-        if (!on) {
-            std::vector<Connection*> all;
-            for (auto& connection : connections_) all.push_back(connection.get());
-            for (auto* connection : all) {
-                if (!connection->gone) connection->write(""), connection->go_on();
-            }
-        }
+        set_member(cut_from_, json.value("from", ""), is_on);
+        if (!is_on) resume_connections();
     } else if (word == "drain") {
-        draining_ = on;
+        draining_ = is_on;
     } else if (word == "late_reports") {
-        report_delay_ = on ? j.value("ms", 2000.0) : 0;
+        report_delay_ = is_on ? json.value("ms", 2000.0) : 0;
     } else {
-        known = false;
+        return false;
     }
-    if (known) record("order", j);
-    link.answer(known ? 200 : 400, {{"ok", known}}, "");
-    arm();
+    return true;
 }
 
-// ---- what the model tells -------------------------------------------------------------------------------
+// After a cut: what was kept back is written and read.
+void Engine::resume_connections() {
+    std::vector<Connection*> all;
+    all.reserve(connections_.size());
+    for (auto& connection : connections_) all.push_back(connection.get());
+    for (auto* connection : all) {
+        if (connection->gone) continue;
+        connection->write("");
+        connection->handle_pending();
+    }
+}
+
+// ---- events of the model -------------------------------------------------------------------------------
 
 void Engine::read_done(const std::string& id, double kept) {
     const auto it = active_requests_.find(id);
     const double all = it == active_requests_.end() ? kept : it->second.job.prompt;
     record("held", {{"id", id}, {"did", (all - kept) / options_.config.pace.read_per_s}});
     if (it == active_requests_.end())
-        return;  // its asker has gone and the kind does not cancel: the state stays
-    if (it->second.muted && it->second.link) return;  // nobody is told: out until its asker closes
+        return;  // its client has gone and the kind does not cancel: the state stays
+    if (it->second.muted && it->second.link) return;  // unanswered until its client closes
     Connection* link = it->second.link;
     const double prompt = it->second.job.prompt;
     end(id, "done");
@@ -370,37 +420,38 @@
                     {"remote_host", options_.address.substr(0, options_.address.rfind(':'))},
                     {"remote_port", port()}}}},
                  load_header());
-    link->go_on();
+    link->handle_pending();
 }
 
 void Engine::fetch(const std::string& id) {
     const auto it = active_requests_.find(id);
     fetches_.push_back(std::make_unique<StateFetch>());
-    StateFetch& t = *fetches_.back();
-    t.self = std::prev(fetches_.end());
-    t.id = id;
-    t.stream = std::make_unique<net::TcpStream>(loop_);
-    t.timer = std::make_unique<net::Timer>(loop_, [this, &t] { fetch_over(t, false); });
-    t.parser.on_complete = [this, &t] { fetch_over(t, t.parser.status == 200); };
-    t.stream->on_data = [&t](std::string_view b) {
-        if (!t.over) t.parser.feed(b);
+    StateFetch& state = *fetches_.back();
+    state.self = std::prev(fetches_.end());
+    state.id = id;
+    state.stream = std::make_unique<net::TcpStream>(loop_);
+    state.timer = std::make_unique<net::Timer>(loop_, [this, &state] { fetch_over(state, false); });
+    state.parser.on_complete = [this, &state] { fetch_over(state, state.parser.status == 200); };
+    state.stream->on_data = [&state](std::string_view bytes) {
+        if (!state.over) state.parser.feed(bytes);
     };
-    t.stream->on_end = [this, &t](int) { fetch_over(t, false); };
+    state.stream->on_end = [this, &state](int) { fetch_over(state, false); };
     const std::string from = options_.address.substr(0, options_.address.rfind(':'));
-    const std::string to =
-        it == active_requests_.end() ? "" : it->second.host + ":" + std::to_string(it->second.port);
-    const int error = t.stream->connect(to, from, [this, &t](int e) {
-        if (e != 0) return fetch_over(t, false);
-        const auto request = active_requests_.find(t.id);
+    const std::string to = it == active_requests_.end()
+                               ? ""
+                               : it->second.state_host + ":" + std::to_string(it->second.state_port);
+    const int connect_error = state.stream->connect(to, from, [this, &state](int error) {
+        if (error != 0) return fetch_over(state, false);
+        const auto request = active_requests_.find(state.id);
         const std::string text =
-            Json{{"rid", request == active_requests_.end() ? "" : request->second.remote}}.dump();
-        t.stream->set_reading(true);
-        t.stream->write(
+            Json{{"rid", request == active_requests_.end() ? "" : request->second.state_id}}.dump();
+        state.stream->set_reading(true);
+        state.stream->write(
             http::request_head("POST", "/take",
                                {{"host", "peer"}, {"content-length", std::to_string(text.size())}}) +
             text);
     });
-    t.timer->fire_after(error != 0 ? 0 : 2000);
+    state.timer->fire_after(connect_error != 0 ? 0 : kFetchTimeout);
 }
 
 void Engine::fetch_over(StateFetch& fetch, bool ok) {
@@ -410,20 +461,21 @@
     fetch.timer->stop();
     const std::string id = fetch.id;
     ended_fetches_.splice(ended_fetches_.end(), fetches_, fetch.self);
-    burier_.fire_after(0);
+    discard_timer_.fire_after(0);
     model_.fetched(net::now(), id, ok);
     if (!ok) {
         if (const auto it = active_requests_.find(id); it != active_requests_.end()) {
             Connection* link = it->second.link;
             end(id, "no_state");
             if (link) link->answer(424, error_json("kv_transfer_error", "the state is gone"), load_header());
-            if (link) link->go_on();
+            if (link) link->handle_pending();
         }
     }
     arm();
 }
 
-// The first of all engines that share a folder to run a key has its effect; the others answer alike without.
+// True for the first of all engines that share a folder to run a key: its run has an effect, those of the
+// others are duplicates.
 bool Engine::first_effect(const std::string& key) {
     if (key.empty()) return true;
     if (options_.keys.empty()) return own_keys_.insert(key).second;
@@ -444,78 +496,81 @@
     const auto it = active_requests_.find(id);
     if (it == active_requests_.end()) return;
     ActiveRequest& request = it->second;
-    ++request.made;
+    ++request.tokens;
     std::string text = request.stops.feed(made);
     const std::string stop = request.stops.matched();
     if (!stop.empty() && !last) {
-        model_.abort(net::now(), id);  // it has its stop: no further token is made
+        model_.abort(net::now(), id);  // the answer ends at its stop string: no further token is generated
         last = true;
     }
     if (last) text += request.stops.rest();
     if (!request.begun) record("first", {{"id", id}});
     if (request.link && !request.muted) {
-        std::string out;
-        if (!request.begun) {
-            out = http::response_head(200, {{"content-type", "text/event-stream; charset=utf-8"},
-                                            {"transfer-encoding", "chunked"},
-                                            {"endpoint-load-metrics", load_header()}});
-        }
-        const Json base = {
-            {"id", "chatcmpl-" + id}, {"object", "chat.completion.chunk"}, {"model", options_.model_name}};
-        const auto event = [&](Json choices, const Json* usage) {
-            Json json = base;
-            json["choices"] = std::move(choices);
-            if (usage) json["usage"] = *usage;
-            out += http::chunk(http::sse_event("", json.dump()));
-        };
-        if (!request.begun)
-            event(Json::array({{{"index", 0},
-                                {"delta", {{"role", "assistant"}, {"content", ""}}},
-                                {"finish_reason", nullptr}}}),
-                  nullptr);
-        if (!text.empty())
-            event(Json::array({{{"index", 0}, {"delta", {{"content", text}}}, {"finish_reason", nullptr}}}),
-                  nullptr);
-        if (last) {
-            Json choice = {{"index", 0},
-                           {"delta", Json::object()},
-                           {"finish_reason", cut && stop.empty() ? "length" : "stop"},
-                           {"stop_reason", nullptr}};
-            if (!stop.empty()) choice["stop_reason"] = stop;
-            event(Json::array({choice}), nullptr);
-            const Json usage = {{"prompt_tokens", static_cast<long>(request.job.prompt)},
-                                {"completion_tokens", request.made},
-                                {"total_tokens", static_cast<long>(request.job.prompt) + request.made},
-                                {"prompt_tokens_details", {{"cached_tokens", request.cached}}}};
-            event(Json::array(), &usage);
-            out += http::chunk(http::sse_event("", "[DONE]"));
-            out += http::last_chunk;
-        }
-        request.link->write(std::move(out));
+        std::string events = stream_beginning(request);
+        if (!text.empty()) events += stream_event(id, choice({{"content", text}}), nullptr);
+        if (last) events += stream_end(request, cut);
+        request.link->write(events);
     }
     request.begun = true;
     if (!last) return;
-    Connection* link = request.muted ? nullptr : request.link;
-    if (request.muted && request.link) return;  // done, and nobody is told: out until its asker closes
+    Connection* link = request.link;
+    if (request.muted && link) return;  // done, but unanswered until its client closes
     end(id, "done");
     if (!link) return;
     link->busy = false;
-    link->go_on();
+    link->handle_pending();
+}
+
+// One event of an answer's stream, with its choices and, in the last one, its usage.
+std::string Engine::stream_event(const std::string& id, Json choices, const Json* usage) const {
+    Json json = {
+        {"id", "chatcmpl-" + id}, {"object", "chat.completion.chunk"}, {"model", options_.model_name}};
+    json["choices"] = std::move(choices);
+    if (usage) json["usage"] = *usage;
+    return http::chunk(http::sse_event("", json.dump()));
+}
+
+// The head of the response and the first event; empty once the stream has begun.
+std::string Engine::stream_beginning(const ActiveRequest& request) {
+    if (request.begun) return {};
+    const http::Headers headers = {{"content-type", "text/event-stream; charset=utf-8"},
+                                   {"transfer-encoding", "chunked"},
+                                   {"endpoint-load-metrics", load_header()}};
+    return http::response_head(200, headers) +
+           stream_event(request.job.id, choice({{"role", "assistant"}, {"content", ""}}), nullptr);
+}
+
+// `cut`: the answer ends as it has max_tokens.
+std::string Engine::stream_end(const ActiveRequest& request, bool cut) const {
+    const std::string stop = request.stops.matched();
+    Json last = {{"index", 0},
+                 {"delta", Json::object()},
+                 {"finish_reason", cut && stop.empty() ? "length" : "stop"},
+                 {"stop_reason", nullptr}};
+    if (!stop.empty()) last["stop_reason"] = stop;
+    const auto prompt_tokens = static_cast<long>(request.job.prompt);
+    const Json usage = {{"prompt_tokens", prompt_tokens},
+                        {"completion_tokens", request.tokens},
+                        {"total_tokens", prompt_tokens + request.tokens},
+                        {"prompt_tokens_details", {{"cached_tokens", request.cached_tokens}}}};
+    return stream_event(request.job.id, Json::array({last}), nullptr) +
+           stream_event(request.job.id, Json::array(), &usage) + http::chunk(http::sse_event("", "[DONE]")) +
+           std::string(http::last_chunk);
 }
 
 void Engine::end(const std::string& id, const char* how) {
     const auto it = active_requests_.find(id);
     if (it == active_requests_.end()) return;
-    record("end", {{"id", id}, {"how", how}, {"tokens", it->second.made}});
-    if (it->second.link) it->second.link->ask.clear();
+    record("end", {{"id", id}, {"how", how}, {"tokens", it->second.tokens}});
+    if (it->second.link) it->second.link->request_id.clear();
     active_requests_.erase(it);
 }
 
 void Engine::closed(Connection& link) {
     if (link.gone) return;
-    const std::string id = link.ask;
+    const std::string id = link.request_id;
     if (const auto it = active_requests_.find(id); !id.empty() && it != active_requests_.end()) {
-        // Where the kind cancels, a closed connection ends the work; else it goes on for nobody.
+        // Where the kind cancels, a closed connection ends the work; else the work goes on.
         if (options_.config.pace.cancels || it->second.silent) {
             if (!it->second.silent) model_.abort(net::now(), id);
             end(id, "cancelled");
@@ -532,7 +587,7 @@
     link.gone = true;
     link.stream.reset();
     closed_connections_.splice(closed_connections_.end(), connections_, link.self);
-    burier_.fire_after(0);
+    discard_timer_.fire_after(0);
 }
 
 }  // namespace gorsenotch::fake_engine
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -1,9 +1,9 @@
-// A stand-in engine as a process: the model behind sockets, speaking the vLLM dialect, with a control port on
+// A fake engine as a process: the model behind sockets, speaking the vLLM dialect, with a control port on
 // which a script gives orders, and a record of what its sockets carried.
 //
 // Orders (POST /control, JSON {"order":...}): stall{on}, slow{factor}, error{on,class}, silent{on,class},
-// mute{on,class} (works, but nobody hears of it),
-// cut{on,from}, late_reports{ms}, drain{on}, crash, restart. `drain` turns away what is new, `restart` starts
+// mute{on,class} (works, but never answers),
+// cut{on,from}, late_reports{ms}, drain{on}, crash, restart. `drain` rejects new requests, `restart` starts
 // the process anew, cold. An empty class means all. `cut` neither reads nor writes on
 // connections from addresses that begin with `from`, as a network does that drops packets.
 #pragma once
@@ -26,7 +26,7 @@
 struct EngineOptions {
     std::string address, control;  // control may be empty
     std::string record;            // file; empty: none
-    std::string keys;  // folder shared by the engines that drop each other's repeats; empty: own memory
+    std::string keys;  // folder shared by the engines that drop each other's duplicates; empty: own memory
     EndpointId server = 0;
     std::string model_name = "local-model";
     EngineConfig config;
@@ -38,29 +38,40 @@
 public:
     Engine(net::EventLoop& loop, EngineOptions options);
     ~Engine();
-    int start(std::string& at);  // 0, or a libuv error of listening and the address that it is about
+    // 0, or a libuv error of listening; `at` is then the address that it is about.
+    int start(std::string& at);
     int port() const { return listener_->port(); }
     int control_port() const { return control_ ? control_->port() : 0; }
 
 private:
     class Connection;
-    struct ActiveRequest {  // a request to this engine that is not answered yet
-        Connection* link = nullptr;
+    // A request to this engine that has not been answered.
+    struct ActiveRequest {
+        Connection* link = nullptr;  // null once its client has gone
         Job job;
-        bool read = false, begun = false, repeat = false, silent = false, muted = false;
+        bool is_prefill = false;
+        bool begun = false;   // its stream
+        bool silent = false;  // never worked on
+        bool muted = false;   // worked on and never answered
         StopSequences stops;
-        std::string host, remote;  // of the state: where, and under which read's id
-        int port = 0, made = 0;
-        long cached = 0;
+        std::string state_host;  // of the prefill engine that has the KV state
+        int state_port = 0;
+        std::string state_id;  // the prefill's request id
+        int tokens = 0;        // generated
+        long cached_tokens = 0;
     };
-    struct StateFetch;  // a fetch of a state from its reader
+    struct StateFetch;  // of a KV state from its prefill engine
 
     void accept(std::unique_ptr<net::TcpStream> stream, bool control);
     void handle(Connection& link);
     void complete(Connection& link, const std::string& body);
+    ActiveRequest parse_completion(Connection& link, const invariants::Json& json);
     void abort(Connection& link, const std::string& body);
     void take(Connection& link, const std::string& body);
     void order(Connection& link, const std::string& body);
+    void restart();
+    bool apply_order(const std::string& word, const invariants::Json& json);
+    void resume_connections();
     void closed(Connection& link);
     void remove(Connection& link);
     void read_done(const std::string& id, double kept);
@@ -68,6 +79,10 @@
     void fetch_over(StateFetch& take, bool ok);
     void running(const std::string& id);
     void token(const std::string& id, const std::string& made, bool last, bool cut);
+    std::string stream_event(const std::string& id, invariants::Json choices,
+                             const invariants::Json* usage) const;
+    std::string stream_beginning(const ActiveRequest& request);
+    std::string stream_end(const ActiveRequest& request, bool cut) const;
     void end(const std::string& id, const char* how);
     bool first_effect(const std::string& key);
     std::string load_header();
@@ -88,7 +103,8 @@
     std::deque<std::pair<Millis, double>> reports_;  // memory share by time, for late reports
     Millis report_delay_ = 0;
     bool draining_ = false;
-    net::Timer timer_, burier_;
+    net::Timer timer_;
+    net::Timer discard_timer_;  // frees what has ended, outside its own callbacks
 };
 
 }  // namespace gorsenotch::fake_engine
--- a/src/fake_engine/model.cpp
+++ b/src/fake_engine/model.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Millis kFar = 1e15;
-constexpr std::size_t kTombs = 4096;
+constexpr std::size_t kRememberedAborts = 4096;
 
 std::uint64_t scramble(std::uint64_t x) {
     x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9ULL;
@@ -33,7 +33,7 @@
 }
 
 Model::Model(EngineConfig config, Millis now, Events events)
-    : config_(std::move(config)), events_(std::move(events)), born_(now) {}
+    : config_(config), events_(std::move(events)), born_(now) {}
 
 double Model::speed(Millis now) const {
     double capacity = 1;
@@ -53,7 +53,7 @@
 
 double Model::waiting_ktokens() const {
     double sum = 0;
-    for (const auto& j : queue_) sum += j.prompt;
+    for (const auto& job : queue_) sum += job.prompt;
     return sum / 1000;
 }
 
@@ -166,7 +166,7 @@
 }
 
 bool Model::aborted(const std::string& id) const {
-    return std::find(tombs_.begin(), tombs_.end(), id) != tombs_.end();
+    return std::find(aborted_ids_.begin(), aborted_ids_.end(), id) != aborted_ids_.end();
 }
 
 bool Model::abort(Millis now, const std::string& id) {
@@ -191,8 +191,8 @@
         return true;
     }
     if (config_.role == Role::prefill) {
-        tombs_.push_back(id);
-        if (tombs_.size() > kTombs) tombs_.pop_front();
+        aborted_ids_.push_back(id);
+        if (aborted_ids_.size() > kRememberedAborts) aborted_ids_.pop_front();
     }
     return false;
 }
@@ -236,7 +236,7 @@
     for (const auto& id : ids) {
         const auto it = std::find_if(running_.begin(), running_.end(),
                                      [&](const Running& running) { return running.job.id == id; });
-        if (it == running_.end()) continue;  // gone by an event of another
+        if (it == running_.end()) continue;  // ended by an event of another
         const std::string token = token_text(it->job.text_seed, it->made);
         ++it->made;
         ++memory_;
@@ -248,7 +248,7 @@
         }
         events_.token(id, token, last, cut);
     }
-    // Memory ran out: the newest answer waits until the others have gone, and reads its text anew.
+    // Memory ran out: the newest answer is preempted and prefills its text again.
     if (memory_ > config_.memory_tokens && running_.size() > 1) {
         Running& newest = running_.back();
         if (newest.ready) {
@@ -278,9 +278,9 @@
     }
     Millis next = kFar;
     std::vector<std::string> ended;
-    for (const auto& [id, s] : states_) {
-        if (s.until <= now) ended.push_back(id);
-        next = std::min(next, s.until);
+    for (const auto& [id, state] : states_) {
+        if (state.until <= now) ended.push_back(id);
+        next = std::min(next, state.until);
     }
     for (const auto& id : ended) {
         double tokens = 0;
--- a/src/fake_engine/model.h
+++ b/src/fake_engine/model.h
@@ -1,10 +1,11 @@
-// A model of one engine of a disaggregated pair: queue, slots, memory, pace, kept prefixes, cold start,
-// orders that make it misbehave. Pure: the clock is handed in, what happens is told through Events. It is a
-// stand-in for tests and days on loopback, not a measure of real engines.
+// A model of one engine of a disaggregated pair: queue, slots, memory, pace, prefix cache, slow start, and
+// orders that make it misbehave. Pure: the clock is an argument, and what happens is reported through Events.
+// It stands in for a real engine in tests and scenarios on loopback; its figures say nothing about real
+// engines.
 //
-// A reader reads first come first, one prompt at a time at read_per_s, from where the text that it has kept
-// ends; the state then holds memory until it is taken, let go of, or its lease ends. A writer holds a slot
-// and memory while it fetches a state and writes; each step gives every running answer one token.
+// A prefill engine works first come first, one prompt at a time at read_per_s, from where its cached prefix
+// ends; the KV state then uses memory until it is fetched, aborted, or its lease ends. A decode engine uses a
+// slot and memory while it fetches a state and generates; each step gives every running answer one token.
 #pragma once
 
 #include <deque>
@@ -57,10 +58,10 @@
     Admission write(Millis now, Job job);
     // The state has come (or is gone: the job is dropped).
     void fetched(Millis now, const std::string& id, bool ok);
-    // A writer has fetched the state of the read `id`: false if there is none.
+    // A decode engine has fetched the state of the prefill `id`: false if there is none.
     bool take(Millis now, const std::string& id, double& tokens);
-    // Ends a job or lets go of a state, whichever there is; true if there was one. An id that is not known
-    // yet is remembered: a read that comes later under it is turned away.
+    // Ends a job or frees a state, whichever there is; true if there was one. An id that is not known yet is
+    // remembered: a prefill that comes later under it is rejected.
     bool abort(Millis now, const std::string& id);
     bool aborted(const std::string& id) const;
 
@@ -101,9 +102,9 @@
     const Millis born_;
     double slow_ = 1;
     bool stalled_ = false;
-    Millis stalled_at_ = 0, stall_sum_ = 0;
+    Millis stalled_at_ = 0;
     std::deque<Job> queue_;
-    // reader
+    // prefill
     bool reading_ = false;
     Job job_;
     Millis read_until_ = 0;
@@ -112,14 +113,14 @@
     std::list<std::pair<std::uint64_t, double>> lru_;
     std::unordered_map<std::uint64_t, std::list<std::pair<std::uint64_t, double>>::iterator> known_;
     double known_tokens_ = 0;
-    std::deque<std::string> tombs_;
-    // writer
+    std::deque<std::string> aborted_ids_;
+    // decode
     std::list<Running> running_;
     Millis next_step_ = -1;
     double memory_ = 0;
 };
 
-// The text that every stand-in writes for a prompt: a word a token, the same for the same seed.
+// The text that every fake engine generates for a prompt: a word a token, the same for the same seed.
 std::string token_text(std::uint64_t seed, int index);
 int answer_length(std::uint64_t seed, int usual);
 
--- a/src/fake_engine/stop_sequences.h
+++ b/src/fake_engine/stop_sequences.h
@@ -21,17 +21,19 @@
         if (strings_.empty()) return std::string(piece);
         held_.append(piece);
         std::size_t first = std::string::npos;
-        for (const auto& s : strings_) {
-            const auto at = held_.find(s);
+        for (const auto& stop : strings_) {
+            const auto at = held_.find(stop);
             // The earliest; of those at one place the longest.
-            if (at < first || (at == first && at != std::string::npos && s.size() > matched_.size()))
-                first = at, matched_ = s;
+            if (at < first || (at == first && at != std::string::npos && stop.size() > matched_.size())) {
+                first = at;
+                matched_ = stop;
+            }
         }
         if (first != std::string::npos) return std::exchange(held_, {}).substr(0, first);
         std::size_t keep = 0;
-        for (const auto& s : strings_) {
-            for (std::size_t n = std::min(s.size() - 1, held_.size()); n > keep; --n) {
-                if (std::string_view(held_).substr(held_.size() - n) == std::string_view(s).substr(0, n))
+        for (const auto& stop : strings_) {
+            for (std::size_t n = std::min(stop.size() - 1, held_.size()); n > keep; --n) {
+                if (std::string_view(held_).substr(held_.size() - n) == std::string_view(stop).substr(0, n))
                     keep = n;
             }
         }
@@ -45,7 +47,8 @@
 
 private:
     std::vector<std::string> strings_;
-    std::string held_, matched_;
+    std::string held_;  // may be the beginning of a stop string
+    std::string matched_;
 };
 
 }  // namespace gorsenotch::fake_engine
