--- a/tests/fake_engine/stop_sequences_test.cpp
+++ b/tests/fake_engine/stop_sequences_test.cpp
@@ -1,4 +1,4 @@
-// Stop strings as the stand-in engine scans for them.
+// Stop sequences as the fake engine finds them in its own output.
 #include "fake_engine/stop_sequences.h"
 
 #include <gtest/gtest.h>
@@ -6,17 +6,21 @@
 namespace gorsenotch::fake_engine {
 namespace {
 
-// All that is given of `text`, fed in pieces of `size` bytes, and what matched.
-std::pair<std::string, std::string> scan(std::vector<std::string> strings, const std::string& text,
-                                         std::size_t size) {
-    StopSequences s(std::move(strings));
+struct Result {
+    std::string text;     // up to the stop sequence
+    std::string matched;  // empty: none
+    bool operator==(const Result&) const = default;
+};
+
+// Scans `text` in pieces of `size` bytes.
+Result scan(std::vector<std::string> strings, const std::string& text, std::size_t size) {
+    StopSequences stops(std::move(strings));
     std::string out;
-    for (std::size_t at = 0; at < text.size(); at += size) out += s.feed(text.substr(at, size));
-    return {out + s.rest(), s.matched()};
+    for (std::size_t at = 0; at < text.size(); at += size) out += stops.feed(text.substr(at, size));
+    return {out + stops.rest(), stops.matched()};
 }
 
-TEST(Stops, EndBeforeTheStringWhateverThePieces) {
-    using Result = std::pair<std::string, std::string>;
+TEST(StopSequencesTest, TextEndsBeforeTheSequenceWhateverThePieces) {
     for (std::size_t size = 1; size <= 12; ++size) {
         EXPECT_EQ(scan({"END"}, "one ENEND two", size), (Result{"one EN", "END"})) << size;
         EXPECT_EQ(scan({"xyz", "two"}, "one two xyz", size), (Result{"one ", "two"})) << size;
@@ -27,14 +31,14 @@
     }
 }
 
-TEST(Stops, GiveAtOnceWhatCanNotBeginOne) {
-    StopSequences s({"\n\n"});
-    EXPECT_EQ(s.feed("a line"), "a line");
-    EXPECT_EQ(s.feed("\n"), "");
-    EXPECT_EQ(s.feed("more"), "\nmore");
-    EXPECT_EQ(s.feed("\n\nlost"), "");
-    EXPECT_EQ(s.feed("lost too"), "");
-    EXPECT_EQ(s.matched(), "\n\n");
+TEST(StopSequencesTest, TextThatCannotBeginASequenceIsReturnedAtOnce) {
+    StopSequences stops({"\n\n"});
+    EXPECT_EQ(stops.feed("a line"), "a line");
+    EXPECT_EQ(stops.feed("\n"), "");
+    EXPECT_EQ(stops.feed("more"), "\nmore");
+    EXPECT_EQ(stops.feed("\n\nlost"), "");
+    EXPECT_EQ(stops.feed("lost too"), "");
+    EXPECT_EQ(stops.matched(), "\n\n");
 }
 
 }  // namespace
--- a/tests/fuzz/corpus_test.cpp
+++ b/tests/fuzz/corpus_test.cpp
@@ -1,4 +1,4 @@
-// Replays the kept corpus of every fuzz target (tests/fuzz).
+// Runs the committed corpus of every fuzz target (tests/fuzz).
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -10,18 +10,18 @@
 namespace gorsenotch::fuzz {
 namespace {
 
-TEST(Fuzz, CorpusHoldsItsProperties) {
-    for (const auto& t : targets()) {
+TEST(FuzzCorpusTest, EveryFileKeepsTheTargetsProperties) {
+    for (const auto& target : targets()) {
         int files = 0;
-        for (const auto& f : std::filesystem::directory_iterator(
-                 std::string(GORSENOTCH_ROOT "/tests/fuzz/corpus/") + t.name)) {
-            std::ifstream in(f.path(), std::ios::binary);
+        for (const auto& file : std::filesystem::directory_iterator(
+                 std::string(GORSENOTCH_ROOT "/tests/fuzz/corpus/") + target.name)) {
+            std::ifstream in(file.path(), std::ios::binary);
             std::ostringstream bytes;
             bytes << in.rdbuf();
-            t.run(bytes.str());
+            target.run(bytes.str());
             ++files;
         }
-        EXPECT_GT(files, 2) << t.name;
+        EXPECT_GT(files, 2) << target.name;
     }
 }
 
--- a/tests/fuzz/fuzzer.cpp
+++ b/tests/fuzz/fuzzer.cpp
@@ -7,8 +7,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     static const auto run = [] {
         const char* name = std::getenv("GORSENOTCH_FUZZ");
-        for (const auto& t : gorsenotch::fuzz::targets()) {
-            if (name && std::string(name) == t.name) return t.run;
+        for (const auto& target : gorsenotch::fuzz::targets()) {
+            if (name && std::string(name) == target.name) return target.run;
         }
         std::abort();
     }();
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -40,7 +40,8 @@
     std::size_t body = 0;
     parser.on_headers = [&] {
         trace += parser.method + " " + parser.target + " " + std::to_string(parser.status) + "\n";
-        for (const auto& [name, value] : parser.headers) trace += name + ":" + value + "\n";
+        for (const auto& [name, value] : parser.headers)
+            trace.append(name).append(":").append(value).append("\n");
         need(parser.headers.size() <= 10, "no more headers than the limit");
     };
     parser.on_body = [&](std::string_view b) {
@@ -119,14 +120,16 @@
     const auto dialect = engine::vllm();
     gateway::UpstreamExchange exchange(*dialect, read, 256, 4096);
     std::string text;
-    int firsts = 0, overs = 0, result = -1;
-    exchange.on_stream_begun = [&] { need(overs == 0 && ++firsts == 1, "one first token, before the end"); };
+    int firsts = 0;
+    int ends = 0;
+    int result = -1;
+    exchange.on_stream_begun = [&] { need(ends == 0 && ++firsts == 1, "one first token, before the end"); };
     exchange.on_text = [&](std::string_view piece) {
-        need(firsts == 1 && overs == 0, "text between the first token and the end");
+        need(firsts == 1 && ends == 0, "text between the first token and the end");
         text += piece;
     };
-    exchange.on_ended = [&](gateway::AttemptOutcome ending) {
-        need(++overs == 1, "one end");
+    exchange.on_ended = [&](const gateway::AttemptOutcome& ending) {
+        need(++ends == 1, "one end");
         need(ending.begun == (firsts == 1), "the end knows whether it had begun");
         result = static_cast<int>(ending.result);
     };
@@ -136,7 +139,7 @@
         return true;
     });
     exchange.on_connection_closed();
-    need(overs == 1 && exchange.is_over(), "an end whatever came");
+    need(ends == 1 && exchange.is_over(), "an end whatever came");
     need(!exchange.is_reusable(), "a connection that is gone carries nothing");
     exchange.time_out(), exchange.cancel(), exchange.on_stream_stalled(), exchange.on_data("x");
     return text + "|" + std::to_string(result);
@@ -170,9 +173,9 @@
 
 void config(std::string_view bytes) {
     try {
-        const auto c = platform::parse_config(std::string(bytes), "127.0.0.1:1", "127.0.0.1:2");
-        need(!c.listen.empty() && !c.discovery.empty(), "what is taken has its addresses");
-        const Router router(c.named.settings, 1);
+        const auto parsed = platform::parse_config(std::string(bytes), "127.0.0.1:1", "127.0.0.1:2");
+        need(!parsed.listen.empty() && !parsed.discovery.empty(), "what is taken has its addresses");
+        const Router router(parsed.named.settings, 1);
     } catch (const platform::ConfigError& error) {
         need(*error.what() != 0, "a refusal says why");
     } catch (const std::invalid_argument&) {  // of the Router, which names the setting
@@ -232,17 +235,19 @@
 std::string attempt_trace(std::string_view bytes, std::size_t size, platform::UpstreamExchange::Kind kind) {
     platform::UpstreamExchange exchange(kind);
     std::string text;
-    int firsts = 0, overs = 0, result = -1;
+    int firsts = 0;
+    int ends = 0;
+    int result = -1;
     exchange.on_first_event = [&](std::string_view b) {
-        need(overs == 0 && ++firsts == 1, "one first event, before the end");
+        need(ends == 0 && ++firsts == 1, "one first event, before the end");
         text += b;
     };
     exchange.on_more_events = [&](std::string_view b) {
-        need(firsts == 1 && overs == 0, "events between the first and the end");
+        need(firsts == 1 && ends == 0, "events between the first and the end");
         text += b;
     };
     exchange.on_ended = [&](const platform::AttemptOutcome& outcome) {
-        need(++overs == 1 && outcome.begun == (firsts == 1), "one end, which knows whether it had begun");
+        need(++ends == 1 && outcome.begun == (firsts == 1), "one end, which knows whether it had begun");
         result = static_cast<int>(outcome.result);
     };
     exchange.on_first_byte_sent(), exchange.on_request_written();
@@ -251,7 +256,7 @@
         return true;
     });
     exchange.on_connection_closed();
-    need(overs == 1 && exchange.is_over() && !exchange.is_reusable(),
+    need(ends == 1 && exchange.is_over() && !exchange.is_reusable(),
          "an end whatever came, and the connection carries nothing");
     exchange.abort(AttemptResult::timed_out, ""), exchange.on_data("x"), exchange.on_not_sent();
     return text + "|" + std::to_string(result);
