--- a/bench/load.h
+++ b/bench/load.h
@@ -1,4 +1,5 @@
-// An open-loop load over kept connections: requests go out when they are due, whatever came of the others.
+// An open-loop load over persistent connections: requests are sent when they are due, whatever became of the
+// others.
 #pragma once
 
 #include <algorithm>
@@ -28,73 +29,82 @@
         long events = 0;
     };
     net::EventLoop& loop;
-    std::string address, request, mark;
+    std::string address;
+    std::string request;  // head and body
+    std::string mark;     // occurs once in each event of an answer
     std::vector<std::unique_ptr<Link>> links;
     std::vector<Link*> idle;
     std::vector<Taken> times;
     long begun = 0, done = 0, failed = 0, events = 0;
     std::function<void()> on_done;
 
-    Load(net::EventLoop& l, std::string a, std::string r, std::string m)
-        : loop(l), address(std::move(a)), request(std::move(r)), mark(std::move(m)) {}
+    Load(net::EventLoop& event_loop, std::string server, std::string request_text, std::string event_mark)
+        : loop(event_loop),
+          address(std::move(server)),
+          request(std::move(request_text)),
+          mark(std::move(event_mark)) {}
 
     void ask() {
         ++begun;
-        Link* load = nullptr;
         if (!idle.empty()) {
-            load = idle.back();
+            Link* link = idle.back();
             idle.pop_back();
-            return send(*load);
+            return send(*link);
         }
         links.push_back(std::make_unique<Link>());
-        load = links.back().get();
-        load->stream = std::make_unique<net::TcpStream>(loop);
-        load->parser =
+        Link* link = links.back().get();
+        link->stream = std::make_unique<net::TcpStream>(loop);
+        link->parser =
             std::make_unique<http::Parser>(http::Parser::Kind::response, http::Limits{16384, 100, 0});
-        load->parser->on_body = [this, load](std::string_view b) {
-            for (std::size_t at = 0; (at = b.find(mark, at)) != std::string_view::npos; at += mark.size())
-                ++load->events;
-            if (load->first == 0 && load->events > 0) load->first = net::now();
+        link->parser->on_body = [this, link](std::string_view bytes) {
+            for (std::size_t at = 0; (at = bytes.find(mark, at)) != std::string_view::npos; at += mark.size())
+                ++link->events;
+            if (link->first == 0 && link->events > 0) link->first = net::now();
         };
-        load->parser->on_complete = [this, load] { end(*load, load->parser->status == 200); };
-        load->stream->on_data = [load](std::string_view b) { load->parser->feed(b); };
-        load->stream->on_end = [this, load](int) {
-            if (load->busy) end(*load, false);
-            std::erase(idle, load);
-            load->open = false;
+        link->parser->on_complete = [this, link] { end(*link, link->parser->status == 200); };
+        link->stream->on_data = [link](std::string_view bytes) { link->parser->feed(bytes); };
+        link->stream->on_end = [this, link](int) {
+            if (link->busy) end(*link, false);
+            std::erase(idle, link);
+            link->open = false;
         };
-        load->stream->connect(address, "", [this, load](int e) {
-            if (e != 0) return end(*load, false);
-            load->open = true;
-            load->stream->set_reading(true);
-            send(*load);
+        link->stream->connect(address, "", [this, link](int error) {
+            if (error != 0) return end(*link, false);
+            link->open = true;
+            link->stream->set_reading(true);
+            send(*link);
         });
     }
-    void send(Link& load) {
-        load.busy = true, load.sent = net::now(), load.first = 0, load.events = 0;
-        load.stream->write(request);
+    void send(Link& link) {
+        link.busy = true;
+        link.sent = net::now();
+        link.first = 0;
+        link.events = 0;
+        link.stream->write(request);
     }
-    void end(Link& load, bool ok) {
-        load.busy = false;
+    void end(Link& link, bool ok) {
+        link.busy = false;
         ++done;
         failed += !ok;
-        events += load.events;
-        if (ok && load.first > 0) times.push_back({load.sent, load.first - load.sent});
-        if (ok && load.open) idle.push_back(&load);
+        events += link.events;
+        if (ok && link.first > 0) times.push_back({link.sent, link.first - link.sent});
+        if (ok && link.open) idle.push_back(&link);
         if (on_done) on_done();
     }
     // `rate` a second for `seconds`, then waits for the last; at most `most` requests.
     void run(double rate, double seconds, long most = 1L << 40) {
         const Millis began = net::now();
-        // Arms itself anew: one that fires as the loop begins its turn would leave it asleep for good.
+        // Set again each time it fires: one that fires as the loop begins its turn would leave the loop
+        // asleep for good.
         net::Timer timer(loop, [&timer] { timer.fire_after(1); });
         timer.fire_after(1);
         while (true) {
-            const Millis t = net::now() - began;
-            const long due = std::min(most, static_cast<long>(rate * std::min(t, seconds * 1000) / 1000));
+            const Millis elapsed = net::now() - began;
+            const long due =
+                std::min(most, static_cast<long>(rate * std::min(elapsed, seconds * 1000) / 1000));
             while (begun < due) ask();
-            if ((t >= seconds * 1000 || begun >= most) && done >= begun) return;
-            if (t > seconds * 1000 + 60000) return;
+            if ((elapsed >= seconds * 1000 || begun >= most) && done >= begun) return;
+            if (elapsed > seconds * 1000 + 60000) return;
             uv_run(loop.raw(), UV_RUN_ONCE);
         }
     }
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -27,19 +27,19 @@
     const auto number = [&](const char* name, const char* absent) {
         return std::stod(option(argc, argv, name, absent));
     };
-    const auto whole = [&](const char* name, const char* absent) {
+    const auto integer = [&](const char* name, const char* absent) {
         return static_cast<int>(number(name, absent));
     };
     char self[4096] = "";
     if (readlink("/proc/self/exe", self, sizeof self - 1) < 0) return 4;
     if (what == "engine") {
-        bench::BenchEngine e(whole("--events", "30"), whole("--pace", "10"));
-        if (e.listener.listen(at, 8192) != 0) return 4;
+        bench::BenchEngine engine(integer("--events", "30"), integer("--pace", "10"));
+        if (engine.listener.listen(at, 8192) != 0) return 4;
         std::cout << "ready" << std::endl;
-        e.loop.on_slow_turn = [](net::Millis length, const net::EventLoop::Activities&) {
+        engine.loop.on_slow_turn = [](net::Millis length, const net::EventLoop::Activities&) {
             std::fprintf(stderr, "slow_turn %.2f\n", length);
         };
-        e.loop.run();
+        engine.loop.run();
         return 0;
     }
     if (what == "relay") return bench::run_relay(at, option(argc, argv, "--to", ""));
@@ -55,14 +55,19 @@
         return 2;
     }
     if (what == "cost") {
-        bench::CostOptions o;
-        o.self = self, o.program = argv[2];
-        o.rate = number("--rate", "500"), o.seconds = number("--seconds", "6");
-        o.events = whole("--events", "30"), o.pace = whole("--pace", "10"), o.rounds = whole("--rounds", "5");
-        o.hog_ms = number("--hog", "0"), o.hog_every_ms = number("--hog-every", "200");
-        return bench::run_cost(o);
+        bench::CostOptions options;
+        options.self = self;
+        options.program = argv[2];
+        options.rate = number("--rate", "500");
+        options.seconds = number("--seconds", "6");
+        options.events = integer("--events", "30");
+        options.pace = integer("--pace", "10");
+        options.rounds = integer("--rounds", "5");
+        options.hog_ms = number("--hog", "0");
+        options.hog_every_ms = number("--hog-every", "200");
+        return bench::run_cost(options);
     }
-    if (what == "streams") return bench::run_streams(self, argv[2], whole("--streams", "5000"));
+    if (what == "streams") return bench::run_streams(self, argv[2], integer("--streams", "5000"));
     if (what == "leak")
         return bench::run_leak(self, argv[2], static_cast<long>(number("--requests", "100000")),
                                number("--rate", "1000"));
--- a/bench/processes.h
+++ b/bench/processes.h
@@ -3,10 +3,10 @@
 
 #include <fcntl.h>
 #include <sched.h>
-#include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <cstdio>
 #include <fstream>
 #include <sstream>
@@ -27,15 +27,19 @@
     double ran = 0, waited = 0;
 };
 inline Sched sched_of(int pid) {
-    char name[64], text[128] = "";
+    char name[64];
+    char text[128] = "";
     std::snprintf(name, sizeof name, "/proc/%d/schedstat", pid);
     const int fd = open(name, O_RDONLY | O_CLOEXEC);
     if (fd < 0) return {};
     const auto n = read(fd, text, sizeof text - 1);
     close(fd);
-    Sched s;
-    if (n > 0 && std::sscanf(text, "%lf %lf", &s.ran, &s.waited) == 2) s.ran /= 1e6, s.waited /= 1e6;
-    return s;
+    Sched times;
+    if (n > 0 && std::sscanf(text, "%lf %lf", &times.ran, &times.waited) == 2) {
+        times.ran /= 1e6;
+        times.waited /= 1e6;
+    }
+    return times;
 }
 
 struct Process {
@@ -49,19 +53,21 @@
         if (pid == 0) {
             pin(core);
             dup2(fds[1], 1);
-            close(fds[0]), close(fds[1]);
+            close(fds[0]);
+            close(fds[1]);
             const int null =
                 open(log.empty() ? "/dev/null" : log.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0644);
             dup2(null, 2);
             std::vector<char*> argv;
-            for (auto& a : args) argv.push_back(a.data());
+            argv.reserve(args.size() + 1);
+            for (auto& argument : args) argv.push_back(argument.data());
             argv.push_back(nullptr);
             execv(argv[0], argv.data());
             _exit(127);
         }
         close(fds[1]);
-        char c = 0;
-        while (read(fds[0], &c, 1) == 1 && c != '\n') ready += c;
+        char next = 0;
+        while (read(fds[0], &next, 1) == 1 && next != '\n') ready += next;
         close(fds[0]);
     }
     ~Process() {
--- a/bench/setup.h
+++ b/bench/setup.h
@@ -11,8 +11,8 @@
 namespace gorsenotch::bench {
 
 inline int port_of(net::EventLoop& loop, const std::string& host) {
-    net::TcpListener l(loop);
-    return l.listen(host + ":0") == 0 ? l.port() : 0;
+    net::TcpListener listener(loop);
+    return listener.listen(host + ":0") == 0 ? listener.port() : 0;
 }
 
 inline const std::string kBody =
@@ -30,27 +30,32 @@
     std::string self, program, folder, reader, writer, relay, gate;
     std::unique_ptr<Process> read_engine, write_engine, relay_process, gateway;
 
-    Setup(net::EventLoop& loop, const std::string& s, const std::string& p, int events, int pace)
-        : self(s), program(p) {
+    Setup(net::EventLoop& loop, const std::string& own_file, const std::string& gateway_program, int events,
+          int pace)
+        : self(own_file), program(gateway_program) {
         char name[] = "/tmp/gorsenotch-bench-XXXXXX";
         folder = mkdtemp(name);
         const auto at = [&](const char* host) {
             return std::string(host) + ":" + std::to_string(port_of(loop, host));
         };
-        reader = at("127.0.0.2"), writer = at("127.0.0.3"), relay = at("127.0.0.4"), gate = at("127.0.0.5");
+        reader = at("127.0.0.2");
+        writer = at("127.0.0.3");
+        relay = at("127.0.0.4");
+        gate = at("127.0.0.5");
         const auto engine = [&](const std::string& address, const char* log) {
             return std::make_unique<Process>(
                 std::vector<std::string>{self, "engine", "--at", address, "--events", std::to_string(events),
                                          "--pace", std::to_string(pace)},
                 1, folder + log);
         };
-        read_engine = engine(reader, "/reader.log"), write_engine = engine(writer, "/writer.log");
+        read_engine = engine(reader, "/reader.log");
+        write_engine = engine(writer, "/writer.log");
         relay_process = std::make_unique<Process>(
             std::vector<std::string>{self, "relay", "--at", relay, "--to", writer}, 0);
         std::string hex;
-        for (unsigned char b : settings::sha256("key")) {
+        for (const unsigned char byte : settings::sha256("key")) {
             char two[3];
-            std::snprintf(two, sizeof two, "%02x", b);
+            std::snprintf(two, sizeof two, "%02x", byte);
             hex += two;
         }
         std::ofstream(folder + "/s.xml")
--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -11,37 +11,51 @@
 namespace gorsenotch::bench {
 namespace {
 
-constexpr Millis kSecond = 1000, kReadTime = 60, kFirstTokenTime = 40, kStreamTime = 900;
+constexpr Millis kSecond = 1000;
+constexpr Millis kPrefillTime = 60;
+constexpr Millis kFirstTokenTime = 40;
+constexpr Millis kStreamTime = 900;
 constexpr double kRate = 60;         // requests a second
 constexpr Millis kListChange = 500;  // between two changes of the list
 
 double cpu_ms() {
-    timespec t{};
-    clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &t);
-    return static_cast<double>(t.tv_sec) * 1e3 + static_cast<double>(t.tv_nsec) / 1e6;
+    timespec used{};
+    clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used);
+    return static_cast<double>(used.tv_sec) * 1e3 + static_cast<double>(used.tv_nsec) / 1e6;
 }
 
 Settings fleet_settings(int gateways) {
     Settings settings;
     ClassSettings class_settings;
-    class_settings.latency_objective = 1500, class_settings.latency_objective_per_1000_tokens = 40,
-    class_settings.deadline = 6000, class_settings.inter_token_objective = 60;
+    class_settings.latency_objective = 1500;
+    class_settings.latency_objective_per_1000_tokens = 40;
+    class_settings.deadline = 6000;
+    class_settings.inter_token_objective = 60;
     settings.classes = {class_settings};
     settings.kinds = {{Role::prefill, 200000}, {Role::decode, 150000}};
-    settings.zones = 2, settings.gateways = gateways, settings.max_attempts = 6, settings.cancellation = true,
+    settings.zones = 2;
+    settings.gateways = gateways;
+    settings.max_attempts = 6;
+    settings.cancellation = true;
     settings.stream_migration = true;
-    settings.connect_timeout = 250, settings.answer_slack = 50, settings.drain_grace = 250,
+    settings.connect_timeout = 250;
+    settings.answer_slack = 50;
+    settings.drain_grace = 250;
     settings.lease_release_timeout = 1000;
-    settings.overload_factor = 2.5, settings.overload_window = 2000, settings.initial_capacity = 0.3,
-    settings.slow_start_duration = 10000, settings.event_interval = 4;
+    settings.overload_factor = 2.5;
+    settings.overload_window = 2000;
+    settings.initial_capacity = 0.3;
+    settings.slow_start_duration = 10000;
+    settings.event_interval = 4;
     return settings;
 }
 
 Endpoint entry(int rank) {
     Endpoint endpoint;
     endpoint.id = static_cast<EndpointId>(rank * 2654435761u);
-    endpoint.zone = rank / 6 % 2, endpoint.kind = rank % 2,
-    endpoint.cell = static_cast<std::uint64_t>(rank / 6 + 1);
+    endpoint.zone = rank / 6 % 2;
+    endpoint.kind = rank % 2;
+    endpoint.cell = static_cast<std::uint64_t>(rank) / 6 + 1;
     return endpoint;
 }
 
@@ -92,15 +106,18 @@
             played.decisions =
                 (played.decisions ^ attempt->endpoint) * 0x100000001B3ULL + attempt->request.size();
             AttemptEnded ended;
-            ended.request = attempt->request, ended.attempt = attempts[attempt->request]++,
+            ended.request = attempt->request;
+            ended.attempt = attempts[attempt->request]++;
             ended.endpoint = attempt->endpoint;
             if (ended.attempt == 0) {
-                ended.result = AttemptResult::prefill_done, ended.took = kReadTime;
-                events.emplace(now + kReadTime, ended);
+                ended.result = AttemptResult::prefill_done;
+                ended.took = kPrefillTime;
+                events.emplace(now + kPrefillTime, ended);
             } else {
                 events.emplace(now + kFirstTokenTime,
                                FirstToken{ended.request, ended.attempt, ended.endpoint, kFirstTokenTime});
-                ended.result = AttemptResult::served, ended.request_closed = true;
+                ended.result = AttemptResult::served;
+                ended.request_closed = true;
                 events.emplace(now + kStreamTime, ended);
             }
         }
@@ -115,7 +132,8 @@
     std::printf("%8s %16s %16s %22s %18s\n", "servers", "idle ms/s", "60/s ms/s", "us for each request",
                 "decisions");
     for (const int servers : {12, 60, 200, 240, 1000, 3200}) {
-        const Played idle = play(servers, 0, kSeconds), busy = play(servers, kRate, kSeconds);
+        const Played idle = play(servers, 0, kSeconds);
+        const Played busy = play(servers, kRate, kSeconds);
         std::printf("%8d %16.3f %16.3f %22.1f %18llx\n", servers, idle.cpu_ms / kSeconds,
                     busy.cpu_ms / kSeconds, (busy.cpu_ms - idle.cpu_ms) / kSeconds / kRate * 1e3,
                     static_cast<unsigned long long>(busy.decisions));
