--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -2,10 +2,10 @@
 // the read asks for one token with do_remote_decode, its answer carries the parameters for the write.
 // Load reports: the ORCA `endpoint-load-metrics` header (TEXT or JSON form). A state that no write will take
 // is let go of by POST /abort_request with the request id, as SGLang has it.
-#include <charconv>
 #include <cmath>
 
 #include "engine/dialect.h"
+#include "engine/load_report.h"
 
 namespace gorsenotch::engine {
 namespace {
@@ -267,46 +267,8 @@
     }
 
     LoadReport load_report(const http::Headers& headers) const override {
-        LoadReport report;
         const std::string* text = http::find(headers, "endpoint-load-metrics");
-        if (!text) return report;
-        std::string_view v = *text;
-        const auto set = [&](std::string_view name, double x) {
-            if (!std::isfinite(x) || x < 0) return;
-            if (name.substr(0, 14) == "named_metrics.") name.remove_prefix(14);
-            if (name == "mem_utilization" || name == "kv_cache_usage_perc")
-                report.memory_utilization = std::min(x, 1.0);
-            if (name == "waiting_ktokens") report.queued_kilotokens = x;
-            if (name == "latency_ms") report.latency = x;
-        };
-        if (v.substr(0, 5) == "JSON ") {
-            std::string why;
-            const Json json = api::parse_json(v.substr(5), why, 4);
-            if (!json.is_object()) return report;
-            for (const auto& [name, value] : json.items()) {
-                if (value.is_number()) set(name, value.get<double>());
-                if (name != "named_metrics" || !value.is_object()) continue;
-                for (const auto& [n, x] : value.items()) {
-                    if (x.is_number()) set(n, x.get<double>());
-                }
-            }
-            return report;
-        }
-        if (v.substr(0, 5) != "TEXT ") return report;
-        v.remove_prefix(5);
-        while (!v.empty()) {
-            const auto comma = v.find(',');
-            auto pair = v.substr(0, comma);
-            v = comma == std::string_view::npos ? std::string_view() : v.substr(comma + 1);
-            while (!pair.empty() && pair.front() == ' ') pair.remove_prefix(1);
-            const auto eq = pair.find('=');
-            if (eq == std::string_view::npos) continue;
-            double x = -1;
-            const char* end = pair.data() + pair.size();
-            const auto [at, error] = std::from_chars(pair.data() + eq + 1, end, x);
-            if (error == std::errc() && at == end) set(pair.substr(0, eq), x);
-        }
-        return report;
+        return text ? parse_load_report(*text) : LoadReport{};
     }
 };
 
--- a/src/invariants/record.cpp
+++ b/src/invariants/record.cpp
@@ -7,6 +7,7 @@
 #include <filesystem>
 #include <fstream>
 #include <stdexcept>
+#include <utility>
 
 namespace gorsenotch::invariants {
 
@@ -23,11 +24,11 @@
     fields["t"] = now;
     fields["e"] = event;
     const std::string line = fields.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
-    std::size_t done = 0;
-    while (done < line.size()) {
-        const ssize_t n = ::write(fd_, line.data() + done, line.size() - done);
-        if (n <= 0) return;
-        done += static_cast<std::size_t>(n);
+    std::size_t written = 0;
+    while (written < line.size()) {
+        const ssize_t count = ::write(fd_, line.data() + written, line.size() - written);
+        if (count <= 0) return;
+        written += static_cast<std::size_t>(count);
     }
 }
 
@@ -41,28 +42,42 @@
     return it != fields.end() && it->is_number() ? it->get<double>() : absent;
 }
 
+namespace {
+
+Record parse_record(const std::string& line, const std::string& file, std::size_t line_number) {
+    Record record;
+    record.fields = Json::parse(line, nullptr, false);
+    const Json& fields = record.fields;
+    const bool valid = fields.is_object() && fields.contains("t") && fields["t"].is_number() &&
+                       fields.contains("e") && fields["e"].is_string();
+    if (!valid) throw std::runtime_error(file + ":" + std::to_string(line_number) + ": not a record");
+    record.t = fields["t"];
+    record.event = fields["e"];
+    record.line = line_number;
+    return record;
+}
+
+void read_file(const std::string& file, std::vector<Record>& records) {
+    std::ifstream in(file, std::ios::binary);
+    if (!in) throw std::runtime_error(file + ": can't be read");
+    const std::string source = std::filesystem::path(file).stem().string();
+    std::size_t line_number = 0;
+    for (std::string line; std::getline(in, line);) {
+        ++line_number;
+        if (in.eof()) break;
+        Record record = parse_record(line, file, line_number);
+        record.source = source;
+        records.push_back(std::move(record));
+    }
+}
+
+}  // namespace
+
 std::vector<Record> read(const std::vector<std::string>& files) {
     std::vector<Record> all;
-    for (const auto& file : files) {
-        std::ifstream in(file, std::ios::binary);
-        if (!in) throw std::runtime_error(file + ": can't be read");
-        const std::string source = std::filesystem::path(file).stem().string();
-        std::size_t n = 0;
-        for (std::string line; std::getline(in, line);) {
-            ++n;
-            if (in.eof()) break;
-            Record record;
-            record.fields = Json::parse(line, nullptr, false);
-            if (!record.fields.is_object() || !record.fields.contains("t") ||
-                !record.fields["t"].is_number() || !record.fields.contains("e") ||
-                !record.fields["e"].is_string())
-                throw std::runtime_error(file + ":" + std::to_string(n) + ": not a record");
-            record.t = record.fields["t"], record.event = record.fields["e"];
-            record.source = source, record.line = n;
-            all.push_back(std::move(record));
-        }
-    }
-    std::stable_sort(all.begin(), all.end(), [](const Record& a, const Record& b) { return a.t < b.t; });
+    for (const auto& file : files) read_file(file, all);
+    std::stable_sort(all.begin(), all.end(),
+                     [](const Record& left, const Record& right) { return left.t < right.t; });
     return all;
 }
 
--- a/src/invariants/record.h
+++ b/src/invariants/record.h
@@ -1,7 +1,7 @@
 // Records of what sockets carried: NDJSON, a line an event, times in ms on the machine's monotonic clock.
 //
-// Engines, clients and the day's runner each write a file of their own, a whole line at a time, so that a
-// process that is killed loses at most the line under way. The checker reads nothing else.
+// Engines, clients and the scenario's runner each write a file of their own, a whole line at a time, so that
+// a process that is killed loses at most the line under way. The checker reads nothing else.
 //
 //   engine: up(server, role, kind..), recv(id, op, key, work), run(id, key), repeat(id), held(id), taken(id),
 //           release_request(id), lease(id), first(id), end(id, how)
@@ -17,6 +17,7 @@
 
 using Json = nlohmann::json;
 
+// Writes one file of records, which it owns.
 class Recorder {
 public:
     explicit Recorder(const std::string& file);  // appends; empty: records nothing
@@ -32,6 +33,7 @@
     bool off_ = false;
 };
 
+// One line of a file.
 struct Record {
     double t = 0;
     std::string source;  // file it stands in, without folder and ending
--- a/src/invariants/record_checker.h
+++ b/src/invariants/record_checker.h
@@ -1,5 +1,6 @@
-// Judges the five rules from the records of clients' and engines' sockets and of the day's runner, never from
-// what a gateway says of itself. Pure.
+// Judges the five invariants from the records of clients' and engines' sockets and of the scenario's runner,
+// never from what a gateway says of itself. Pure. The checks are in checks.h, their view of the records in
+// record_index.h.
 #pragma once
 
 #include <string>
@@ -13,7 +14,10 @@
 struct CheckerSettings {
     std::vector<std::string> classes;           // names, as in the records
     std::vector<ClassSettings> class_settings;  // by class
-    Millis answer_slack = 50, drain_grace = 250, release_within = 1000, overload_window = 2000;
+    Millis answer_slack = 50;
+    Millis drain_grace = 250;
+    Millis release_within = 1000;
+    Millis overload_window = 2000;
     double overload_factor = 2.5;
     // What passes between a cause and its record in another process, on one machine; added to each limit.
     Millis notice = 60;
@@ -21,22 +25,26 @@
     Millis recover = 1000;
 };
 
+// The result of one check.
 struct Finding {
-    std::string rule, what;  // e.g. "answered once"
-    long cases = 0, broken = 0;
+    std::string rule;  // the invariant, with its number
+    std::string what;  // e.g. "answered once"
+    long cases = 0;
+    long broken = 0;
     long excused = 0;     // late only because the runner had killed or stopped the gateway that owed it
-    std::string example;  // of the first breach: what was seen, with the records' places
+    std::string example;  // of the first violation: what was seen, with the records' places
     std::vector<std::string> trace;  // the records that speak of it, by time, at most 20
 };
 
+// What clients were served.
 struct Service {
     long asked = 0, answered = 0, refused = 0, failed = 0, client_disconnected = 0;
     // The connection broke without an answer: because the runner had killed its gateway, which then owes
     // nothing (the client's to retry), or with the gateway alive, which breaks rule 1.
     long lost_killed = 0, lost = 0;
-    // Attempts that were out while their gateway stood still, and others begun within Terms::recover after,
-    // at engines without a trouble of their own and for clients that still waited; those that the gateway
-    // cut.
+    // Attempts that were out while their gateway stood still, and others begun within
+    // CheckerSettings::recover after, at engines without a trouble of their own and for clients that still
+    // waited; those that the gateway cut.
     long attempts_during_stall = 0, cut_during_stall = 0, attempts_after_stall = 0, cut_after_stall = 0;
     double value = 0;  // earned over asked, retries counted with their first try; 0 to 1
     std::vector<std::pair<std::string, double>> by_class;
@@ -46,10 +54,12 @@
 struct Verdict {
     std::vector<Finding> findings;
     Service service;
+    // Whether no invariant is broken.
     bool kept() const;
 };
 
 Verdict check_records(const std::vector<Record>& records, const CheckerSettings& terms);
+// As a table, with the records of each first violation.
 std::string format_verdict(const Verdict& verdict);
 
 }  // namespace gorsenotch::invariants
--- a/tests/invariants/record_checker_test.cpp
+++ b/tests/invariants/record_checker_test.cpp
@@ -14,11 +14,13 @@
     CheckerSettings settings;
     settings.classes = {"chat", "pay", "order"};
     settings.class_settings.resize(3);
-    for (auto& class_settings : settings.class_settings)
-        class_settings.latency_objective = 500, class_settings.deadline = 2000,
+    for (auto& class_settings : settings.class_settings) {
+        class_settings.latency_objective = 500;
+        class_settings.deadline = 2000;
         class_settings.priority_weight = 1;
+    }
     settings.class_settings[1].idempotency = Idempotency::unsafe;
-    settings.class_settings[2].idempotency = Idempotency::with_key,
+    settings.class_settings[2].idempotency = Idempotency::with_key;
     settings.class_settings[2].dedup_scope = DedupScope::cell;
     return settings;
 }
@@ -28,49 +30,49 @@
 struct Story {
     std::vector<Record> records;
     std::size_t line = 0;
-    Story& add(const std::string& source, double t, const char* event, Json fields) {
-        records.push_back({t, source, event, std::move(fields), ++line});
+    Story& add(const std::string& source, double time, const char* event, Json fields) {
+        records.push_back({time, source, event, std::move(fields), ++line});
         return *this;
     }
     // An ordinary request: read at engine 1, written at engine 2, answered.
-    Story& ask(const std::string& cls = "chat", double t = 1000) {
-        return add("client-0", t, "ask",
+    Story& ask(const std::string& cls = "chat", double time = 1000) {
+        return add("client-0", time, "ask",
                    {{"c", "1.0"},
                     {"turn", "1"},
                     {"cls", cls},
                     {"key", cls == "order" ? "k" : ""},
                     {"gateway", "g"},
-                    {"deadline", t + 2000},
+                    {"deadline", time + 2000},
                     {"stream", 1},
                     {"prompt", 100}});
     }
-    Story& attempt(int n, long server, const char* op, double t, const std::string& cls = "chat",
+    Story& attempt(int n, long server, const char* operation, double time, const std::string& cls = "chat",
                    double work = 0.1) {
-        return add("engine", t, "recv",
+        return add("engine", time, "recv",
                    {{"server", server},
                     {"id", id(n)},
-                    {"op", op},
+                    {"op", operation},
                     {"cls", cls},
                     {"work", work},
                     {"key", cls == "order" ? "t/k" : ""}});
     }
-    Story& at(long server, double t, const char* event, int n, const char* how = "done") {
-        return add("engine", t, event, {{"server", server}, {"id", id(n)}, {"how", how}});
+    Story& at(long server, double time, const char* event, int n, const char* how = "done") {
+        return add("engine", time, event, {{"server", server}, {"id", id(n)}, {"how", how}});
     }
     static std::string id(int n) { return kRequest + "." + std::to_string(n); }
-    Story& read(double t = 1001, const std::string& cls = "chat") {
-        return attempt(0, 1, "read", t, cls).at(1, t + 20, "held", 0).at(1, t + 20, "end", 0);
+    Story& read(double time = 1001, const std::string& cls = "chat") {
+        return attempt(0, 1, "read", time, cls).at(1, time + 20, "held", 0).at(1, time + 20, "end", 0);
     }
-    Story& write(int n, double t, const std::string& cls = "chat", long server = 2) {
-        return attempt(n, server, "write", t, cls)
-            .at(1, t + 2, "taken", 0)
-            .at(server, t + 3, "run", n)
-            .at(server, t + 9, "end", n);
+    Story& write(int n, double time, const std::string& cls = "chat", long server = 2) {
+        return attempt(n, server, "write", time, cls)
+            .at(1, time + 2, "taken", 0)
+            .at(server, time + 3, "run", n)
+            .at(server, time + 9, "end", n);
     }
-    Story& answer(double t, int status = 200, const char* ending = "whole") {
-        if (status == 200) add("client-0", t - 5, "first", {{"c", "1.0"}, {"id", kRequest}});
+    Story& answer(double time, int status = 200, const char* ending = "whole") {
+        if (status == 200) add("client-0", time - 5, "first", {{"c", "1.0"}, {"id", kRequest}});
         return add(
-            "client-0", t, "answer",
+            "client-0", time, "answer",
             {{"c", "1.0"}, {"id", kRequest}, {"status", status}, {"ending", ending}, {"text", "right"}});
     }
     Story& good(const std::string& cls = "chat") {
@@ -228,14 +230,14 @@
 
 TEST(Checker, Pinned) {
     const auto story = [](double freed, const char* how) {
-        Story s = Story()
-                      .ask()
-                      .attempt(0, 1, "read", 1001)
-                      .at(1, 1020, "held", 0)
-                      .at(1, 1020, "end", 0)
-                      .answer(1100, 529, "refused");
-        if (how) s.at(1, freed, how, 0);
-        return s;
+        Story made = Story()
+                         .ask()
+                         .attempt(0, 1, "read", 1001)
+                         .at(1, 1020, "held", 0)
+                         .at(1, 1020, "end", 0)
+                         .answer(1100, 529, "refused");
+        if (how) made.at(1, freed, how, 0);
+        return made;
     };
     expect(story(1500, "let_go"), "");
     expect(story(2500, "let_go"), "5 a state is ");
@@ -255,11 +257,12 @@
 
 TEST(Records, WholeLinesOnlyAndDamageNamed) {
     char name[] = "/tmp/gorsenotch-records-XXXXXX";
-    const std::string folder = mkdtemp(name), file = folder + "/engine-1.ndjson";
+    const std::string folder = mkdtemp(name);
+    const std::string file = folder + "/engine-1.ndjson";
     {
-        Recorder r(file);
-        r.write(2, "recv", {{"id", "a"}, {"server", 1}});
-        r.write(1, "up", {{"server", 1}});
+        Recorder recorder(file);
+        recorder.write(2, "recv", {{"id", "a"}, {"server", 1}});
+        recorder.write(1, "up", {{"server", 1}});
     }
     std::ofstream(file, std::ios::app) << "{\"t\":3,\"e\":\"ru";
     const auto all = read({file});
@@ -287,10 +290,10 @@
 }
 
 TEST(Standstills, ExcuseWhatFellIntoThemAndNoMore) {
-    const auto late = [](double t) {
+    const auto late = [](double time) {
         Story story = stopped();
-        story.at(1, t, "let_go", 0)
-            .add("client-0", t, "answer",
+        story.at(1, time, "let_go", 0)
+            .add("client-0", time, "answer",
                  {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
         return check_records(story.records, terms());
     };
