--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -38,30 +38,32 @@
     const auto it = object.find(key);
     // From outside: a number that no long holds would be undefined to convert.
     if (it == object.end() || !it->is_number()) return 0;
-    const double v = it->get<double>();
-    return std::isfinite(v) && v > 0 && v < 1e12 ? static_cast<long>(v) : 0;
+    const double value = it->get<double>();
+    return std::isfinite(value) && value > 0 && value < 1e12 ? static_cast<long>(value) : 0;
 }
 
 api::Usage usage_of(const Json& json) {
     api::Usage usage{whole(json, "prompt_tokens"), 0, whole(json, "completion_tokens")};
-    if (const auto d = json.find("prompt_tokens_details"); d != json.end() && d->is_object()) {
-        usage.cached = std::min(usage.input, whole(*d, "cached_tokens"));
+    const auto details = json.find("prompt_tokens_details");
+    if (details != json.end() && details->is_object()) {
+        usage.cached = std::min(usage.input, whole(*details, "cached_tokens"));
     }
     return usage;
 }
 
 std::string error_text(const Json& json) {
-    const Json* e = &json;
-    if (json.is_object() && json.contains("error")) e = &json["error"];
-    if (e->is_object() && e->contains("message") && (*e)["message"].is_string())
-        return (*e)["message"].get<std::string>().substr(0, 200);
+    const Json* error = &json;
+    if (json.is_object() && json.contains("error")) error = &json["error"];
+    if (error->is_object() && error->contains("message") && (*error)["message"].is_string())
+        return (*error)["message"].get<std::string>().substr(0, 200);
     return "no reason given";
 }
 
 std::string error_type(const Json& json) {
     if (!json.is_object() || !json.contains("error") || !json["error"].is_object()) return {};
-    const auto& e = json["error"];
-    return e.contains("type") && e["type"].is_string() ? e["type"].get<std::string>() : std::string();
+    const auto& error = json["error"];
+    if (!error.contains("type") || !error["type"].is_string()) return {};
+    return error["type"].get<std::string>();
 }
 
 ParsedResponse refusal(int status, const std::string& body) {
@@ -107,8 +109,8 @@
     bool start_array(std::size_t) override { return down(0); }
     bool end_object() override { return up(); }
     bool end_array() override { return up(); }
-    bool key(string_t& k) override {
-        if (depth_ <= kPath) key_[depth_] = known(k);
+    bool key(string_t& name) override {
+        if (depth_ <= kPath) key_[depth_] = known(name);
         return true;
     }
     bool parse_error(std::size_t, const std::string&, const nlohmann::detail::exception&) override {
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -82,9 +82,9 @@
          "<?xml version=\"1.0\"?><!DOCTYPE gorsenotch [<!ENTITY x SYSTEM \"file:///etc/passwd\">]>",
          "not allowed"},
     };
-    for (const auto& c : cases) {
-        const auto said = faults_of(changed(c.from, c.to));
-        EXPECT_NE(said.find(c.want), std::string::npos) << c.to << "\nsaid: " << said;
+    for (const auto& change : cases) {
+        const auto reported = faults_of(changed(change.from, change.to));
+        EXPECT_NE(reported.find(change.want), std::string::npos) << change.to << "\nreported: " << reported;
     }
     for (const char* text : {"", "x", "<a/>", "<fleet xmlns=\"urn:gorsenotch:1\"/>"})
         EXPECT_NE(faults_of(text), "") << text;
