--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -2,10 +2,10 @@
 // the read asks for one token with do_remote_decode, its answer carries the parameters for the write.
 // Load reports: the ORCA `endpoint-load-metrics` header (TEXT or JSON form). A state that no write will take
 // is let go of by POST /abort_request with the request id, as SGLang has it.
-#include <charconv>
 #include <cmath>
 
 #include "engine/dialect.h"
+#include "engine/load_report.h"
 
 namespace gorsenotch::engine {
 namespace {
@@ -38,30 +38,32 @@
     const auto it = object.find(key);
     // From outside: a number that no long holds would be undefined to convert.
     if (it == object.end() || !it->is_number()) return 0;
-    const double v = it->get<double>();
-    return std::isfinite(v) && v > 0 && v < 1e12 ? static_cast<long>(v) : 0;
+    const double value = it->get<double>();
+    return std::isfinite(value) && value > 0 && value < 1e12 ? static_cast<long>(value) : 0;
 }
 
 api::Usage usage_of(const Json& json) {
     api::Usage usage{whole(json, "prompt_tokens"), 0, whole(json, "completion_tokens")};
-    if (const auto d = json.find("prompt_tokens_details"); d != json.end() && d->is_object()) {
-        usage.cached = std::min(usage.input, whole(*d, "cached_tokens"));
+    const auto details = json.find("prompt_tokens_details");
+    if (details != json.end() && details->is_object()) {
+        usage.cached = std::min(usage.input, whole(*details, "cached_tokens"));
     }
     return usage;
 }
 
 std::string error_text(const Json& json) {
-    const Json* e = &json;
-    if (json.is_object() && json.contains("error")) e = &json["error"];
-    if (e->is_object() && e->contains("message") && (*e)["message"].is_string())
-        return (*e)["message"].get<std::string>().substr(0, 200);
+    const Json* error = &json;
+    if (json.is_object() && json.contains("error")) error = &json["error"];
+    if (error->is_object() && error->contains("message") && (*error)["message"].is_string())
+        return (*error)["message"].get<std::string>().substr(0, 200);
     return "no reason given";
 }
 
 std::string error_type(const Json& json) {
     if (!json.is_object() || !json.contains("error") || !json["error"].is_object()) return {};
-    const auto& e = json["error"];
-    return e.contains("type") && e["type"].is_string() ? e["type"].get<std::string>() : std::string();
+    const auto& error = json["error"];
+    if (!error.contains("type") || !error["type"].is_string()) return {};
+    return error["type"].get<std::string>();
 }
 
 ParsedResponse refusal(int status, const std::string& body) {
@@ -107,8 +109,8 @@
     bool start_array(std::size_t) override { return down(0); }
     bool end_object() override { return up(); }
     bool end_array() override { return up(); }
-    bool key(string_t& k) override {
-        if (depth_ <= kPath) key_[depth_] = known(k);
+    bool key(string_t& name) override {
+        if (depth_ <= kPath) key_[depth_] = known(name);
         return true;
     }
     bool parse_error(std::size_t, const std::string&, const nlohmann::detail::exception&) override {
@@ -267,46 +269,8 @@
     }
 
     LoadReport load_report(const http::Headers& headers) const override {
-        LoadReport report;
         const std::string* text = http::find(headers, "endpoint-load-metrics");
-        if (!text) return report;
-        std::string_view v = *text;
-        const auto set = [&](std::string_view name, double x) {
-            if (!std::isfinite(x) || x < 0) return;
-            if (name.substr(0, 14) == "named_metrics.") name.remove_prefix(14);
-            if (name == "mem_utilization" || name == "kv_cache_usage_perc")
-                report.memory_utilization = std::min(x, 1.0);
-            if (name == "waiting_ktokens") report.queued_kilotokens = x;
-            if (name == "latency_ms") report.latency = x;
-        };
-        if (v.substr(0, 5) == "JSON ") {
-            std::string why;
-            const Json json = api::parse_json(v.substr(5), why, 4);
-            if (!json.is_object()) return report;
-            for (const auto& [name, value] : json.items()) {
-                if (value.is_number()) set(name, value.get<double>());
-                if (name != "named_metrics" || !value.is_object()) continue;
-                for (const auto& [n, x] : value.items()) {
-                    if (x.is_number()) set(n, x.get<double>());
-                }
-            }
-            return report;
-        }
-        if (v.substr(0, 5) != "TEXT ") return report;
-        v.remove_prefix(5);
-        while (!v.empty()) {
-            const auto comma = v.find(',');
-            auto pair = v.substr(0, comma);
-            v = comma == std::string_view::npos ? std::string_view() : v.substr(comma + 1);
-            while (!pair.empty() && pair.front() == ' ') pair.remove_prefix(1);
-            const auto eq = pair.find('=');
-            if (eq == std::string_view::npos) continue;
-            double x = -1;
-            const char* end = pair.data() + pair.size();
-            const auto [at, error] = std::from_chars(pair.data() + eq + 1, end, x);
-            if (error == std::errc() && at == end) set(pair.substr(0, eq), x);
-        }
-        return report;
+        return text ? parse_load_report(*text) : LoadReport{};
     }
 };
 
