--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <random>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/router.h"
 #include "parts.h"
 
 namespace gorsenotch::bench {
--- a/src/control/attempt_clock.h
+++ b/src/control/attempt_clock.h
@@ -4,7 +4,7 @@
 // Ownership: one for each attempt, filled in by proxy/router_driver, which also judges it.
 #pragma once
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
--- a/src/control/connection_reuse_policy.h
+++ b/src/control/connection_reuse_policy.h
@@ -11,7 +11,7 @@
 #include <array>
 #include <cstddef>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
--- a/src/control/drain_schedule.h
+++ b/src/control/drain_schedule.h
@@ -12,7 +12,7 @@
 
 #include <cstddef>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
--- a/src/control/endpoint_incarnation.h
+++ b/src/control/endpoint_incarnation.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
--- a/src/control/invariant_checker.h
+++ b/src/control/invariant_checker.h
@@ -17,7 +17,8 @@
 #include <vector>
 
 #include "control/lease_invariant.h"
-#include "gorsenotch/logic.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -18,7 +18,8 @@
 #include <optional>
 
 #include "control/prefill_times.h"  // for includers of this header, which took PrefillTimes from it
-#include "gorsenotch/logic.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
--- a/src/control/lease_invariant.h
+++ b/src/control/lease_invariant.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
--- a/src/control/prefill_times.h
+++ b/src/control/prefill_times.h
@@ -7,7 +7,7 @@
 
 #include <optional>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 #include "stats/estimators.h"
 
 namespace gorsenotch::control {
--- a/src/control/process_delay.h
+++ b/src/control/process_delay.h
@@ -1,7 +1,7 @@
 // What run-time checks allow for this process itself.
 #pragma once
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
--- a/src/control/send_preconditions.h
+++ b/src/control/send_preconditions.h
@@ -8,7 +8,7 @@
 #include <array>
 #include <optional>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
--- a/src/control/stall_detector.h
+++ b/src/control/stall_detector.h
@@ -14,7 +14,7 @@
 #include <optional>
 
 #include "control/attempt_clock.h"  // for includers of this header, which took AttemptClock from it
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "api/chat.h"
-#include "gorsenotch/logic.h"
+#include "gorsenotch/events.h"
 #include "http/parser.h"
 
 namespace gorsenotch::engine {
--- a/src/engine/load_report.h
+++ b/src/engine/load_report.h
@@ -3,7 +3,7 @@
 
 #include <string_view>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/events.h"
 
 namespace gorsenotch::engine {
 
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -17,6 +17,8 @@
 
 #include "fake_engine/model.h"
 #include "fake_engine/stop_sequences.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "http/parser.h"
 #include "invariants/record.h"
 #include "net/event_loop.h"
--- a/src/fake_engine/model.h
+++ b/src/fake_engine/model.h
@@ -16,7 +16,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 #include "settings/settings.h"
 
 namespace gorsenotch::fake_engine {
--- a/src/fault_scenario/plan.h
+++ b/src/fault_scenario/plan.h
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "fault_scenario/scripted_clients.h"
+#include "gorsenotch/settings.h"
 #include "settings/settings.h"
 
 namespace gorsenotch::fault_scenario {
--- a/src/fault_scenario/scenario.h
+++ b/src/fault_scenario/scenario.h
@@ -13,6 +13,8 @@
 #include <vector>
 
 #include "fault_scenario/plan.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "invariants/record_checker.h"
 #include "net/child_process.h"
 #include "net/event_loop.h"
--- a/src/fault_scenario/scenario_internal.h
+++ b/src/fault_scenario/scenario_internal.h
@@ -6,6 +6,8 @@
 #include <string>
 
 #include "fault_scenario/scenario.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::fault_scenario {
 
--- a/src/fault_scenario/scripted_clients.h
+++ b/src/fault_scenario/scripted_clients.h
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "gorsenotch/settings.h"
 #include "http/parser.h"
 #include "http/sse.h"
 #include "invariants/record.h"
--- a/src/gateway/client_connection.h
+++ b/src/gateway/client_connection.h
@@ -8,6 +8,7 @@
 #include <string_view>
 
 #include "gateway/request_intake.h"
+#include "gorsenotch/settings.h"
 #include "http/parser.h"
 #include "net/event_loop.h"
 
--- a/src/gateway/environment.h
+++ b/src/gateway/environment.h
@@ -8,6 +8,7 @@
 #include "api/chat.h"
 #include "engine/dialect.h"
 #include "gateway/upstream_exchange.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::gateway {
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "gateway/http_server.h"
+#include "gorsenotch/settings.h"
 #include "proxy/connection_pool.h"
 #include "proxy/wakeup_timer.h"
 #include "state/snapshot_store.h"
--- a/src/gateway/http_server.h
+++ b/src/gateway/http_server.h
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "gateway/client_connection.h"
+#include "gorsenotch/settings.h"
 #include "net/event_loop.h"
 
 namespace gorsenotch::gateway {
--- a/src/gateway/open_request.h
+++ b/src/gateway/open_request.h
@@ -10,6 +10,8 @@
 #include "api/chat.h"
 #include "control/kv_lease.h"
 #include "gateway/environment.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "proxy/router_driver.h"
 
 namespace gorsenotch::gateway {
--- a/src/gateway/request_intake.h
+++ b/src/gateway/request_intake.h
@@ -7,6 +7,7 @@
 #include <variant>
 
 #include "gateway/request_lifecycle.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::gateway {
 
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -10,6 +10,9 @@
 
 #include "gateway/environment.h"
 #include "gateway/open_request.h"
+#include "gorsenotch/actions.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "settings/settings.h"
 #include "state/decision_observer.h"
 
--- a/src/gateway/upstream_exchange.h
+++ b/src/gateway/upstream_exchange.h
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "engine/dialect.h"
+#include "gorsenotch/events.h"
 #include "http/sse.h"
 #include "proxy/upstream_call.h"
 
--- a/src/invariants/record_checker.h
+++ b/src/invariants/record_checker.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 #include "invariants/record.h"
 
 namespace gorsenotch::invariants {
--- a/src/invariants/record_index.h
+++ b/src/invariants/record_index.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 #include "invariants/record.h"
 #include "invariants/record_checker.h"
 
--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -12,7 +12,9 @@
 #include <vector>
 
 #include "control/kv_lease.h"
-#include "gorsenotch/logic.h"
+#include "gorsenotch/actions.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::platform {
 
--- a/src/platform/attempt_runner.h
+++ b/src/platform/attempt_runner.h
@@ -4,6 +4,9 @@
 #include <memory>
 #include <string>
 
+#include "gorsenotch/actions.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "platform/lease_keeper.h"
 #include "platform/lifecycle_context.h"
 #include "platform/request_completion.h"
--- a/src/platform/client_connection.h
+++ b/src/platform/client_connection.h
@@ -18,6 +18,7 @@
 #include <string_view>
 
 #include "control/send_preconditions.h"
+#include "gorsenotch/settings.h"
 #include "http/parser.h"
 #include "net/event_loop.h"
 #include "platform/client.h"
--- a/src/platform/config_reloader.h
+++ b/src/platform/config_reloader.h
@@ -4,6 +4,7 @@
 #include <functional>
 #include <string>
 
+#include "gorsenotch/settings.h"
 #include "net/event_loop.h"
 #include "platform/config.h"
 
--- a/src/platform/endpoint_list.h
+++ b/src/platform/endpoint_list.h
@@ -10,6 +10,8 @@
 #include <vector>
 
 #include "control/endpoint_incarnation.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "settings/deployment_settings.h"
 
 namespace gorsenotch::platform {
--- a/src/platform/environment.h
+++ b/src/platform/environment.h
@@ -4,6 +4,7 @@
 #include <memory>
 #include <string>
 
+#include "gorsenotch/settings.h"
 #include "platform/upstream_exchange.h"
 
 namespace gorsenotch::platform {
--- a/src/platform/health_checker.h
+++ b/src/platform/health_checker.h
@@ -14,6 +14,8 @@
 #include <string>
 #include <unordered_map>
 
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "platform/endpoint_list.h"
 #include "platform/environment.h"
 
--- a/src/platform/lease_releaser.h
+++ b/src/platform/lease_releaser.h
@@ -16,6 +16,8 @@
 #include <vector>
 
 #include "control/kv_lease.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "platform/endpoint_list.h"
 #include "platform/environment.h"
 
--- a/src/platform/lifecycle_context.h
+++ b/src/platform/lifecycle_context.h
@@ -8,6 +8,8 @@
 
 #include "control/invariant_checker.h"
 #include "control/send_preconditions.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "platform/endpoint_list.h"
 #include "platform/health_checker.h"
 #include "platform/lease_releaser.h"
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "control/drain_schedule.h"
+#include "gorsenotch/settings.h"
 #include "platform/client_connections.h"
 #include "platform/config.h"
 #include "platform/config_reloader.h"
--- a/src/platform/request.h
+++ b/src/platform/request.h
@@ -5,6 +5,7 @@
 #include <string>
 #include <variant>
 
+#include "gorsenotch/events.h"
 #include "http/parser.h"
 #include "settings/deployment_settings.h"
 
--- a/src/platform/request_completion.h
+++ b/src/platform/request_completion.h
@@ -7,6 +7,9 @@
 #include <string_view>
 #include <vector>
 
+#include "gorsenotch/actions.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "platform/access_log.h"
 #include "platform/lease_keeper.h"
 #include "platform/lifecycle_context.h"
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -14,6 +14,9 @@
 #include <string>
 
 #include "control/invariant_checker.h"
+#include "gorsenotch/actions.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "platform/access_log.h"
 #include "platform/attempt_runner.h"
 #include "platform/client.h"
--- a/src/platform/request_state.h
+++ b/src/platform/request_state.h
@@ -16,6 +16,8 @@
 #include <unordered_set>
 
 #include "control/kv_lease.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "platform/client.h"
 #include "platform/environment.h"
 #include "platform/request.h"
--- a/src/platform/status_reporter.h
+++ b/src/platform/status_reporter.h
@@ -3,6 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
+#include "gorsenotch/settings.h"
 #include "net/event_loop.h"
 #include "platform/client_connections.h"
 #include "platform/endpoint_list.h"
--- a/src/platform/stream_forwarder.h
+++ b/src/platform/stream_forwarder.h
@@ -6,6 +6,7 @@
 #include <cstdint>
 #include <string_view>
 
+#include "gorsenotch/settings.h"
 #include "platform/lease_keeper.h"
 #include "platform/lifecycle_context.h"
 #include "platform/request_completion.h"
--- a/src/platform/upstream_exchange.h
+++ b/src/platform/upstream_exchange.h
@@ -10,7 +10,7 @@
 #include <functional>
 #include <string>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/events.h"
 #include "http/parser.h"
 #include "proxy/upstream_call.h"
 
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -14,6 +14,7 @@
 
 #include "control/connection_reuse_policy.h"
 #include "engine/dialect.h"
+#include "gorsenotch/settings.h"
 #include "net/event_loop.h"
 #include "proxy/detached_calls.h"
 #include "proxy/upstream_call.h"
--- a/src/proxy/router_driver.h
+++ b/src/proxy/router_driver.h
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "control/stall_detector.h"
+#include "gorsenotch/router.h"
 #include "proxy/timer_queue.h"
 
 namespace gorsenotch::proxy {
--- a/src/proxy/timer_queue.h
+++ b/src/proxy/timer_queue.h
@@ -6,7 +6,7 @@
 #include <set>
 #include <vector>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::proxy {
 
--- a/src/router/decode_selector.h
+++ b/src/router/decode_selector.h
@@ -4,6 +4,7 @@
 #include <cstdint>
 #include <vector>
 
+#include "gorsenotch/settings.h"
 #include "router/eligibility.h"
 #include "router/endpoint_registry.h"
 #include "router/fleet_stats.h"
--- a/src/router/prefix_affinity.h
+++ b/src/router/prefix_affinity.h
@@ -7,6 +7,7 @@
 #include <map>
 #include <vector>
 
+#include "gorsenotch/settings.h"
 #include "router/fleet_stats.h"
 #include "router/records.h"
 
--- a/src/settings/deployment_settings.h
+++ b/src/settings/deployment_settings.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::settings {
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -8,6 +8,7 @@
 #include <sstream>
 #include <stdexcept>
 
+#include "gorsenotch/router.h"
 #include "settings/fleet_file.h"
 #include "settings/section_reader.h"
 #include "settings/text_values.h"
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -8,7 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "settings/xml.h"
 
 namespace gorsenotch::settings {
--- a/src/simulator_adapter/action_writer.h
+++ b/src/simulator_adapter/action_writer.h
@@ -4,7 +4,7 @@
 #include <ostream>
 #include <string>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/actions.h"
 
 namespace gorsenotch::simulator_adapter {
 
--- a/src/simulator_adapter/message.h
+++ b/src/simulator_adapter/message.h
@@ -6,7 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "settings/text_values.h"
 
 namespace gorsenotch::simulator_adapter {
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/router.h"
 #include "simulator_adapter/message.h"
 
 namespace gorsenotch::simulator_adapter {
--- a/src/simulator_adapter/wire_words.h
+++ b/src/simulator_adapter/wire_words.h
@@ -3,7 +3,8 @@
 
 #include <array>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 #include "settings/text_values.h"
 
 namespace gorsenotch::simulator_adapter::words {
--- a/src/state/action_codec.h
+++ b/src/state/action_codec.h
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/actions.h"
 
 namespace gorsenotch::state {
 
--- a/src/state/decision_observer.h
+++ b/src/state/decision_observer.h
@@ -2,7 +2,9 @@
 // out, in order. The decision journal is one.
 #pragma once
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/actions.h"
+#include "gorsenotch/events.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::state {
 
--- a/src/state/event_codec.h
+++ b/src/state/event_codec.h
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/events.h"
 
 namespace gorsenotch::state {
 
--- a/src/state/journal_replay.cpp
+++ b/src/state/journal_replay.cpp
@@ -7,6 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
+#include "gorsenotch/router.h"
 #include "state/action_codec.h"
 #include "state/event_codec.h"
 #include "state/journal_error.h"
--- a/src/state/journal_replay.h
+++ b/src/state/journal_replay.h
@@ -5,7 +5,7 @@
 #include <iosfwd>
 #include <string>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/settings.h"
 
 namespace gorsenotch::state {
 
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,5 +1,5 @@
 // A gateway in miniature, against the installed library: one reader, one writer, one request.
-#include <gorsenotch/logic.h>
+#include <gorsenotch/router.h>
 
 #include <iostream>
 
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -8,6 +8,7 @@
 #include "api/messages.h"
 #include "engine/dialect.h"
 #include "gateway/upstream_exchange.h"
+#include "gorsenotch/router.h"
 #include "http/parser.h"
 #include "http/sse.h"
 #include "platform/config.h"
--- a/tests/router/router_harness.h
+++ b/tests/router/router_harness.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "gorsenotch/logic.h"
+#include "gorsenotch/router.h"
 
 namespace gorsenotch::test {
 
--- a/tests/state/decision_journal_test.cpp
+++ b/tests/state/decision_journal_test.cpp
@@ -7,6 +7,7 @@
 #include <fstream>
 #include <sstream>
 
+#include "gorsenotch/router.h"
 #include "state/journal_error.h"
 #include "state/temporary_folder.h"
 
