--- a/src/api/chat.cpp
+++ b/src/api/chat.cpp
@@ -6,7 +6,11 @@
 
 namespace gorsenotch::api {
 
-double estimate_tokens(std::string_view text) { return static_cast<double>((text.size() + 3) / 4); }
+double estimate_tokens(std::string_view text) {
+    constexpr std::size_t kBytesPerToken = 4;
+    const std::size_t tokens = (text.size() + kBytesPerToken - 1) / kBytesPerToken;
+    return static_cast<double>(tokens);
+}
 
 std::uint64_t hash(std::string_view text, std::uint64_t seed) {
     return XXH3_64bits_withSeed(text.data(), text.size(), seed);
--- a/src/api/chat.h
+++ b/src/api/chat.h
@@ -13,11 +13,13 @@
 
 using Json = nlohmann::json;
 
+// One turn of a conversation.
 struct Message {
     std::string role;  // "system", "user" or "assistant"
     std::string text;
 };
 
+// A request to a model, free of the form of any API.
 struct ChatRequest {
     std::string model;
     std::vector<Message> messages;  // the first of them is a system turn where there is a shared instruction
@@ -54,6 +56,7 @@
 // How an engine ended its answer.
 enum class StopReason { end, length, sequence, refused };
 
+// Token counts of an answer, as the engine reports them.
 struct Usage {
     long input = 0, cached = 0, output = 0;  // tokens, by the engine
 };
--- a/src/api/messages.cpp
+++ b/src/api/messages.cpp
@@ -22,6 +22,12 @@
 constexpr std::array kLater = {"tools",       "tool_choice",        "thinking",     "container",
                                "mcp_servers", "context_management", "output_config"};
 
+// The path of a member, for messages about it: "messages.0" and "role" give "messages.0.role".
+std::string child_path(const std::string& path, const std::string& key) {
+    std::string child = path;
+    return child.append(".").append(key);
+}
+
 // Text of a string or of a list of text blocks.
 std::optional<ApiError> text_of(const Json& value, const std::string& path, std::string& out) {
     if (value.is_string()) {
@@ -41,7 +47,7 @@
         if (!text->is_string()) return bad(at + ".text", "Input should be a valid string");
         for (const auto& [key, ignored] : block.items()) {
             if (key != "type" && key != "text" && key != "cache_control" && key != "citations")
-                return bad(at + "." + key, "Extra inputs are not permitted");
+                return bad(child_path(at, key), "Extra inputs are not permitted");
         }
         out += text->get_ref<const std::string&>();
     }
@@ -73,7 +79,7 @@
         if (!json.is_object()) return bad(at, "Input should be an object");
         for (const auto& [key, ignored] : json.items()) {
             if (key != "role" && key != "content")
-                return bad(at + "." + key, "Extra inputs are not permitted");
+                return bad(child_path(at, key), "Extra inputs are not permitted");
         }
         const auto role = json.find("role");
         if (role == json.end()) return bad(at + ".role", "Field required");
@@ -255,12 +261,12 @@
     }
     std::string on_text(std::string_view piece) override {
         // Every token of every stream passes here: one string, made once.
-        static constexpr std::string_view head =
+        static constexpr std::string_view kHead =
             "event: content_block_delta\ndata: {\"type\":\"content_block_delta\",\"index\":0,\"delta\":"
             "{\"type\":\"text_delta\",\"text\":\"";
         std::string out;
-        out.reserve(head.size() + piece.size() + 16);
-        out.append(head);
+        out.reserve(kHead.size() + piece.size() + 16);
+        out.append(kHead);
         escape(piece, out);
         return out.append("\"}}\n\n");
     }
--- a/src/api/versions.h
+++ b/src/api/versions.h
@@ -23,8 +23,8 @@
 
 // Null if it is not spoken.
 inline const Version* version(std::string_view name) {
-    for (const auto& v : kVersions) {
-        if (v.name == name) return &v;
+    for (const auto& known : kVersions) {
+        if (known.name == name) return &known;
     }
     return nullptr;
 }
@@ -32,7 +32,7 @@
 // For a message to the client: "2023-01-01, 2023-06-01, ...".
 inline std::string known_versions() {
     std::string all;
-    for (const auto& v : kVersions) all.append(all.empty() ? "" : ", ").append(v.name);
+    for (const auto& known : kVersions) all.append(all.empty() ? "" : ", ").append(known.name);
     return all;
 }
 
--- a/src/control/invariant_checker.h
+++ b/src/control/invariant_checker.h
@@ -22,6 +22,7 @@
 
 namespace gorsenotch::control {
 
+// The invariants that are checked; kInvariantNames has their names in the log.
 enum class Invariant {
     sent_after_end,        // an attempt after the final response, or for a client known to have disconnected
     sent_while_draining,   // an attempt at an endpoint listed as not healthy for longer than the grace
@@ -39,6 +40,8 @@
     "outside_dedup_scope", "outside_dedup_window", "rejected_after_possible_run", "duplicate_answer",
     "lease_overrun",       "late_answer"};
 
+// Counts violations and reports each through on_violation. Owns its account; shares no state with what it
+// checks.
 class InvariantChecker {
 public:
     using Handle = LeaseInvariant::Handle;
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -33,6 +33,7 @@
 constexpr std::array<const char*, 4> kLeaseOriginNames = {"prefill_done", "prefill_lost",
                                                           "prefill_unanswered", "slot_requested"};
 
+// The lease of one request: evidence in, the times of health checks and releases out.
 class KvLease {
 public:
     // When each step happened last, for logs; below 0: it did not.
--- a/src/control/send_preconditions.h
+++ b/src/control/send_preconditions.h
@@ -14,6 +14,7 @@
 
 // ---- the first byte of an attempt is about to go out ----
 
+// Why an attempt may not begin.
 enum class SendBlockReason {
     request_over,
     client_disconnected,
@@ -27,6 +28,7 @@
     "request_over",     "client_disconnected", "not_listed",    "not_healthy",
     "send_window_over", "deadline_exceeded",   "lease_released"};
 
+// What is known right before the first byte of an attempt.
 struct SendPreconditions {
     bool request_over = false;         // its client has its final response
     bool client_disconnected = false;  // its connection has been closed, whether that was read or not
@@ -41,9 +43,11 @@
 
 // ---- a client's connection is about to be closed without a response ----
 
+// Why a client connection may not be closed.
 enum class CloseBlockReason { request_open, unread_bytes };
 constexpr std::array<const char*, 2> kCloseBlockReasonNames = {"request_open", "unread_bytes"};
 
+// What is known right before a client connection is closed without an answer.
 struct ClosePreconditions {
     bool request_open = false;  // one has been read, in part at least, and is owed a response
     bool unread_bytes = false;  // bytes have come that nobody has read
--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -43,6 +43,8 @@
     api::Usage usage;
 };
 
+// Requests to engines and the meaning of their answers, in one engine's protocol. Has no state and does no
+// I/O.
 class Dialect {
 public:
     virtual ~Dialect() = default;
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -93,11 +93,18 @@
     bool number_float(number_float_t x, const string_t&) override { return number(x); }
     bool binary(binary_t&) override { return true; }
     bool string(string_t& json) override {
-        if (at(Key::choices, 0, Key::delta, Key::content)) text = std::move(json);
-        if (at(Key::choices, 0, Key::finish)) finish = std::move(json);
-        if (at(Key::choices, 0, Key::stop_reason)) stop_string = std::move(json);
-        if (depth_ == 1 && key_[1] == Key::error) error = true, error_text = json;
-        if (depth_ == 2 && key_[1] == Key::error && key_[2] == Key::message) error_text = std::move(json);
+        if (at(Key::choices, 0, Key::delta, Key::content)) {
+            text = std::move(json);
+        } else if (at(Key::choices, 0, Key::finish)) {
+            finish = std::move(json);
+        } else if (at(Key::choices, 0, Key::stop_reason)) {
+            stop_string = std::move(json);
+        } else if (depth_ == 1 && key_[1] == Key::error) {
+            error = true;
+            error_text = std::move(json);
+        } else if (depth_ == 2 && key_[1] == Key::error && key_[2] == Key::message) {
+            error_text = std::move(json);
+        }
         return value();
     }
     bool start_object(std::size_t) override {
@@ -135,21 +142,21 @@
     };
     static constexpr int kPath = 5, kDeepest = 64;
 
-    static Key known(const std::string& k) {
-        static constexpr std::pair<std::string_view, Key> names[] = {{"choices", Key::choices},
-                                                                     {"delta", Key::delta},
-                                                                     {"content", Key::content},
-                                                                     {"finish_reason", Key::finish},
-                                                                     {"stop_reason", Key::stop_reason},
-                                                                     {"error", Key::error},
-                                                                     {"message", Key::message},
-                                                                     {"usage", Key::usage},
-                                                                     {"prompt_tokens", Key::prompt},
-                                                                     {"completion_tokens", Key::output},
-                                                                     {"prompt_tokens_details", Key::details},
-                                                                     {"cached_tokens", Key::cached}};
-        for (const auto& [name, key] : names) {
-            if (name == k) return key;
+    static Key known(const std::string& name) {
+        static constexpr std::pair<std::string_view, Key> kNames[] = {{"choices", Key::choices},
+                                                                      {"delta", Key::delta},
+                                                                      {"content", Key::content},
+                                                                      {"finish_reason", Key::finish},
+                                                                      {"stop_reason", Key::stop_reason},
+                                                                      {"error", Key::error},
+                                                                      {"message", Key::message},
+                                                                      {"usage", Key::usage},
+                                                                      {"prompt_tokens", Key::prompt},
+                                                                      {"completion_tokens", Key::output},
+                                                                      {"prompt_tokens_details", Key::details},
+                                                                      {"cached_tokens", Key::cached}};
+        for (const auto& [known_name, key] : kNames) {
+            if (known_name == name) return key;
         }
         return Key::other;
     }
@@ -228,8 +235,8 @@
         }
         parsed.result = AttemptResult::prefill_done;
         parsed.parameters = params->dump();
-        if (const auto u = json.find("usage"); u != json.end() && u->is_object())
-            parsed.note = static_cast<double>(usage_of(*u).cached);
+        if (const auto usage = json.find("usage"); usage != json.end() && usage->is_object())
+            parsed.note = static_cast<double>(usage_of(*usage).cached);
         return parsed;
     }
 
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -25,6 +25,7 @@
 
 namespace gorsenotch::fake_engine {
 
+// How a fake engine is started.
 struct EngineOptions {
     std::string address, control;  // control may be empty
     std::string record;            // file; empty: none
@@ -36,6 +37,8 @@
     std::vector<std::string> args;  // of this process, to start it anew
 };
 
+// The process: sockets, orders and records around a Model. Owns its connections; threading: the loop's
+// thread.
 class Engine {
 public:
     Engine(net::EventLoop& loop, EngineOptions options);
--- a/src/fake_engine/model.h
+++ b/src/fake_engine/model.h
@@ -21,6 +21,7 @@
 
 namespace gorsenotch::fake_engine {
 
+// Size, pace and role of a modelled engine.
 struct EngineConfig {
     Role role = Role::mixed;
     double memory_tokens = 100000;
@@ -31,6 +32,7 @@
     std::uint64_t seed = 1;
 };
 
+// One request as the model sees it.
 struct Job {
     std::string id, key, cls;
     std::vector<std::pair<std::uint64_t, double>>
@@ -41,6 +43,7 @@
     bool has_state = false;  // comes with transfer parameters
 };
 
+// The state of one engine over time. Owns its queue, KV caches and running answers.
 class Model {
 public:
     struct Events {
--- a/src/fault_scenario/plan.h
+++ b/src/fault_scenario/plan.h
@@ -20,6 +20,7 @@
     std::uint64_t cell = 0;
 };
 
+// What a scenario does to its processes.
 enum class FaultKind {
     crash_engine,
     drain_engine,
@@ -30,6 +31,7 @@
     suspend_gateways,  // one after another, for `size` ms each
 };
 
+// One fault, with its time and its targets.
 struct Fault {
     FaultKind kind = FaultKind::crash_engine;
     std::string engine_order;  // a word of the engine's control port
@@ -45,6 +47,7 @@
     std::optional<std::uint64_t> cell;
 };
 
+// A scenario file's contents, validated.
 struct ScenarioPlan {
     std::string name;
     std::string settings_file;
--- a/src/fault_scenario/scenario.h
+++ b/src/fault_scenario/scenario.h
@@ -21,12 +21,14 @@
 
 namespace gorsenotch::fault_scenario {
 
+// How a scenario is run.
 struct ScenarioOptions {
     std::string self;  // this program's own file
     std::string out;   // folder for records and logs; made anew
     std::optional<std::uint64_t> seed;
 };
 
+// What came of a run.
 struct ScenarioResult {
     invariants::Verdict verdict;
     std::string error;         // the scenario could not be played, or a process died by itself
--- a/src/fault_scenario/scenario_internal.h
+++ b/src/fault_scenario/scenario_internal.h
@@ -11,6 +11,7 @@
 
 namespace gorsenotch::fault_scenario {
 
+// A fake engine of the scenario: its address, its process and whether it is up.
 struct Scenario::EngineProcess {
     settings::Engine engine;
     std::string control_address;
@@ -19,6 +20,7 @@
     bool leaving = false;  // drained, or crashed for good
 };
 
+// A gateway of the scenario and its process.
 struct Scenario::GatewayProcess {
     int number = 0;
     int zone = 0;
--- a/src/fault_scenario/scripted_clients.h
+++ b/src/fault_scenario/scripted_clients.h
@@ -42,6 +42,7 @@
     int usual_answer = 60;  // the fake engines' answer-tokens, to know the right text
 };
 
+// How a process of scripted clients is run; times are ms.
 struct ClientOptions {
     std::vector<std::string> gateways;
     Load load;
--- a/src/invariants/record_checker.h
+++ b/src/invariants/record_checker.h
@@ -11,6 +11,7 @@
 
 namespace gorsenotch::invariants {
 
+// Limits that the invariants are judged by; times are ms.
 struct CheckerSettings {
     std::vector<std::string> classes;           // names, as in the records
     std::vector<ClassSettings> class_settings;  // by class
@@ -51,6 +52,7 @@
     double p50 = 0, p99 = 0, p999 = 0;  // ms to the first token or whole answer, of those served
 };
 
+// All findings of a run, and how well clients were served.
 struct Verdict {
     std::vector<Finding> findings;
     Service service;
--- a/src/invariants/record_index.h
+++ b/src/invariants/record_index.h
@@ -15,6 +15,7 @@
 
 constexpr Millis kNever = 1e18;
 
+// A span of time, in ms.
 struct Interval {
     Millis from = 0;
     Millis to = kNever;
--- a/src/settings/deployment_settings.h
+++ b/src/settings/deployment_settings.h
@@ -14,6 +14,7 @@
 
 namespace gorsenotch::settings {
 
+// A setting that cannot be read; the message names it.
 struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -14,6 +14,7 @@
 
 namespace gorsenotch::settings {
 
+// An engine of the settings or of the fleet file.
 struct Engine {
     Endpoint endpoint;    // `started` in ms since 1970 here; the gateway turns it into its own clock
     std::string address;  // "host:port", numeric
@@ -27,6 +28,7 @@
     bool any() const { return model.empty() && header.empty() && tenant < 0 && min_prompt_tokens <= 0; }
 };
 
+// Bounds of a gateway; names say the units.
 struct Limits {
     std::size_t header_bytes = 16384, headers = 100, body_bytes = 4194304, open_requests = 20000;
     std::size_t stream_buffer = 32768, whole_answer = 4194304, event_bytes = 1048576;
@@ -35,6 +37,7 @@
     std::size_t engine_idle = 64;
 };
 
+// Pace of a fake engine of one kind.
 struct FakeEngineSettings {
     int slots = 16, queue = 64, answer_tokens = 60;
     double read_per_s = 20000, fetch_per_s = 300000, kept_tokens = 50000;
@@ -44,6 +47,7 @@
 
 using Digest = std::array<unsigned char, 32>;
 
+// A settings file's contents, validated.
 struct Program {
     std::string listen, log_level = "info", fleet_file, source;
     Limits limits;
--- a/src/state/journal_error.h
+++ b/src/state/journal_error.h
@@ -6,6 +6,7 @@
 
 namespace gorsenotch::state {
 
+// What is wrong with a journal.
 enum class JournalErrorCode {
     malformed_line,       // not a JSON object, or a field is missing or of another type
     number_out_of_range,  // a number that its field cannot hold
@@ -14,6 +15,7 @@
     missing_seed  // an event before the line that starts a Router
 };
 
+// A journal that cannot be written or replayed; the message names the file or line.
 class JournalError : public std::runtime_error {
 public:
     JournalError(JournalErrorCode code, const std::string& message)
--- a/src/state/snapshot_store.h
+++ b/src/state/snapshot_store.h
@@ -13,21 +13,25 @@
 
 namespace gorsenotch::state {
 
+// What went wrong with a snapshot.
 enum class SnapshotErrorCode {
     damaged_generation,  // one or both files were passed over
     write_failed         // the system refused; what was saved before stays
 };
 
+// A failed save, or a generation that was passed over; the message says which.
 struct SnapshotError {
     SnapshotErrorCode code;
     std::string message;  // the file and what is wrong
 };
 
+// The newest intact generation, if there is one, and what was passed over.
 struct LoadedSnapshot {
     std::optional<std::string> text;     // nothing if no generation is intact
     std::optional<SnapshotError> error;  // names what was passed over; nothing if nothing was
 };
 
+// One text in two generations on disk. Owns both files; no locks: one writer at a time.
 class SnapshotStore {
 public:
     // `folder` must exist; the files are `name`.a and `name`.b there.
--- a/tests/api/messages_test.cpp
+++ b/tests/api/messages_test.cpp
@@ -135,7 +135,8 @@
     settings::Route keyed, rest;
     keyed.cls = 1, keyed.header = "x-class", keyed.value = "keyed";
     program.routes = {keyed, rest};
-    const auto ask = [&](gateway::HttpRequest request) -> std::pair<int, std::optional<gateway::NewRequest>> {
+    const auto ask =
+        [&](const gateway::HttpRequest& request) -> std::pair<int, std::optional<gateway::NewRequest>> {
         if (const auto early = gateway::precheck(program, request, "req_1"))
             return {early->status, std::nullopt};
         auto taken = gateway::take(program, request, "req_1");
@@ -191,10 +192,12 @@
     const std::string user = R"({"role":"user","content":"hi"})",
                       system = R"({"role":"system","content":"be brief"})",
                       blocks = R"({"role":"system","content":[{"type":"text","text":"be brief"}]})";
+    const std::string system_first = "[" + system + "," + user + "]";
+    const std::string blocks_last = "[" + user + "," + blocks + "]";
+    const std::string mixed = "[" + blocks + "," + user + "," + system + "," + user + "]";
     for (const char* old : {"2023-01-01", "2023-06-01"})
-        EXPECT_EQ(fault("[" + system + "," + user + "]", old).rfind("messages.0.role: ", 0), 0u);
-    for (const auto& turns : {"[" + system + "," + user + "]", "[" + user + "," + blocks + "]",
-                              "[" + blocks + "," + user + "," + system + "," + user + "]"})
+        EXPECT_EQ(fault(system_first, old).rfind("messages.0.role: ", 0), 0u);
+    for (const auto& turns : {system_first, blocks_last, mixed})
         EXPECT_EQ(fault(turns, "2026-10-21"), "") << turns;
     EXPECT_EQ(fault("[" + system + "]", "2026-10-21").rfind("messages: ", 0), 0u);
     EXPECT_NE(fault(R"([{"role":"system","content":[{"type":"image"}]},)" + user + "]", "2026-10-21")
--- a/tests/platform/attempt_runner_test.cpp
+++ b/tests/platform/attempt_runner_test.cpp
@@ -55,7 +55,9 @@
         answer_prefill();
         return std::pair(handle, last().attempt);
     };
-    RecordingClient closes, leaves, expires;
+    RecordingClient closes;
+    RecordingClient leaves;
+    RecordingClient expires;
     const auto [closing, unread] = write_of("t1", closes);
     EXPECT_TRUE(unread->may_start());
     closes.closed = true;
--- a/tests/platform/client_connections_fixture.h
+++ b/tests/platform/client_connections_fixture.h
@@ -48,8 +48,8 @@
     }
     std::size_t sent(const std::string& txn) const {
         return static_cast<std::size_t>(
-            std::count_if(world.sent.begin(), world.sent.end(), [&](const FakeEnvironment::Sent& s) {
-                return s.request.find("x-txn: " + txn + "\r\n") != std::string::npos;
+            std::count_if(world.sent.begin(), world.sent.end(), [&](const FakeEnvironment::Sent& call) {
+                return call.request.find("x-txn: " + txn + "\r\n") != std::string::npos;
             }));
     }
     // Serves whatever is out: reads are done, writes stream one event.
--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -28,7 +28,8 @@
 };
 
 TEST_F(FewConnectionsTest, ARefusedConnectionGetsItsAnswerThoughItsRequestIsUnread) {
-    BlockingClient one(clients->port()), two(clients->port());
+    BlockingClient one(clients->port());
+    BlockingClient two(clients->port());
     one.send(post("t1")), two.send(post("t2"));
     until([&] { return sent("t1") + sent("t2") == 2; });
     BlockingClient third(clients->port());
@@ -43,7 +44,8 @@
 }
 
 TEST_F(FewConnectionsTest, TheOneThatMakesRoomIsNotOneWhoseRequestHasCome) {
-    BlockingClient first(clients->port()), second(clients->port());
+    BlockingClient first(clients->port());
+    BlockingClient second(clients->port());
     until([&] { return clients->connections() == 2; });
     run(150);
     BlockingClient third(clients->port());
@@ -60,7 +62,8 @@
 }
 
 TEST_F(FewConnectionsTest, ConnectionsThatEndAreBoundedUnderAFlood) {
-    BlockingClient one(clients->port()), two(clients->port());
+    BlockingClient one(clients->port());
+    BlockingClient two(clients->port());
     one.send(post("t1")), two.send(post("t2"));
     until([&] { return sent("t1") + sent("t2") == 2; });
     std::vector<std::unique_ptr<BlockingClient>> flood;
--- a/tests/platform/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoint_watcher_test.cpp
@@ -21,20 +21,22 @@
         listener_.on_stream = [this](std::unique_ptr<TcpStream> stream) {
             if (refuses) return;
             conns_.emplace_back();
-            Conn& c = conns_.back();
-            c.stream = std::move(stream);
+            Conn& connection = conns_.back();
+            connection.stream = std::move(stream);
             // The time that it waits is over: nothing new.
-            c.hold = std::make_unique<Timer>(loop_, [this, &c] {
-                if (c.waits && !silent) answer(c);
+            connection.hold = std::make_unique<Timer>(loop_, [this, &connection] {
+                if (connection.waits && !silent) answer(connection);
             });
-            c.trickle = std::make_unique<Timer>(loop_, [this, &c] {
-                c.stream->write(c.rest.substr(0, 1));
-                c.rest.erase(0, 1);
-                if (!c.rest.empty()) c.trickle->fire_after(between_pieces);
+            connection.trickle = std::make_unique<Timer>(loop_, [this, &connection] {
+                connection.stream->write(connection.rest.substr(0, 1));
+                connection.rest.erase(0, 1);
+                if (!connection.rest.empty()) connection.trickle->fire_after(between_pieces);
             });
-            c.stream->on_data = [this, &c](std::string_view b) { data(c, b); };
-            c.stream->on_end = [](int) {};
-            c.stream->set_reading(true);
+            connection.stream->on_data = [this, &connection](std::string_view bytes) {
+                data(connection, bytes);
+            };
+            connection.stream->on_end = [](int) {};
+            connection.stream->set_reading(true);
         };
         EXPECT_EQ(listener_.listen("127.0.0.1:0"), 0);
     }
@@ -42,13 +44,13 @@
     void change() {
         ++version;
         if (silent) return;
-        for (auto& c : conns_) {
-            if (c.waits) answer(c);
+        for (auto& connection : conns_) {
+            if (connection.waits) answer(connection);
         }
     }
     void reset() { conns_.clear(); }
     void mute() {  // what is open says nothing more
-        for (auto& c : conns_) c.mute = true;
+        for (auto& connection : conns_) connection.mute = true;
     }
 
     int version = 1, calls = 0;
@@ -63,33 +65,35 @@
         std::string text, rest;
         bool waits = false, mute = false;
     };
-    void data(Conn& c, std::string_view b) {
-        c.text.append(b);
-        if (c.text.find("\r\n\r\n") == std::string::npos) return;
-        const auto from = c.text.find("from=");
-        c.waits = from != std::string::npos && std::stoi(c.text.substr(from + 5)) >= version;
-        const auto hold = c.text.find("hold_ms=");
-        if (c.waits && hold != std::string::npos) c.hold->fire_after(std::stoi(c.text.substr(hold + 8)));
-        c.text.clear();
+    void data(Conn& connection, std::string_view bytes) {
+        connection.text.append(bytes);
+        if (connection.text.find("\r\n\r\n") == std::string::npos) return;
+        const auto from = connection.text.find("from=");
+        connection.waits =
+            from != std::string::npos && std::stoi(connection.text.substr(from + 5)) >= version;
+        const auto hold = connection.text.find("hold_ms=");
+        if (connection.waits && hold != std::string::npos)
+            connection.hold->fire_after(std::stoi(connection.text.substr(hold + 8)));
+        connection.text.clear();
         ++calls;
-        if (silent || c.waits) return;
-        if (delay <= 0) return answer(c);
-        c.late = std::make_unique<Timer>(loop_, [this, &c] { answer(c); });
-        c.late->fire_after(delay);
+        if (silent || connection.waits) return;
+        if (delay <= 0) return answer(connection);
+        connection.late = std::make_unique<Timer>(loop_, [this, &connection] { answer(connection); });
+        connection.late->fire_after(delay);
     }
-    void answer(Conn& c) {
-        if (c.mute) return;
-        c.waits = false;
+    void answer(Conn& connection) {
+        if (connection.mute) return;
+        connection.waits = false;
         const std::string body = "{\n  \"seq\": " + std::to_string(version) + "\n}";
         const std::string all = "HTTP/1.1 200 OK\r\n" + std::string(closes ? "connection: close\r\n" : "") +
                                 "content-length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-        if (half) return c.stream->write(all.substr(0, all.size() / 2));
+        if (half) return connection.stream->write(all.substr(0, all.size() / 2));
         if (trickles) {
-            c.rest = all;
-            return c.trickle->fire_after(2);
+            connection.rest = all;
+            return connection.trickle->fire_after(2);
         }
-        if (!pieces) return c.stream->write(all);
-        for (const char byte : all) c.stream->write(std::string(1, byte));
+        if (!pieces) return connection.stream->write(all);
+        for (const char byte : all) connection.stream->write(std::string(1, byte));
     }
     EventLoop& loop_;
     TcpListener listener_;
--- a/tests/platform/lease_releaser_test.cpp
+++ b/tests/platform/lease_releaser_test.cpp
@@ -106,8 +106,8 @@
     }
     advance(1300);
     EXPECT_LE(releases(), 50u * 13);
-    const auto out = std::count_if(world.sent.begin(), world.sent.end(), [](const auto& s) {
-        return s.request.rfind("DELETE", 0) == 0 && !s.closed && !s.attempt->is_over();
+    const auto out = std::count_if(world.sent.begin(), world.sent.end(), [](const auto& call) {
+        return call.request.rfind("DELETE", 0) == 0 && !call.closed && !call.attempt->is_over();
     });
     EXPECT_LE(out, 33);
     const std::size_t in_time = releases();
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -159,7 +159,7 @@
 struct Heads : ::testing::Test {
     Config config = parse_config(kConfig, "", "");
     std::variant<Refusal, Inbound> read(const std::string& head) {
-        http::Parser parser(http::Parser::Kind::request, http::Limits{16 * 1024, 64, kMaxBody});
+        http::Parser parser(http::Parser::Kind::request, http::Limits{std::size_t{16} * 1024, 64, kMaxBody});
         parser.feed("POST /v1/chat/completions HTTP/1.1\r\n" + head + "content-length: 0\r\n\r\n");
         EXPECT_EQ(parser.fault(), http::Fault::none) << head;
         return read_head(config.named, parser);
@@ -216,7 +216,7 @@
     ASSERT_TRUE(std::holds_alternative<Inbound>(result)) << std::get<Refusal>(result).why;
     EXPECT_NE(std::get<Inbound>(result).head.find("x-note: a\tb caf\xc3\xa9 \xe9\r\n"), std::string::npos);
     for (const char control : {'\x01', '\x0b', '\x7f'}) {
-        http::Parser parser(http::Parser::Kind::request, http::Limits{16 * 1024, 64, kMaxBody});
+        http::Parser parser(http::Parser::Kind::request, http::Limits{std::size_t{16} * 1024, 64, kMaxBody});
         parser.feed("POST /v1/chat/completions HTTP/1.1\r\nX-Note: a" + std::string(1, control) +
                     "b\r\n\r\n");
         EXPECT_NE(parser.fault(), http::Fault::none) << int{control};
@@ -308,15 +308,16 @@
         {Kind::decode, kStream + chunked("data: a\n\n") + "2\r\nabcdef\r\n", AttemptResult::reset, 0, false},
         {Kind::lease_call, "HTTP/1.1 204 No Content\r\n\r\n", AttemptResult::served, 0, true},
     };
-    for (const auto& c : cases) {
+    for (const auto& expected : cases) {
         for (const std::size_t piece : {std::size_t{1}, std::size_t{2}, std::size_t{7}, std::size_t{50000}}) {
-            Told t(c.kind);
-            t.feed(c.bytes, piece);
-            if (c.bytes.ends_with("data: half\r\n")) t.feed("zz\r\n", piece);
-            ASSERT_TRUE(t.end) << c.bytes.substr(0, 60) << " by " << piece;
-            EXPECT_EQ(t.end->result, c.result) << c.bytes.substr(0, 60);
-            EXPECT_EQ(t.end->detail, c.note);
-            EXPECT_EQ(t.attempt->is_reusable(), c.reusable) << c.bytes.substr(0, 60) << " by " << piece;
+            Told told(expected.kind);
+            told.feed(expected.bytes, piece);
+            if (expected.bytes.ends_with("data: half\r\n")) told.feed("zz\r\n", piece);
+            ASSERT_TRUE(told.end) << expected.bytes.substr(0, 60) << " by " << piece;
+            EXPECT_EQ(told.end->result, expected.result) << expected.bytes.substr(0, 60);
+            EXPECT_EQ(told.end->detail, expected.note);
+            EXPECT_EQ(told.attempt->is_reusable(), expected.reusable)
+                << expected.bytes.substr(0, 60) << " by " << piece;
         }
     }
 }
@@ -326,13 +327,13 @@
     for (std::size_t piece = 1; piece < 30; ++piece) {
         std::string bytes = kStream;
         for (std::size_t i = 0; i < events.size(); i += 5) bytes += chunked(events.substr(i, 5));
-        Told t(Kind::decode);
-        t.feed(bytes, piece);
-        EXPECT_EQ(t.events, events);
-        EXPECT_FALSE(t.end);
-        t.feed("0\r\n\r\n", piece);
-        ASSERT_TRUE(t.end);
-        EXPECT_EQ(t.end->result, AttemptResult::served);
+        Told told(Kind::decode);
+        told.feed(bytes, piece);
+        EXPECT_EQ(told.events, events);
+        EXPECT_FALSE(told.end);
+        told.feed("0\r\n\r\n", piece);
+        ASSERT_TRUE(told.end);
+        EXPECT_EQ(told.end->result, AttemptResult::served);
     }
     Told half(Kind::decode);
     half.feed(kStream + chunked("data: {"), 100);
@@ -344,21 +345,21 @@
 
 TEST(PlatformAttempt, WhatBrokeBeforeTheLastByteNeverRan) {
     platform::UpstreamExchange exchange(Kind::decode);
-    AttemptResult r = AttemptResult::served;
-    exchange.on_ended = [&](const AttemptOutcome& outcome) { r = outcome.result; };
+    AttemptResult result = AttemptResult::served;
+    exchange.on_ended = [&](const AttemptOutcome& outcome) { result = outcome.result; };
     exchange.on_first_byte_sent();
     exchange.on_connection_closed();
-    EXPECT_EQ(r, AttemptResult::unreachable);
-    platform::UpstreamExchange b(Kind::decode);
-    b.on_ended = [&](const AttemptOutcome& outcome) { r = outcome.result; };
-    b.on_first_byte_sent();
-    b.on_request_written();
-    b.on_connection_closed();
-    EXPECT_EQ(r, AttemptResult::reset);
-    platform::UpstreamExchange c(Kind::decode);
-    c.on_ended = [&](const AttemptOutcome& outcome) { r = outcome.result; };
-    c.abort(AttemptResult::timed_out, "");
-    EXPECT_EQ(r, AttemptResult::unreachable) << "no connection came up in its time";
+    EXPECT_EQ(result, AttemptResult::unreachable);
+    platform::UpstreamExchange written(Kind::decode);
+    written.on_ended = [&](const AttemptOutcome& outcome) { result = outcome.result; };
+    written.on_first_byte_sent();
+    written.on_request_written();
+    written.on_connection_closed();
+    EXPECT_EQ(result, AttemptResult::reset);
+    platform::UpstreamExchange aborted(Kind::decode);
+    aborted.on_ended = [&](const AttemptOutcome& outcome) { result = outcome.result; };
+    aborted.abort(AttemptResult::timed_out, "");
+    EXPECT_EQ(result, AttemptResult::unreachable) << "no connection came up in its time";
 }
 
 }  // namespace
--- a/tests/platform/request_completion_test.cpp
+++ b/tests/platform/request_completion_test.cpp
@@ -17,7 +17,9 @@
 }
 
 TEST_F(PlatformTest, AShutdownAnswersByWhatAttemptsMayHaveRun) {
-    RecordingClient once_sent, once_unsent, safe;
+    RecordingClient once_sent;
+    RecordingClient once_unsent;
+    RecordingClient safe;
     send_request("t1", once_sent, 1);
     answer_prefill();  // and the write is out
     drain_decode_endpoint();
