--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -11,15 +11,10 @@
 #include "api/chat.h"
 #include "gorsenotch/events.h"
 #include "http/parser.h"
+#include "proxy/upstream_request.h"
 
 namespace gorsenotch::engine {
 
-struct UpstreamRequest {  // an HTTP request to an engine, but for Host and Connection
-    std::string method, target;
-    http::Headers headers;
-    std::string body;
-};
-
 // One attempt of a request. `id` is unique to the attempt: what an engine says of it can't be mistaken for
 // another attempt's (the fencing number is part of it).
 struct AttemptInfo {
@@ -48,12 +43,13 @@
 class Dialect {
 public:
     virtual ~Dialect() = default;
-    virtual UpstreamRequest prefill_request(const api::ChatRequest& chat, const AttemptInfo& info) const = 0;
+    virtual proxy::UpstreamRequest prefill_request(const api::ChatRequest& chat,
+                                                   const AttemptInfo& info) const = 0;
     // `parameters` of the read; empty: the engine reads the prompt itself.
-    virtual UpstreamRequest decode_request(const api::ChatRequest& chat, const AttemptInfo& info,
-                                           const std::string& parameters) const = 0;
+    virtual proxy::UpstreamRequest decode_request(const api::ChatRequest& chat, const AttemptInfo& info,
+                                                  const std::string& parameters) const = 0;
     // Lets go of the state that the attempt `id` (a read) left or will leave, and stops the read if it runs.
-    virtual UpstreamRequest release_request(const std::string& id) const = 0;
+    virtual proxy::UpstreamRequest release_request(const std::string& id) const = 0;
     virtual ParsedResponse judge_prefill(int status, const std::string& body) const = 0;
     // An answer to a write that is not a stream.
     virtual ParsedResponse parse_rejection(int status, const std::string& body) const = 0;
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -25,8 +25,8 @@
     return body;
 }
 
-UpstreamRequest post(std::string target, const Json& body, const AttemptInfo& info) {
-    UpstreamRequest request{
+proxy::UpstreamRequest post(std::string target, const Json& body, const AttemptInfo& info) {
+    proxy::UpstreamRequest request{
         "POST", std::move(target), {{"content-type", "application/json"}, {"x-request-id", info.id}}, {}};
     if (!info.key.empty()) request.headers.emplace_back("idempotency-key", info.key);
     if (!info.cls.empty()) request.headers.emplace_back("x-class", info.cls);
@@ -198,7 +198,8 @@
 
 class Vllm : public Dialect {
 public:
-    UpstreamRequest prefill_request(const api::ChatRequest& chat, const AttemptInfo& info) const override {
+    proxy::UpstreamRequest prefill_request(const api::ChatRequest& chat,
+                                           const AttemptInfo& info) const override {
         Json body = body_of(chat);
         body["max_tokens"] = 1;
         body["stream"] = false;
@@ -208,8 +209,8 @@
         return post("/v1/chat/completions", body, info);
     }
 
-    UpstreamRequest decode_request(const api::ChatRequest& chat, const AttemptInfo& info,
-                                   const std::string& parameters) const override {
+    proxy::UpstreamRequest decode_request(const api::ChatRequest& chat, const AttemptInfo& info,
+                                          const std::string& parameters) const override {
         Json body = body_of(chat);
         body["max_tokens"] = chat.max_tokens;
         body["stream"] = true;
@@ -218,7 +219,7 @@
         return post("/v1/chat/completions", body, info);
     }
 
-    UpstreamRequest release_request(const std::string& id) const override {
+    proxy::UpstreamRequest release_request(const std::string& id) const override {
         return post("/abort_request", Json{{"rid", id}}, {id, {}, {}, 0});
     }
 
--- a/src/gateway/environment.h
+++ b/src/gateway/environment.h
@@ -39,7 +39,7 @@
     virtual Millis wall_ms() = 0;  // ms since 1970
     // Carries an attempt to an engine. Calls into the exchange come later, never from within
     // start_exchange().
-    virtual void start_exchange(const std::string& address, engine::UpstreamRequest wanted,
+    virtual void start_exchange(const std::string& address, proxy::UpstreamRequest wanted,
                                 std::shared_ptr<UpstreamExchange> exchange) = 0;
     // Stops or resumes reading from the engine.
     virtual void pause(const UpstreamExchange& exchange, bool on) = 0;
@@ -47,7 +47,7 @@
     virtual void close(const UpstreamExchange& exchange) = 0;
     // Sends a request whose answer nobody waits for; connecting is tried again until it succeeds or `limit`
     // ms have passed.
-    virtual void send_detached(const std::string& address, engine::UpstreamRequest wanted, Millis limit) = 0;
+    virtual void send_detached(const std::string& address, proxy::UpstreamRequest wanted, Millis limit) = 0;
     virtual void log(const char* level, const char* event, api::Json fields) = 0;
     // This process has just found that it stalled for so many ms. What it may have missed, such as a new list
     // of engines, is to be read now, before anything is decided.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -75,14 +75,14 @@
     return static_cast<Millis>(duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count());
 }
 
-void Gateway::start_exchange(const std::string& address, engine::UpstreamRequest wanted,
+void Gateway::start_exchange(const std::string& address, proxy::UpstreamRequest wanted,
                              std::shared_ptr<UpstreamExchange> exchange) {
     connection_pool_->start(address, proxy::ConnectionPool::render(address, wanted, true),
                             std::move(exchange));
 }
 void Gateway::pause(const UpstreamExchange& exchange, bool on) { connection_pool_->pause(exchange, on); }
 void Gateway::close(const UpstreamExchange& exchange) { connection_pool_->close(exchange); }
-void Gateway::send_detached(const std::string& address, engine::UpstreamRequest wanted, Millis limit) {
+void Gateway::send_detached(const std::string& address, proxy::UpstreamRequest wanted, Millis limit) {
     connection_pool_->send_detached(address, wanted, limit);
 }
 void Gateway::log(const char* level, const char* event, api::Json fields) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -40,11 +40,11 @@
 private:
     Millis now() override;
     Millis wall_ms() override;
-    void start_exchange(const std::string& address, engine::UpstreamRequest wanted,
+    void start_exchange(const std::string& address, proxy::UpstreamRequest wanted,
                         std::shared_ptr<UpstreamExchange> exchange) override;
     void pause(const UpstreamExchange& exchange, bool on) override;
     void close(const UpstreamExchange& exchange) override;
-    void send_detached(const std::string& address, engine::UpstreamRequest wanted, Millis limit) override;
+    void send_detached(const std::string& address, proxy::UpstreamRequest wanted, Millis limit) override;
     void log(const char* level, const char* event, api::Json fields) override;
     void on_stall(Millis for_ms) override;
 
--- a/src/gateway/request_attempts.cpp
+++ b/src/gateway/request_attempts.cpp
@@ -64,8 +64,8 @@
     feed(std::move(ended));
 }
 
-engine::UpstreamRequest RequestLifecycle::upstream_request(const OpenRequest& request,
-                                                           const AttemptState& attempt, Millis now) const {
+proxy::UpstreamRequest RequestLifecycle::upstream_request(const OpenRequest& request,
+                                                          const AttemptState& attempt, Millis now) const {
     const engine::AttemptInfo info{attempt.id, request.request.key,
                                    program_.classes[static_cast<std::size_t>(request.request.cls)],
                                    request.deadline - now};
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -73,8 +73,8 @@
     // Attempts, in request_attempts.cpp
     void start_attempt(const StartAttempt& start);
     void report_not_sent(OpenRequest& request, AttemptState attempt, int number);
-    engine::UpstreamRequest upstream_request(const OpenRequest& request, const AttemptState& attempt,
-                                             Millis now) const;
+    proxy::UpstreamRequest upstream_request(const OpenRequest& request, const AttemptState& attempt,
+                                            Millis now) const;
     std::shared_ptr<UpstreamExchange> make_exchange(const std::string& id, int number, bool is_prefill);
     void stop_attempt(const StopAttempt& stop);
     void cancel_stream(const std::string& id);
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -52,7 +52,7 @@
       detached_calls_(loop, config_.source, config_.connect_timeout) {}
 ConnectionPool::~ConnectionPool() = default;
 
-std::string ConnectionPool::render(const std::string& address, const engine::UpstreamRequest& request,
+std::string ConnectionPool::render(const std::string& address, const proxy::UpstreamRequest& request,
                                    bool keep) {
     http::Headers headers = {{"host", address},
                              {"connection", keep ? "keep-alive" : "close"},
@@ -282,7 +282,7 @@
     if (found != by_call_.end()) erase_connection(*found->second, ConnectionEnd::cancelled);
 }
 
-void ConnectionPool::send_detached(const std::string& address, const engine::UpstreamRequest& request,
+void ConnectionPool::send_detached(const std::string& address, const proxy::UpstreamRequest& request,
                                    Millis timeout) {
     detached_calls_.send(address, render(address, request, false), timeout);
 }
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -13,11 +13,11 @@
 #include <vector>
 
 #include "control/connection_reuse_policy.h"
-#include "engine/dialect.h"
 #include "gorsenotch/settings.h"
 #include "net/event_loop.h"
 #include "proxy/detached_calls.h"
 #include "proxy/upstream_call.h"
+#include "proxy/upstream_request.h"
 
 namespace gorsenotch::proxy {
 
@@ -67,7 +67,7 @@
     // Closes the connection of `call` at once, without calling it. No effect if it has none.
     void close(const UpstreamCall& call);
     // Sends a request whose answer nobody waits for, on a connection of its own; see DetachedCalls.
-    void send_detached(const std::string& address, const engine::UpstreamRequest& request, Millis timeout);
+    void send_detached(const std::string& address, const proxy::UpstreamRequest& request, Millis timeout);
     // Connections of calls and idle ones, without those of send_detached().
     std::size_t connections() const { return connections_.size(); }
     // Requests sent on new and on reused connections, how many of each broke before any byte of an answer,
@@ -83,7 +83,7 @@
     // Whether an idle connection to `address` is kept, reusable now or not.
     bool has_idle(const std::string& address) const;
     // The bytes of `request`. `keep`: whether to ask for the connection to be kept open.
-    static std::string render(const std::string& address, const engine::UpstreamRequest& request, bool keep);
+    static std::string render(const std::string& address, const proxy::UpstreamRequest& request, bool keep);
 
 private:
     struct Connection;
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -44,7 +44,7 @@
 
 struct Sent {
     std::string address;
-    engine::UpstreamRequest wanted;
+    proxy::UpstreamRequest wanted;
     std::shared_ptr<UpstreamExchange> exchange;
     bool closed = false, paused = false;
     std::string id() const { return *http::find(wanted.headers, "x-request-id"); }
@@ -57,7 +57,7 @@
     std::vector<std::pair<std::string, std::string>> let_go;  // address, read's id
     Millis now() override { return clock; }
     Millis wall_ms() override { return 1e12 + clock; }
-    void start_exchange(const std::string& a, engine::UpstreamRequest request,
+    void start_exchange(const std::string& a, proxy::UpstreamRequest request,
                         std::shared_ptr<UpstreamExchange> exchange) override {
         sent.push_back({a, std::move(request), std::move(exchange)});
     }
@@ -71,7 +71,7 @@
             if (attempt.exchange.get() == &exchange) attempt.closed = true;
         }
     }
-    void send_detached(const std::string& a, engine::UpstreamRequest request, Millis) override {
+    void send_detached(const std::string& a, proxy::UpstreamRequest request, Millis) override {
         EXPECT_EQ(request.target, "/abort_request");
         let_go.emplace_back(a, api::Json::parse(request.body)["rid"].get<std::string>());
     }
