--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,23 +1,46 @@
-// A gateway in miniature, against the installed library: one reader, one writer, one request.
+// A gateway in miniature, against the installed library: one prefill endpoint, one decode endpoint, one
+// request.
 #include <gorsenotch/router.h>
 
 #include <iostream>
+#include <variant>
+#include <vector>
 
-int main() {
-    using namespace gorsenotch;
-    Settings settings;
+namespace {
+
+using namespace gorsenotch;
+
+constexpr EndpointId kPrefill = 1;
+constexpr EndpointId kDecode = 2;
+
+Settings consumer_settings() {
     ClassSettings chat;
-    chat.aim = 1000;       // ms to the first token
-    chat.deadline = 5000;  // ms until the client leaves
-    chat.token_aim = 60;   // ms between tokens
+    chat.latency_objective = 1000;    // ms to the first token
+    chat.deadline = 5000;             // ms until the client leaves
+    chat.inter_token_objective = 60;  // ms between tokens
+    Settings settings;
     settings.classes = {chat};
-    settings.kinds = {{Role::read, 200000}, {Role::write, 150000}};
+    settings.kinds = {{Role::prefill, 200000}, {Role::decode, 150000}};
     settings.max_attempts = 4;
+    return settings;
+}
 
-    Router router(settings, /*seed=*/1);
+bool starts_attempt_at(const std::vector<Action>& actions, EndpointId endpoint) {
+    bool starts = false;
+    for (const Action& action : actions) {
+        if (const auto* start = std::get_if<StartAttempt>(&action)) starts = start->endpoint == endpoint;
+    }
+    return starts;
+}
+
+}  // namespace
+
+int main() {
+    Router router(consumer_settings(), /*seed=*/1);
     std::vector<Action> actions;
-    const ServerEntry reader{.server = 1, .kind = 0}, writer{.server = 2, .kind = 1};
-    router.handle(0, ListEvent{ListEvent::Form::full, {reader, writer}}, actions);
+    const Endpoint prefill{.id = kPrefill, .kind = 0};
+    const Endpoint decode{.id = kDecode, .kind = 1};
+    router.handle(0, EndpointUpdate{EndpointUpdate::Kind::full, {prefill, decode}}, actions);
 
     Arrival request;
     request.request = "r-1";
@@ -25,20 +48,15 @@
     request.prompt_tokens = 1200;
     actions.clear();
     router.handle(1, request, actions);
-    bool read = false, wrote = false;
-    for (const Action& action : actions) {
-        if (const auto* attempt = std::get_if<Attempt>(&action)) read = attempt->server == 1;
-    }
+    const bool prefilled = starts_attempt_at(actions, kPrefill);
 
-    Outcome ended;
+    AttemptEnded ended;
     ended.request = "r-1";
-    ended.server = 1;
-    ended.result = Result::read_done;
+    ended.endpoint = kPrefill;
+    ended.result = AttemptResult::prefill_done;
     actions.clear();
     router.handle(90, ended, actions);
-    for (const Action& action : actions) {
-        if (const auto* attempt = std::get_if<Attempt>(&action)) wrote = attempt->server == 2;
-    }
-    std::cout << "read at 1: " << read << ", written at 2: " << wrote << '\n';
-    return read && wrote ? 0 : 1;
+    const bool decoded = starts_attempt_at(actions, kDecode);
+    std::cout << "prefill at 1: " << prefilled << ", decode at 2: " << decoded << '\n';
+    return prefilled && decoded ? 0 : 1;
 }
