--- /dev/null
+++ b/tests/consumer/logic_header.cpp
@@ -0,0 +1,8 @@
+// The header of the former interface still gives the whole of it.
+#include <gorsenotch/logic.h>
+
+#include <type_traits>
+
+static_assert(std::is_constructible_v<gorsenotch::Router, const gorsenotch::Settings&, std::uint64_t>);
+static_assert(std::is_default_constructible_v<gorsenotch::Event>);
+static_assert(std::is_default_constructible_v<gorsenotch::Action>);
