--- a/bench/engine.h
+++ b/bench/engine.h
@@ -35,7 +35,7 @@
     const std::string last =
         event("{\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}") +
         event("{\"choices\":[],\"usage\":{\"prompt_tokens\":10,\"completion_tokens\":30}}") +
-        event("[DONE]") + std::string(http::last_chunk);
+        event("[DONE]") + std::string(http::kLastChunk);
 
     BenchEngine(int stream_events, int event_pace) : events(stream_events), pace(event_pace) {
         listener.on_stream = [this](std::unique_ptr<net::TcpStream> stream) {
--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -555,7 +555,7 @@
                         {"prompt_tokens_details", {{"cached_tokens", request.cached_tokens}}}};
     return stream_event(request.job.id, Json::array({last}), nullptr) +
            stream_event(request.job.id, Json::array(), &usage) + http::chunk(http::sse_event("", "[DONE]")) +
-           std::string(http::last_chunk);
+           std::string(http::kLastChunk);
 }
 
 void Engine::end(const std::string& id, const char* how) {
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -96,8 +96,6 @@
 // One chunk of a chunked body; empty input gives no bytes.
 std::string chunk(std::string_view bytes);
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
-// NOLINTNEXTLINE(readability-identifier-naming): the former name, until its users have the new one.
-constexpr std::string_view last_chunk = kLastChunk;
 // The reason phrase of a status; "Status" if it is none that this program sends.
 std::string_view reason(int status);
 
--- a/src/platform/client_connection.cpp
+++ b/src/platform/client_connection.cpp
@@ -211,7 +211,7 @@
 }
 
 void ClientConnection::finish_stream() {
-    send(http::last_chunk);
+    send(http::kLastChunk);
     handle_ = 0;
     // Guards against a client that has asked for the close and waits for it, in a place that others need.
     if (!parser_.keep_alive) return end(EndReason::close_requested);
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -4,6 +4,7 @@
 #include <cmath>
 #include <cstddef>
 
+#include "settings/setting_words.h"
 #include "settings/text_values.h"
 
 namespace gorsenotch::settings {
@@ -12,16 +13,6 @@
 constexpr double kMaxCount = 10000;  // of classes or tenants
 constexpr double kMaxInteger = 1e9;
 
-// The operators' words.
-constexpr std::array<NamedValue<Idempotency>, 3> kIdempotencyWords = {
-    {{"repeatable", Idempotency::idempotent},
-     {"by_key", Idempotency::with_key},
-     {"once", Idempotency::unsafe}}};
-constexpr std::array<NamedValue<DedupScope>, 3> kDedupScopeWords = {
-    {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}}};
-constexpr std::array<NamedValue<Role>, 3> kRoleWords = {
-    {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}}};
-
 double parse_number(const std::string& path, const std::string& text) {
     const auto value = to_number<double>(text);
     if (!value) throw SettingsError(path + ": bad number '" + text + "'");
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -11,20 +11,12 @@
 #include "gorsenotch/router.h"
 #include "settings/fleet_file.h"
 #include "settings/section_reader.h"
+#include "settings/setting_words.h"
 #include "settings/text_values.h"
 
 namespace gorsenotch::settings {
 namespace {
 
-constexpr std::array<NamedValue<Idempotency>, 3> kIdempotencyWords = {
-    {{"repeatable", Idempotency::idempotent},
-     {"by_key", Idempotency::with_key},
-     {"once", Idempotency::unsafe}}};
-constexpr std::array<NamedValue<DedupScope>, 3> kDedupScopeWords = {
-    {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}}};
-constexpr std::array<NamedValue<Role>, 3> kRoleWords = {
-    {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}}};
-
 // ---- <limits> ----
 
 void read_limits(SectionReader& reader, const Element& element) {
