--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -4,8 +4,13 @@
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
+#include <cstdlib>
+
 #include "gateway/fakes.h"
 #include "log/log.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 #include "support/blocking_client.h"
 
 namespace gorsenotch::test {
@@ -460,24 +465,41 @@
     ASSERT_TRUE(until([&] { return client.status() == 200; })) << client.got;
 }
 
-TEST_F(GatewayTest, ConnectionsBeyondTheLimitAreAnswered) {
-    rlimit old{};
-    rlimit few{};
-    getrlimit(RLIMIT_NOFILE, &old);
-    few = old, few.rlim_cur = 150, few.rlim_max = 150;
-    if (setrlimit(RLIMIT_NOFILE, &few) != 0) GTEST_SKIP() << "limits can't be set here";
-    begin();  // (150 - 32) * 2 / 5 = 47 connections
-    std::vector<std::unique_ptr<RawClient>> idle;
-    idle.reserve(47);
-    for (int i = 0; i < 47; ++i) idle.push_back(std::make_unique<RawClient>(loop, address(), ""));
-    pass(100);
-    RawClient more(loop, address(), post(false));
-    EXPECT_TRUE(until([&] { return more.status() == 529; })) << more.got;
-    EXPECT_EQ(more.count("retry-after: 1"), 1u);
-    idle.pop_back();
-    pass(50);
-    RawClient again(loop, address(), post(false));
-    EXPECT_TRUE(until([&] { return again.status() == 200; })) << again.got;
+class DescriptorLimitTest : public GatewayTest {
+protected:
+    static constexpr rlim_t kDescriptors = 150;
+
+    // Ends the process with 0 where each expectation held.
+    [[noreturn]] void connect_beyond_limit() {
+        const rlimit few{kDescriptors, kDescriptors};
+        EXPECT_EQ(setrlimit(RLIMIT_NOFILE, &few), 0);
+        begin();  // (150 - 32) * 2 / 5 = 47 connections
+        std::vector<std::unique_ptr<RawClient>> idle;
+        idle.reserve(47);
+        for (int i = 0; i < 47; ++i) idle.push_back(std::make_unique<RawClient>(loop, address(), ""));
+        pass(100);
+        RawClient more(loop, address(), post(false));
+        EXPECT_TRUE(until([&] { return more.status() == 529; })) << more.got;
+        EXPECT_EQ(more.count("retry-after: 1"), 1u);
+        idle.pop_back();
+        pass(50);
+        RawClient again(loop, address(), post(false));
+        EXPECT_TRUE(until([&] { return again.status() == 200; })) << again.got;
+        std::_Exit(HasFailure() ? 1 : 0);
+    }
+};
+
+// Runs in a process of its own: the gateway raises its soft limit, so the hard limit has to be lowered, and
+// an unprivileged process cannot raise it again for the tests that follow.
+TEST_F(DescriptorLimitTest, ConnectionsBeyondTheLimitAreAnswered) {
+    rlimit before{};
+    getrlimit(RLIMIT_NOFILE, &before);
+    if (before.rlim_max < kDescriptors) GTEST_SKIP() << "the limit is lower already";
+    GTEST_FLAG_SET(death_test_style, "threadsafe");
+    EXPECT_EXIT(connect_beyond_limit(), ::testing::ExitedWithCode(0), "");
+    rlimit after{};
+    getrlimit(RLIMIT_NOFILE, &after);
+    EXPECT_EQ(after.rlim_max, before.rlim_max);
 }
 
 }  // namespace
