--- a/src/api/messages.cpp
+++ b/src/api/messages.cpp
@@ -59,48 +59,63 @@
     const auto it = body.find(key);
     if (it == body.end() || it->is_null()) return std::nullopt;
     if (!it->is_number()) return bad(key, "Input should be a valid number");
-    const double v = it->get<double>();
-    if (!(v >= low && v <= high)) {
+    const double value = it->get<double>();
+    if (!(value >= low && value <= high)) {
         return bad(key, "Input should be from " + std::to_string(static_cast<int>(low)) + " to " +
                             std::to_string(static_cast<int>(high)));
     }
-    out = v;
+    out = value;
     return std::nullopt;
 }
 
+std::optional<ApiError> check_role(const Json& message, const std::string& path, const Version& version) {
+    const auto role = message.find("role");
+    if (role == message.end()) return bad(path + ".role", "Field required");
+    if (*role == "system" && !version.system_turns)
+        return bad(path + ".role", "Input should be 'user' or 'assistant': version " +
+                                       std::string(version.name) + " has its instructions in `system`");
+    if (*role != "user" && *role != "assistant" && *role != "system") {
+        return bad(path + ".role", version.system_turns ? "Input should be 'user', 'assistant' or 'system'"
+                                                        : "Input should be 'user' or 'assistant'");
+    }
+    return std::nullopt;
+}
+
+std::optional<ApiError> read_message(const Json& json, const std::string& path, const Version& version,
+                                     Message& message) {
+    if (!json.is_object()) return bad(path, "Input should be an object");
+    for (const auto& [key, ignored] : json.items()) {
+        if (key != "role" && key != "content")
+            return bad(child_path(path, key), "Extra inputs are not permitted");
+    }
+    if (auto error = check_role(json, path, version)) return error;
+    const auto content = json.find("content");
+    if (content == json.end()) return bad(path + ".content", "Field required");
+    message.role = json.at("role").get<std::string>();
+    if (auto error = text_of(*content, path + ".content", message.text)) return error;
+    if (message.text.empty()) return bad(path + ".content", "text content must not be empty");
+    return std::nullopt;
+}
+
+// The specification joins consecutive messages of one role.
+void append_message(ChatRequest& chat, Message message) {
+    if (!chat.messages.empty() && chat.messages.back().role == message.role) {
+        chat.messages.back().text += "\n" + message.text;
+    } else {
+        chat.messages.push_back(std::move(message));
+    }
+}
+
 std::optional<ApiError> read_messages(const Json& body, const Version& version, ChatRequest& chat) {
     const auto list = body.find("messages");
     if (list == body.end()) return bad("messages", "Field required");
     if (!list->is_array()) return bad("messages", "Input should be a valid list");
     if (list->empty()) return bad("messages", "at least one message is required");
     for (std::size_t i = 0; i < list->size(); ++i) {
-        const std::string at = "messages." + std::to_string(i);
-        const Json& json = (*list)[i];
-        if (!json.is_object()) return bad(at, "Input should be an object");
-        for (const auto& [key, ignored] : json.items()) {
-            if (key != "role" && key != "content")
-                return bad(child_path(at, key), "Extra inputs are not permitted");
-        }
-        const auto role = json.find("role");
-        if (role == json.end()) return bad(at + ".role", "Field required");
-        if (*role == "system" && !version.system_turns)
-            return bad(at + ".role", "Input should be 'user' or 'assistant': version " +
-                                         std::string(version.name) + " has its instructions in `system`");
-        if (*role != "user" && *role != "assistant" && *role != "system") {
-            return bad(at + ".role", version.system_turns ? "Input should be 'user', 'assistant' or 'system'"
-                                                          : "Input should be 'user' or 'assistant'");
-        }
-        const auto content = json.find("content");
-        if (content == json.end()) return bad(at + ".content", "Field required");
-        Message turn{role->get<std::string>(), {}};
-        if (auto error = text_of(*content, at + ".content", turn.text)) return error;
-        if (turn.text.empty()) return bad(at + ".content", "text content must not be empty");
-        // The specification joins consecutive turns of one role.
-        if (!chat.messages.empty() && chat.messages.back().role == turn.role) {
-            chat.messages.back().text += "\n" + turn.text;
-        } else {
-            chat.messages.push_back(std::move(turn));
-        }
+        Message message;
+        if (auto error = read_message((*list)[i], "messages." + std::to_string(i), version, message))
+            return error;
+        append_message(chat, std::move(message));
     }
     const auto first = std::find_if(chat.messages.begin(), chat.messages.end(),
                                     [](const Message& message) { return message.role != "system"; });
@@ -110,73 +125,114 @@
     return std::nullopt;
 }
 
-std::optional<ApiError> read(const Json& body, bool count_only, const Version& version, ChatRequest& chat) {
-    if (!body.is_object()) return bad("", "the body should be an object");
+std::optional<ApiError> check_fields(const Json& body) {
     for (const auto& [key, ignored] : body.items()) {
         if (std::find(kLater.begin(), kLater.end(), key) != kLater.end())
             return bad(key, "not served by this deployment");
         if (std::find(kKnown.begin(), kKnown.end(), key) == kKnown.end())
             return bad(key, "Extra inputs are not permitted");
     }
+    return std::nullopt;
+}
+
+std::optional<ApiError> read_model(const Json& body, ChatRequest& chat) {
     const auto model = body.find("model");
     if (model == body.end()) return bad("model", "Field required");
     if (!model->is_string() || model->get_ref<const std::string&>().empty())
         return bad("model", "Input should be a valid string");
     chat.model = model->get<std::string>();
+    return std::nullopt;
+}
+
+std::optional<ApiError> read_max_tokens(const Json& body, bool count_only, ChatRequest& chat) {
     const auto max = body.find("max_tokens");
-    if (max != body.end()) {
-        if (!max->is_number_integer()) return bad("max_tokens", "Input should be a valid integer");
-        // As unsigned values may not fit, the range is judged as a number.
-        if (max->get<double>() < 1 || max->get<double>() > 1e6)
-            return bad("max_tokens", "Input should be from 1 to 1000000");
-        chat.max_tokens = max->get<long>();
-    } else if (!count_only) {
+    if (max == body.end()) {
+        if (count_only) return std::nullopt;
         return bad("max_tokens", "Field required");
     }
-    if (auto error = read_messages(body, version, chat)) return error;
-    if (const auto it = body.find("system"); it != body.end()) {
-        Message system{"system", {}};
-        if (auto error = text_of(*it, "system", system.text)) return error;
-        if (!system.text.empty() && chat.messages.front().role == "system") {
-            chat.messages.front().text = system.text + "\n" + chat.messages.front().text;
-        } else if (!system.text.empty()) {
-            chat.messages.insert(chat.messages.begin(), std::move(system));
-        }
-    }
-    if (const auto it = body.find("stream"); it != body.end()) {
-        if (!it->is_boolean()) return bad("stream", "Input should be a valid boolean");
-        chat.stream = it->get<bool>();
+    if (!max->is_number_integer()) return bad("max_tokens", "Input should be a valid integer");
+    // As unsigned values may not fit, the range is judged as a number.
+    if (max->get<double>() < 1 || max->get<double>() > 1e6)
+        return bad("max_tokens", "Input should be from 1 to 1000000");
+    chat.max_tokens = max->get<long>();
+    return std::nullopt;
+}
+
+// Needs the messages: the instructions go before the first of them.
+std::optional<ApiError> read_system(const Json& body, ChatRequest& chat) {
+    const auto field = body.find("system");
+    if (field == body.end()) return std::nullopt;
+    Message system{"system", {}};
+    if (auto error = text_of(*field, "system", system.text)) return error;
+    if (system.text.empty()) return std::nullopt;
+    if (chat.messages.front().role == "system") {
+        chat.messages.front().text = system.text + "\n" + chat.messages.front().text;
+    } else {
+        chat.messages.insert(chat.messages.begin(), std::move(system));
     }
-    if (const auto it = body.find("stop_sequences"); it != body.end()) {
-        if (!it->is_array()) return bad("stop_sequences", "Input should be a valid list");
-        for (std::size_t i = 0; i < it->size(); ++i) {
-            const Json& json = (*it)[i];
-            if (!json.is_string() || json.get_ref<const std::string&>().empty())
-                return bad("stop_sequences." + std::to_string(i), "Input should be a non-empty string");
-            chat.stop.push_back(json.get<std::string>());
-        }
+    return std::nullopt;
+}
+
+std::optional<ApiError> read_stream(const Json& body, ChatRequest& chat) {
+    const auto field = body.find("stream");
+    if (field == body.end()) return std::nullopt;
+    if (!field->is_boolean()) return bad("stream", "Input should be a valid boolean");
+    chat.stream = field->get<bool>();
+    return std::nullopt;
+}
+
+std::optional<ApiError> read_stop_sequences(const Json& body, ChatRequest& chat) {
+    const auto field = body.find("stop_sequences");
+    if (field == body.end()) return std::nullopt;
+    if (!field->is_array()) return bad("stop_sequences", "Input should be a valid list");
+    for (std::size_t i = 0; i < field->size(); ++i) {
+        const Json& sequence = (*field)[i];
+        if (!sequence.is_string() || sequence.get_ref<const std::string&>().empty())
+            return bad("stop_sequences." + std::to_string(i), "Input should be a non-empty string");
+        chat.stop.push_back(sequence.get<std::string>());
     }
-    if (const auto it = body.find("metadata"); it != body.end() && !it->is_null()) {
-        if (!it->is_object()) return bad("metadata", "Input should be an object");
-        for (const auto& [key, value] : it->items()) {
-            if (key != "user_id") return bad("metadata." + key, "Extra inputs are not permitted");
-            if (value.is_null()) continue;
-            if (!value.is_string() || value.get_ref<const std::string&>().size() > 256)
-                return bad("metadata.user_id", "Input should be a string of at most 256 characters");
-            chat.user = value.get<std::string>();
-        }
+    return std::nullopt;
+}
+
+std::optional<ApiError> read_metadata(const Json& body, ChatRequest& chat) {
+    const auto field = body.find("metadata");
+    if (field == body.end() || field->is_null()) return std::nullopt;
+    if (!field->is_object()) return bad("metadata", "Input should be an object");
+    for (const auto& [key, value] : field->items()) {
+        if (key != "user_id") return bad("metadata." + key, "Extra inputs are not permitted");
+        if (value.is_null()) continue;
+        if (!value.is_string() || value.get_ref<const std::string&>().size() > 256)
+            return bad("metadata.user_id", "Input should be a string of at most 256 characters");
+        chat.user = value.get<std::string>();
     }
+    return std::nullopt;
+}
+
+std::optional<ApiError> read_sampling(const Json& body, ChatRequest& chat) {
     if (auto error = number_in(body, "temperature", 0, 1, chat.temperature)) return error;
     if (auto error = number_in(body, "top_p", 0, 1, chat.top_p)) return error;
     std::optional<double> top_k;
     if (auto error = number_in(body, "top_k", 0, 1e6, top_k)) return error;
-    if (top_k) {
-        if (*top_k != std::floor(*top_k)) return bad("top_k", "Input should be a valid integer");
-        chat.top_k = static_cast<long>(*top_k);
-    }
+    if (!top_k) return std::nullopt;
+    if (*top_k != std::floor(*top_k)) return bad("top_k", "Input should be a valid integer");
+    chat.top_k = static_cast<long>(*top_k);
     return std::nullopt;
 }
 
+// The order decides which fault is reported where there are several.
+std::optional<ApiError> read(const Json& body, bool count_only, const Version& version, ChatRequest& chat) {
+    if (!body.is_object()) return bad("", "the body should be an object");
+    if (auto error = check_fields(body)) return error;
+    if (auto error = read_model(body, chat)) return error;
+    if (auto error = read_max_tokens(body, count_only, chat)) return error;
+    if (auto error = read_messages(body, version, chat)) return error;
+    if (auto error = read_system(body, chat)) return error;
+    if (auto error = read_stream(body, chat)) return error;
+    if (auto error = read_stop_sequences(body, chat)) return error;
+    if (auto error = read_metadata(body, chat)) return error;
+    return read_sampling(body, chat);
+}
+
 void derive(ChatRequest& chat) {
     for (const Message& message : chat.messages) chat.prompt_tokens += estimate_tokens(message.text) + 4;
     const bool system = chat.messages.front().role == "system";
@@ -191,18 +247,19 @@
 
 // The inside of a JSON string. `text` is UTF-8, as the parser it came from has checked.
 void escape(std::string_view text, std::string& out) {
-    for (const char c : text) {
-        const auto u = static_cast<unsigned char>(c);
-        if (c == '"' || c == '\\') {
-            (out += '\\') += c;
-        } else if (c == '\n') {
+    for (const char character : text) {
+        const auto code = static_cast<unsigned char>(character);
+        if (character == '"' || character == '\\') {
+            out += '\\';
+            out += character;
+        } else if (character == '\n') {
             out += "\\n";
-        } else if (u < 0x20) {
+        } else if (code < 0x20) {
             char hex[8];
-            std::snprintf(hex, sizeof hex, "\\u%04x", u);
+            std::snprintf(hex, sizeof hex, "\\u%04x", code);
             out += hex;
         } else {
-            out += c;
+            out += character;
         }
     }
 }
@@ -212,8 +269,8 @@
     return http::sse_event(name, data.dump(-1, ' ', false, Out::error_handler_t::replace));
 }
 
-const char* stop_reason(StopReason s) {
-    switch (s) {
+const char* stop_reason(StopReason reason) {
+    switch (reason) {
         case StopReason::length:
             return "max_tokens";
         case StopReason::sequence:
@@ -225,8 +282,8 @@
     }
 }
 
-Out sequence_json(StopReason s, const std::string& sequence) {
-    return s == StopReason::sequence ? Out(sequence) : Out(nullptr);
+Out sequence_json(StopReason reason, const std::string& sequence) {
+    return reason == StopReason::sequence ? Out(sequence) : Out(nullptr);
 }
 
 Out usage_json(const Usage& usage) {
@@ -339,10 +396,10 @@
 }
 
 std::string error_body(const ApiError& error, const std::string& request_id) {
-    const Out j = {{"type", "error"},
-                   {"error", {{"type", error.type}, {"message", error.message}}},
-                   {"request_id", request_id}};
-    return j.dump(-1, ' ', false, Out::error_handler_t::replace);
+    const Out body = {{"type", "error"},
+                      {"error", {{"type", error.type}, {"message", error.message}}},
+                      {"request_id", request_id}};
+    return body.dump(-1, ' ', false, Out::error_handler_t::replace);
 }
 
 std::string count_body(const ChatRequest& chat) {
@@ -351,7 +408,7 @@
 
 std::string models_body(const std::vector<std::string>& models) {
     Out list = Out::array();
-    for (const auto& m : models) list.push_back(model_json(m));
+    for (const auto& model : models) list.push_back(model_json(model));
     const Out first = models.empty() ? Out(nullptr) : Out(models.front());
     const Out last = models.empty() ? Out(nullptr) : Out(models.back());
     return Out{{"data", list}, {"first_id", first}, {"has_more", false}, {"last_id", last}}.dump();
