--- a/bench/cost.cpp
+++ b/bench/cost.cpp
@@ -10,6 +10,7 @@
 #include <memory>
 
 #include "load.h"
+#include "net/timer.h"
 #include "parts.h"
 #include "setup.h"
 
--- a/bench/engine.h
+++ b/bench/engine.h
@@ -7,6 +7,9 @@
 
 #include "http/parser.h"
 #include "net/event_loop.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::bench {
 
--- a/bench/load.h
+++ b/bench/load.h
@@ -9,7 +9,10 @@
 #include <vector>
 
 #include "http/parser.h"
+#include "net/clock.h"
 #include "net/event_loop.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::bench {
 
--- a/bench/memory.cpp
+++ b/bench/memory.cpp
@@ -2,6 +2,7 @@
 #include <cstdio>
 
 #include "load.h"
+#include "net/timer.h"
 #include "parts.h"
 #include "setup.h"
 
--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -5,6 +5,7 @@
 #include <iostream>
 
 #include "net/event_loop.h"
+#include "net/socket_address.h"
 #include "parts.h"
 #include "processes.h"
 
--- a/bench/setup.h
+++ b/bench/setup.h
@@ -5,6 +5,7 @@
 #include <string>
 
 #include "engine.h"
+#include "net/tcp_listener.h"
 #include "processes.h"
 #include "settings/settings.h"
 
--- a/src/cli/replay_command.cpp
+++ b/src/cli/replay_command.cpp
@@ -7,6 +7,7 @@
 #include "cli/gateway_overrides.h"
 #include "cli/settings_file.h"
 #include "state/decision_journal.h"
+#include "state/journal_replay.h"
 
 namespace gorsenotch::cli {
 
--- a/src/cli/stop_signals.h
+++ b/src/cli/stop_signals.h
@@ -5,6 +5,7 @@
 #include <functional>
 
 #include "net/event_loop.h"
+#include "net/signal_watcher.h"
 
 namespace gorsenotch::cli {
 
--- a/src/cli/up_command.cpp
+++ b/src/cli/up_command.cpp
@@ -8,6 +8,7 @@
 #include "cli/stop_signals.h"
 #include "log/log.h"
 #include "net/child_process.h"
+#include "net/timer.h"
 
 namespace gorsenotch::cli {
 
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -17,7 +17,6 @@
 #include <array>
 #include <optional>
 
-#include "control/prefill_times.h"  // for includers of this header, which took PrefillTimes from it
 #include "gorsenotch/events.h"
 #include "gorsenotch/settings.h"
 
--- a/src/control/stall_detector.h
+++ b/src/control/stall_detector.h
@@ -13,7 +13,6 @@
 
 #include <optional>
 
-#include "control/attempt_clock.h"  // for includers of this header, which took AttemptClock from it
 #include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -8,6 +8,10 @@
 
 #include "api/chat.h"
 #include "http/sse.h"
+#include "net/clock.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::fake_engine {
 
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -22,6 +22,9 @@
 #include "http/parser.h"
 #include "invariants/record.h"
 #include "net/event_loop.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::fake_engine {
 
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -7,6 +7,10 @@
 #include <filesystem>
 
 #include "fault_scenario/scenario_internal.h"
+#include "net/clock.h"
+#include "net/signal_watcher.h"
+#include "net/tcp_listener.h"
+#include "net/timer.h"
 
 namespace gorsenotch::fault_scenario {
 
--- a/src/fault_scenario/scenario.h
+++ b/src/fault_scenario/scenario.h
@@ -18,6 +18,9 @@
 #include "invariants/record_checker.h"
 #include "net/child_process.h"
 #include "net/event_loop.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::fault_scenario {
 
--- a/src/fault_scenario/scenario_faults.cpp
+++ b/src/fault_scenario/scenario_faults.cpp
@@ -6,6 +6,7 @@
 
 #include "fault_scenario/scenario_internal.h"
 #include "http/parser.h"
+#include "net/tcp_stream.h"
 
 namespace gorsenotch::fault_scenario {
 
--- a/src/fault_scenario/scripted_clients.cpp
+++ b/src/fault_scenario/scripted_clients.cpp
@@ -6,6 +6,9 @@
 
 #include "api/chat.h"
 #include "fake_engine/model.h"
+#include "net/clock.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::fault_scenario {
 
--- a/src/fault_scenario/scripted_clients.h
+++ b/src/fault_scenario/scripted_clients.h
@@ -13,7 +13,9 @@
 #include "http/parser.h"
 #include "http/sse.h"
 #include "invariants/record.h"
+#include "net/clock.h"
 #include "net/event_loop.h"
+#include "net/timer.h"
 
 namespace gorsenotch::fault_scenario {
 
--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -4,6 +4,8 @@
 #include <cmath>
 #include <utility>
 
+#include "net/tcp_stream.h"
+
 namespace gorsenotch::gateway {
 namespace {
 
--- a/src/gateway/client_connection.h
+++ b/src/gateway/client_connection.h
@@ -11,6 +11,8 @@
 #include "gorsenotch/settings.h"
 #include "http/parser.h"
 #include "net/event_loop.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::gateway {
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -8,6 +8,7 @@
 
 #include "api/messages.h"
 #include "log/log.h"
+#include "net/file_watcher.h"
 #include "state/decision_journal.h"
 
 namespace gorsenotch::gateway {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -9,6 +9,8 @@
 
 #include "gateway/http_server.h"
 #include "gorsenotch/settings.h"
+#include "net/file_watcher.h"
+#include "net/timer.h"
 #include "proxy/connection_pool.h"
 #include "proxy/wakeup_timer.h"
 #include "state/snapshot_store.h"
--- a/src/gateway/http_server.cpp
+++ b/src/gateway/http_server.cpp
@@ -5,6 +5,10 @@
 #include <cstdio>
 #include <utility>
 
+#include "net/clock.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+
 namespace gorsenotch::gateway {
 namespace {
 
--- a/src/gateway/http_server.h
+++ b/src/gateway/http_server.h
@@ -8,7 +8,11 @@
 
 #include "gateway/client_connection.h"
 #include "gorsenotch/settings.h"
+#include "net/deferred_call.h"
 #include "net/event_loop.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::gateway {
 
--- a/src/gateway/open_request.h
+++ b/src/gateway/open_request.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "api/chat.h"
+#include "control/attempt_clock.h"
 #include "control/kv_lease.h"
 #include "gateway/environment.h"
 #include "gorsenotch/events.h"
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -9,6 +9,7 @@
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
+#include <memory>
 
 namespace gorsenotch::net {
 
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -92,12 +92,3 @@
 void run_on_thread_pool(EventLoop& loop, std::function<void()> job, std::function<void()> done);
 
 }  // namespace gorsenotch::net
-
-// For users that include this header alone.
-#include "net/deferred_call.h"
-#include "net/file_watcher.h"
-#include "net/signal_watcher.h"
-#include "net/socket_address.h"
-#include "net/tcp_listener.h"
-#include "net/tcp_stream.h"
-#include "net/timer.h"
--- a/src/net/free_ports.cpp
+++ b/src/net/free_ports.cpp
@@ -2,6 +2,8 @@
 
 #include <memory>
 
+#include "net/tcp_listener.h"
+
 namespace gorsenotch::net {
 
 std::vector<int> free_ports(EventLoop& loop, const std::string& host, std::size_t count) {
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -5,6 +5,7 @@
 #include <poll.h>
 #include <sys/socket.h>
 
+#include <memory>
 #include <utility>
 
 #include "net/event_loop.h"
--- a/src/platform/attempt_runner.cpp
+++ b/src/platform/attempt_runner.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "control/attempt_clock.h"
 #include "control/send_preconditions.h"
 
 namespace gorsenotch::platform {
--- a/src/platform/client_connection.cpp
+++ b/src/platform/client_connection.cpp
@@ -5,6 +5,9 @@
 #include <utility>
 #include <variant>
 
+#include "net/clock.h"
+#include "net/tcp_stream.h"
+
 namespace gorsenotch::platform {
 namespace {
 
--- a/src/platform/client_connection.h
+++ b/src/platform/client_connection.h
@@ -21,6 +21,7 @@
 #include "gorsenotch/settings.h"
 #include "http/parser.h"
 #include "net/event_loop.h"
+#include "net/tcp_stream.h"
 #include "platform/client.h"
 #include "platform/request.h"
 #include "platform/request_lifecycle.h"
--- a/src/platform/client_connections.cpp
+++ b/src/platform/client_connections.cpp
@@ -2,6 +2,10 @@
 
 #include <utility>
 
+#include "net/clock.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+
 namespace gorsenotch::platform {
 namespace {
 
--- a/src/platform/client_connections.h
+++ b/src/platform/client_connections.h
@@ -11,7 +11,11 @@
 #include <string>
 #include <vector>
 
+#include "net/deferred_call.h"
 #include "net/event_loop.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 #include "platform/client_connection.h"
 #include "platform/request_lifecycle.h"
 
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -3,6 +3,7 @@
 #include <charconv>
 
 #include "net/event_loop.h"
+#include "net/socket_address.h"
 
 namespace gorsenotch::platform {
 namespace {
--- a/src/platform/config_reloader.cpp
+++ b/src/platform/config_reloader.cpp
@@ -3,6 +3,7 @@
 #include <exception>
 #include <utility>
 
+#include "net/clock.h"
 #include "settings/xml.h"
 
 namespace gorsenotch::platform {
--- a/src/platform/config_reloader.h
+++ b/src/platform/config_reloader.h
@@ -6,6 +6,7 @@
 
 #include "gorsenotch/settings.h"
 #include "net/event_loop.h"
+#include "net/timer.h"
 #include "platform/config.h"
 
 namespace gorsenotch::platform {
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "net/event_loop.h"
+#include "net/socket_address.h"
 
 namespace gorsenotch::platform {
 namespace {
--- a/src/platform/endpoint_watcher.cpp
+++ b/src/platform/endpoint_watcher.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "net/clock.h"
+#include "net/tcp_stream.h"
+
 namespace gorsenotch::platform {
 namespace {
 
--- a/src/platform/endpoint_watcher.h
+++ b/src/platform/endpoint_watcher.h
@@ -21,7 +21,10 @@
 #include <string>
 
 #include "http/parser.h"
+#include "net/clock.h"
 #include "net/event_loop.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::platform {
 
--- a/src/platform/lease_keeper.h
+++ b/src/platform/lease_keeper.h
@@ -9,6 +9,7 @@
 #include <string>
 
 #include "control/kv_lease.h"
+#include "control/prefill_times.h"
 #include "gorsenotch/actions.h"
 #include "platform/access_log.h"
 #include "platform/lease_releaser.h"
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -7,6 +7,7 @@
 #include <utility>
 
 #include "log/log.h"
+#include "net/signal_watcher.h"
 #include "net/socket_error.h"
 #include "settings/xml.h"
 
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -9,6 +9,7 @@
 
 #include "control/drain_schedule.h"
 #include "gorsenotch/settings.h"
+#include "net/timer.h"
 #include "platform/client_connections.h"
 #include "platform/config.h"
 #include "platform/config_reloader.h"
--- a/src/platform/request_state.h
+++ b/src/platform/request_state.h
@@ -15,6 +15,7 @@
 #include <unordered_map>
 #include <unordered_set>
 
+#include "control/attempt_clock.h"
 #include "control/kv_lease.h"
 #include "gorsenotch/events.h"
 #include "gorsenotch/settings.h"
--- a/src/platform/status_reporter.cpp
+++ b/src/platform/status_reporter.cpp
@@ -6,6 +6,7 @@
 #include <cmath>
 
 #include "log/log.h"
+#include "net/clock.h"
 
 namespace gorsenotch::platform {
 namespace {
--- a/src/platform/status_reporter.h
+++ b/src/platform/status_reporter.h
@@ -5,6 +5,7 @@
 
 #include "gorsenotch/settings.h"
 #include "net/event_loop.h"
+#include "net/timer.h"
 #include "platform/client_connections.h"
 #include "platform/endpoint_list.h"
 #include "platform/request_lifecycle.h"
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -15,6 +15,7 @@
 #include "control/connection_reuse_policy.h"
 #include "gorsenotch/settings.h"
 #include "net/event_loop.h"
+#include "net/timer.h"
 #include "proxy/detached_calls.h"
 #include "proxy/upstream_call.h"
 #include "proxy/upstream_request.h"
--- a/src/proxy/detached_calls.cpp
+++ b/src/proxy/detached_calls.cpp
@@ -3,6 +3,10 @@
 #include <algorithm>
 #include <utility>
 
+#include "net/clock.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
+
 namespace gorsenotch::proxy {
 namespace {
 
--- a/src/proxy/detached_calls.h
+++ b/src/proxy/detached_calls.h
@@ -5,7 +5,9 @@
 #include <memory>
 #include <string>
 
+#include "net/clock.h"
 #include "net/event_loop.h"
+#include "net/timer.h"
 
 namespace gorsenotch::proxy {
 
--- a/src/proxy/router_driver.h
+++ b/src/proxy/router_driver.h
@@ -9,6 +9,7 @@
 #include <utility>
 #include <vector>
 
+#include "control/attempt_clock.h"
 #include "control/stall_detector.h"
 #include "gorsenotch/router.h"
 #include "proxy/timer_queue.h"
--- a/src/proxy/wakeup_timer.h
+++ b/src/proxy/wakeup_timer.h
@@ -4,7 +4,9 @@
 #include <algorithm>
 #include <functional>
 
+#include "net/clock.h"
 #include "net/event_loop.h"
+#include "net/timer.h"
 
 namespace gorsenotch::proxy {
 
--- a/src/state/decision_journal.h
+++ b/src/state/decision_journal.h
@@ -11,7 +11,6 @@
 #include <string>
 
 #include "state/decision_observer.h"
-#include "state/journal_replay.h"  // for includers of this header, which took replay() from it
 
 namespace gorsenotch::state {
 
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -17,6 +17,7 @@
 #include "platform/upstream_exchange.h"
 #include "settings/settings.h"
 #include "state/decision_journal.h"
+#include "state/journal_replay.h"
 
 namespace gorsenotch::fuzz {
 namespace {
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -12,8 +12,13 @@
 #include <set>
 
 #include "net/child_process.h"
+#include "net/deferred_call.h"
 #include "net/event_loop.h"
 #include "net/free_ports.h"
+#include "net/signal_watcher.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::net {
 namespace {
--- a/tests/platform/client_connections_fixture.h
+++ b/tests/platform/client_connections_fixture.h
@@ -6,6 +6,7 @@
 #include <memory>
 #include <string>
 
+#include "net/timer.h"
 #include "platform/client_connections.h"
 #include "platform/platform_world.h"
 #include "support/blocking_client.h"
--- a/tests/platform/config_reloader_test.cpp
+++ b/tests/platform/config_reloader_test.cpp
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "net/timer.h"
 #include "platform/platform_world.h"
 
 namespace gorsenotch::test {
--- a/tests/platform/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoint_watcher_test.cpp
@@ -6,6 +6,10 @@
 
 #include <list>
 
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
+
 namespace gorsenotch::test {
 namespace {
 
--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -10,6 +10,7 @@
 
 #include <vector>
 
+#include "net/timer.h"
 #include "platform/upstream_exchange.h"
 
 namespace gorsenotch::test {
--- a/tests/proxy/detached_calls_test.cpp
+++ b/tests/proxy/detached_calls_test.cpp
@@ -7,6 +7,9 @@
 #include <vector>
 
 #include "net/free_ports.h"
+#include "net/tcp_listener.h"
+#include "net/tcp_stream.h"
+#include "net/timer.h"
 
 namespace gorsenotch::test {
 namespace {
--- a/tests/state/decision_journal_test.cpp
+++ b/tests/state/decision_journal_test.cpp
@@ -9,6 +9,7 @@
 
 #include "gorsenotch/router.h"
 #include "state/journal_error.h"
+#include "state/journal_replay.h"
 #include "state/temporary_folder.h"
 
 namespace gorsenotch::state {
--- a/tests/state/stored_data_test.cpp
+++ b/tests/state/stored_data_test.cpp
@@ -8,6 +8,7 @@
 #include "invariants/record_checker.h"
 #include "settings/settings.h"
 #include "state/decision_journal.h"
+#include "state/journal_replay.h"
 #include "state/snapshot_store.h"
 
 namespace gorsenotch::test {
