--- a/src/control/connection_reuse_policy.h
+++ b/src/control/connection_reuse_policy.h
@@ -1,11 +1,10 @@
-// Decides whether an idle kept-alive connection is used again, by how often reused ones broke. No I/O; the
-// random draw is handed in. Times are ms.
+// Decides whether an idle keep-alive connection is reused, based on how often reused connections broke. No
+// I/O; the caller supplies the random draw. Times are ms.
 //
-// A request on a connection that breaks may have run and costs an attempt; a new connection costs a
-// handshake. Where endpoints, or something between, close or reset idle connections, the handshake is the
-// cheaper.
+// A request on a connection that breaks may have run and uses up an attempt; a new connection costs a
+// handshake. Where endpoints or middleboxes close or reset idle connections, the handshake is cheaper.
 //
-// Ownership: one for each connection pool, which asks before each reuse and reports each request's end.
+// Ownership: one per connection pool, which asks before each reuse and reports the end of each request.
 #pragma once
 
 #include <array>
@@ -15,14 +14,15 @@
 
 namespace gorsenotch::control {
 
+// Compares how often new and reused connections break, by the time that they were idle.
 class ConnectionReusePolicy {
 public:
-    // Whether to use a connection that has been idle for `idle`. Never right after its last response: what an
-    // endpoint sends behind that, some ms late, would be taken for the next request's response.
-    // `draw`: uniform from 0 to 1; a few are reused in any case, as a trial.
+    // Whether to reuse a connection that has been idle for `idle`. Never right after its last response: if
+    // the endpoint sends surplus bytes some ms later, they would be parsed as the next request's response.
+    // `draw`: uniform from 0 to 1; a small fraction of connections is reused in any case, as a trial.
     bool should_reuse(Millis idle, double draw) const;
-    // A request went out on a connection that had been idle for `idle`, or on a new one (`idle` below 0).
-    // `broke`: it ended before any byte of a response.
+    // Records a request on a connection that had been idle for `idle`, or on a new connection (`idle` below
+    // 0). `broke`: the connection ended before the first byte of a response.
     void on_request_ended(Millis idle, bool broke);
 
 private:
@@ -36,7 +36,7 @@
     static std::size_t idle_bucket(Millis idle);
 
     UseCount new_connections_;
-    std::array<UseCount, kIdleBuckets> reused_connections_;  // by how long they had been idle
+    std::array<UseCount, kIdleBuckets> reused_connections_;  // by idle time
 };
 
 }  // namespace gorsenotch::control
--- a/tests/control/connection_reuse_policy_test.cpp
+++ b/tests/control/connection_reuse_policy_test.cpp
@@ -1,4 +1,4 @@
-// ConnectionReusePolicy: when an idle connection is used again.
+// ConnectionReusePolicy: when an idle connection is reused.
 #include "control/connection_reuse_policy.h"
 
 #include <gtest/gtest.h>
@@ -6,26 +6,26 @@
 namespace gorsenotch::control {
 namespace {
 
-// Found on sockets: where idle connections were reset at the next request, 30% of the reused ones broke, and
-// each cost an attempt.
-TEST(ConnectionReusePolicy, ConnectionsThatBreakAreLeftAndTriedNowAndThen) {
+// Guards against reuse where idle connections are reset at the next request: with real sockets 30% of the
+// reused connections broke, and each break used up an attempt.
+TEST(ConnectionReusePolicy, ConnectionsThatBreakTooOftenAreReusedOnlyAsATrial) {
     ConnectionReusePolicy policy;
-    EXPECT_TRUE(policy.should_reuse(100, 0.9)) << "at the start they are used";
-    EXPECT_FALSE(policy.should_reuse(10, 0)) << "but not right after an answer: a second one may follow";
+    EXPECT_TRUE(policy.should_reuse(100, 0.9)) << "reused before any request was recorded";
+    EXPECT_FALSE(policy.should_reuse(10, 0)) << "not within the cooldown: a surplus response may follow";
     for (int i = 0; i < 200; ++i) {
         policy.on_request_ended(100, i % 100 == 0);
         policy.on_request_ended(-1, false);
     }
-    EXPECT_TRUE(policy.should_reuse(100, 0.9)) << "one in a hundred is less than a handshake";
+    EXPECT_TRUE(policy.should_reuse(100, 0.9)) << "one break in a hundred costs less than the handshakes";
     for (int i = 0; i < 10; ++i) policy.on_request_ended(100, i % 3 == 0);
     EXPECT_FALSE(policy.should_reuse(100, 0.9));
-    EXPECT_TRUE(policy.should_reuse(100, 0.01)) << "a few are tried";
-    EXPECT_TRUE(policy.should_reuse(4000, 0.9)) << "by how long they had been idle";
+    EXPECT_TRUE(policy.should_reuse(100, 0.01)) << "reused as a trial";
+    EXPECT_TRUE(policy.should_reuse(4000, 0.9)) << "counted by idle time";
     for (int i = 0; i < 300; ++i) policy.on_request_ended(100, false);
-    EXPECT_TRUE(policy.should_reuse(100, 0.9)) << "healed";
+    EXPECT_TRUE(policy.should_reuse(100, 0.9)) << "reused again once they no longer break";
 }
 
-TEST(ConnectionReusePolicy, WhereNewConnectionsBreakAsOftenIdleOnesAreReused) {
+TEST(ConnectionReusePolicy, IdleConnectionsAreReusedWhereNewOnesBreakAsOften) {
     ConnectionReusePolicy policy;
     for (int i = 0; i < 200; ++i) {
         policy.on_request_ended(100, i % 4 == 0);
@@ -34,13 +34,13 @@
     EXPECT_TRUE(policy.should_reuse(100, 0.9));
 }
 
-TEST(ConnectionReusePolicy, ATrialNeverComesBeforeTheCooldown) {
+TEST(ConnectionReusePolicy, ATrialDoesNotOverrideTheCooldown) {
     const ConnectionReusePolicy policy;
     EXPECT_FALSE(policy.should_reuse(24.9, 0));
     EXPECT_TRUE(policy.should_reuse(25, 0));
 }
 
-TEST(ConnectionReusePolicy, EachRangeOfIdleTimesIsCountedByItself) {
+TEST(ConnectionReusePolicy, EachIdleTimeBucketIsCountedSeparately) {
     for (const Millis broken_at : {100.0, 1000.0, 5000.0}) {
         ConnectionReusePolicy policy;
         for (int i = 0; i < 50; ++i) policy.on_request_ended(broken_at, true);
