--- a/src/control/drain_schedule.h
+++ b/src/control/drain_schedule.h
@@ -1,13 +1,13 @@
-// Plans a drain: when a gateway that was ordered to stop no longer accepts requests, and when it hands the
-// streams that it cannot finish back to their clients. No I/O; the clock is handed in, ms.
+// Schedules a drain: when a stopping gateway rejects new requests, and when it migrates the streams that it
+// cannot finish. No I/O; the caller supplies the clock, in ms.
 //
-// A stream cut off by the kill fails; one handed back before resumes elsewhere from its last token, at the
-// price of another prefill of its prompt. So streams that may still end are left to, and the others are
-// handed back at an even pace, lest their prompts are all read again at once. Where clients do not resume
-// broken streams, a request accepted late may be cut off by the kill and lost: then requests are accepted
-// only while connections keep coming to a process that stops in any case.
+// A stream that is open when the process is killed fails. A stream that is migrated before resumes on another
+// gateway from its last token, at the cost of another prefill of its prompt. So streams first get time to end
+// by themselves; the rest are migrated at an even pace, so that their prompts are not all prefilled at once.
+// Where clients do not resume broken streams, a request accepted late may be lost to the kill. Such requests
+// are accepted only for the short time in which new connections still arrive after the order to stop.
 //
-// Ownership: one for each drain, owned by the program's main loop.
+// Ownership: one per drain, owned by the program's main loop.
 #pragma once
 
 #include <cstddef>
@@ -16,17 +16,19 @@
 
 namespace gorsenotch::control {
 
+// The times of one drain's phases and the pace of its migrations.
 class DrainSchedule {
 public:
-    // `ordered_at`: the order to stop; `kill_at`: when the process may be killed, at the earliest;
-    // `resume`: whether clients resume a broken stream elsewhere.
+    // `ordered_at`: when the order to stop came; `kill_at`: the earliest time at which the process may be
+    // killed; `resume`: whether clients resume a broken stream on another gateway.
     DrainSchedule(Millis ordered_at, Millis kill_at, bool resume);
 
-    // How many of the `open` streams are to be handed back now. Calls may come at any pace.
-    std::size_t streams_to_migrate(Millis now, std::size_t open);
-    // Whether new requests are rejected: late, as there may be no other gateway in the zone to take them.
+    // How many of the `open_streams` to migrate now. May be called at any interval.
+    std::size_t streams_to_migrate(Millis now, std::size_t open_streams);
+    // Whether new requests are rejected. This begins late in the drain, as the zone may have no other
+    // gateway.
     bool stop_accepting(Millis now) const { return now >= stop_accepting_at_; }
-    // Whether requests without a response yet are to be given a final one now.
+    // Whether all requests that still lack a final response must get one now.
     bool answer_remaining(Millis now) const { return now >= answer_remaining_at_; }
 
 private:
--- a/tests/control/drain_schedule_test.cpp
+++ b/tests/control/drain_schedule_test.cpp
@@ -1,4 +1,4 @@
-// DrainSchedule: how a gateway hands its streams back before a planned restart kills it.
+// DrainSchedule: when a stopping gateway migrates its streams and rejects requests.
 #include "control/drain_schedule.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace gorsenotch::test {
 namespace {
 
-TEST(DrainSchedule, StreamsAreHandedBackAtAnEvenPaceAndAllBeforeTheKill) {
+TEST(DrainSchedule, AllStreamsAreMigratedAtAnEvenPaceBeforeTheKill) {
     for (const Millis step : {5.0, 20.0, 90.0}) {
         control::DrainSchedule schedule(1000, 4700, true);
         std::size_t open = 100;
@@ -20,12 +20,13 @@
             open -= count;
         }
         EXPECT_EQ(open, 0u) << step;
-        EXPECT_GT(first, 2500) << "those that may still end are left to";
-        EXPECT_LE(most, static_cast<std::size_t>(2 + 100 * step / 1000)) << "not many at once";
+        EXPECT_GT(first, 2500) << "streams first get time to end by themselves";
+        EXPECT_LE(most, static_cast<std::size_t>(2 + 100 * step / 1000))
+            << "the migrations are spread over time";
     }
 }
 
-TEST(DrainSchedule, RequestsAreAcceptedForMostOfTheTimeAndAnsweredInTheEnd) {
+TEST(DrainSchedule, RequestsAreAcceptedUntilLateInTheDrainAndAnsweredBeforeTheKill) {
     const control::DrainSchedule schedule(0, 3700, true);
     EXPECT_FALSE(schedule.stop_accepting(2000));
     EXPECT_FALSE(schedule.stop_accepting(3100));
@@ -34,17 +35,17 @@
     EXPECT_TRUE(schedule.answer_remaining(3500));
 }
 
-// Found on the fleet bench: a stream taken 2.9 s after the order to stop was not done at the kill, 0.8 s
-// later.
-TEST(DrainSchedule, WithoutResumptionNothingIsAcceptedThatTheKillMayCutOff) {
+// Guards against accepting a stream that the kill cuts off: on the fleet bench a stream accepted 2.9 s after
+// the order to stop was still open at the kill, 0.8 s later.
+TEST(DrainSchedule, WithoutResumptionRequestsAreRejectedEarlyInTheDrain) {
     const control::DrainSchedule schedule(0, 3700, false);
-    EXPECT_FALSE(schedule.stop_accepting(400)) << "new connections still come";
+    EXPECT_FALSE(schedule.stop_accepting(400)) << "new connections still arrive";
     EXPECT_TRUE(schedule.stop_accepting(650));
-    EXPECT_FALSE(schedule.answer_remaining(3300)) << "what was taken has its time";
+    EXPECT_FALSE(schedule.answer_remaining(3300)) << "accepted requests keep their time";
     EXPECT_TRUE(schedule.answer_remaining(3500));
 }
 
-TEST(DrainSchedule, WithoutAnyTimeAllStreamsAreHandedBackAtOnce) {
+TEST(DrainSchedule, WithNoTimeUntilTheKillAllStreamsAreMigratedAtOnce) {
     control::DrainSchedule schedule(0, 0, true);
     EXPECT_EQ(schedule.streams_to_migrate(0, 7), 7u);
     EXPECT_TRUE(schedule.answer_remaining(0));
