--- a/src/control/endpoint_incarnation.h
+++ b/src/control/endpoint_incarnation.h
@@ -1,11 +1,12 @@
-// When each endpoint last started, on this host's monotonic clock. No I/O; the clock is handed in, ms.
+// Tracks when each endpoint last started, on this host's monotonic clock. No I/O; the caller supplies the
+// clock, in ms.
 //
-// Endpoint lists name a start (an incarnation) by a wall clock's time, which may be wrong or stepped, here or
-// there. An incarnation that first appears while lists are being watched is taken to start now, whatever the
-// clocks say: that is late by the list's own delay, and the endpoint counts as warming for that much longer.
-// Only for the first list there is nothing but the clocks.
+// Endpoint lists identify an incarnation by its start on a wall clock, which may be wrong or stepped on
+// either host. Once a full list has been received, a new incarnation is taken to start when it first appears,
+// whatever the clocks say. That is late by the delay of the list, so slow start lasts longer by that delay.
+// Only start times in the first list are converted from the wall clock.
 //
-// Ownership: one for each endpoint list, which alone changes it.
+// Ownership: one per endpoint list, which is the only one to change it.
 #pragma once
 
 #include <cstddef>
@@ -16,22 +17,24 @@
 
 namespace gorsenotch::control {
 
+// The start time of each endpoint's latest incarnation.
 class EndpointIncarnations {
 public:
-    // `clock_offset`: ms to add to the wall clock's time to get the monotonic clock's.
+    // `clock_offset`: monotonic clock minus wall clock, ms.
     explicit EndpointIncarnations(Millis clock_offset) : clock_offset_(clock_offset) {}
 
-    // `name` is listed now with `incarnation`, its start in ms on the wall clock; 0: long ago.
-    // Returns its start on the monotonic clock, 0 for long ago.
+    // Records that `name` is listed with `incarnation`, its start in ms on the wall clock; 0: long ago.
+    // Returns its start on the monotonic clock; 0: long ago.
     Millis on_listed(const std::string& name, double incarnation, Millis now);
-    // A full list has been taken from discovery: what is new or changes from now on starts as it appears.
-    void on_full_list() { watching_ = true; }
-    // Forgets endpoints unlisted for long, once they are many beside the `listed` ones.
+    // Records that a full list came from discovery: from now on a new incarnation starts when it appears.
+    void on_full_list() { full_list_received_ = true; }
+    // Drops endpoints that have been unlisted for long, once they are many compared to `listed`, the number
+    // of listed ones.
     void forget(std::size_t listed, Millis now);
-    std::size_t size() const { return known_.size(); }
+    std::size_t size() const { return entries_.size(); }
 
 private:
-    struct Known {
+    struct Entry {
         double incarnation = 0;
         Millis started_at = 0;
         Millis last_listed = 0;
@@ -39,8 +42,8 @@
     Millis started_at(double incarnation, Millis now) const;
 
     const Millis clock_offset_;
-    bool watching_ = false;
-    std::unordered_map<std::string, Known> known_;
+    bool full_list_received_ = false;
+    std::unordered_map<std::string, Entry> entries_;
 };
 
 }  // namespace gorsenotch::control
