--- a/src/control/invariant_checker.cpp
+++ b/src/control/invariant_checker.cpp
@@ -8,13 +8,13 @@
 
 namespace gorsenotch::control {
 namespace {
-// Endpoints remembered as not healthy, before those unlisted for long are forgotten.
-constexpr std::size_t kMaxUnhealthy = 8192;
-constexpr Millis kForgetUnhealthyAfter = 60000;
+// Above this many entries for unhealthy endpoints, those older than the retention time are dropped.
+constexpr std::size_t kMaxUnhealthyEntries = 8192;
+constexpr Millis kUnhealthyRetention = 60000;
 
-bool in_dedup_scope(DedupScope scope, const Endpoint& before, const Endpoint& to) {
-    if (scope == DedupScope::zone) return before.zone == to.zone;
-    if (scope == DedupScope::cell) return before.cell == to.cell;
+bool in_dedup_scope(DedupScope scope, const Endpoint& earlier, const Endpoint& to) {
+    if (scope == DedupScope::zone) return earlier.zone == to.zone;
+    if (scope == DedupScope::cell) return earlier.cell == to.cell;
     return true;
 }
 
@@ -28,9 +28,9 @@
     return settings_.classes[static_cast<std::size_t>(request.cls)];
 }
 
-void InvariantChecker::report_violation(Invariant invariant, Handle request, const std::string& what) {
+void InvariantChecker::report_violation(Invariant invariant, Handle request, const std::string& detail) {
     ++violations_[static_cast<std::size_t>(invariant)];
-    if (on_violation) on_violation(invariant, request, what);
+    if (on_violation) on_violation(invariant, request, detail);
 }
 
 void InvariantChecker::on_request_accepted(Handle handle, int cls, Millis deadline) {
@@ -45,9 +45,9 @@
         return;
     }
     unhealthy_since_.try_emplace(endpoint, now);
-    if (unhealthy_since_.size() <= kMaxUnhealthy) return;
+    if (unhealthy_since_.size() <= kMaxUnhealthyEntries) return;
     std::erase_if(unhealthy_since_,
-                  [now](const auto& entry) { return now - entry.second > kForgetUnhealthyAfter; });
+                  [now](const auto& entry) { return now - entry.second > kUnhealthyRetention; });
 }
 
 void InvariantChecker::on_full_list(const std::vector<Endpoint>& entries, Millis now) {
@@ -67,17 +67,18 @@
     Request& request = it->second;
     check_request_open(handle, request);
     check_endpoint_healthy(handle, to, now);
-    for (const SentAttempt& before : request.sent) {
-        if (before.in_flight && !settings_.hedging)
+    for (const SentAttempt& earlier : request.sent) {
+        if (earlier.in_flight && !settings_.hedging)
             report_violation(Invariant::overlapping_attempts, handle, "");
-        if (before.is_decode && !before.never_ran) check_retry(handle, request, before, to, now);
+        if (earlier.is_decode && !earlier.never_ran) check_retry(handle, request, earlier, to, now);
     }
     request.sent.push_back({attempt, to, role != Role::prefill, true, false, now});
 }
 
 void InvariantChecker::check_request_open(Handle handle, const Request& request) {
     if (!request.answered && !request.client_disconnected) return;
-    report_violation(Invariant::sent_after_end, handle, request.client_disconnected ? "left" : "answered");
+    report_violation(Invariant::sent_after_end, handle,
+                     request.client_disconnected ? "client disconnected" : "final response sent");
 }
 
 void InvariantChecker::check_endpoint_healthy(Handle handle, const Endpoint& to, Millis now) {
@@ -86,19 +87,20 @@
     const Millis unhealthy_for = now - since->second;
     if (unhealthy_for <= settings_.drain_grace) return;
     report_violation(Invariant::sent_while_draining, handle,
-                     std::to_string(unhealthy_for) + " ms after it was told");
+                     std::to_string(unhealthy_for) + " ms after the endpoint was listed as not healthy");
 }
 
-void InvariantChecker::check_retry(Handle handle, const Request& request, const SentAttempt& before,
+void InvariantChecker::check_retry(Handle handle, const Request& request, const SentAttempt& earlier,
                                    const Endpoint& to, Millis now) {
     const ClassSettings& cls = class_of(request);
     if (cls.idempotency == Idempotency::unsafe) report_violation(Invariant::duplicate_execution, handle, "");
     if (cls.idempotency != Idempotency::with_key) return;
-    if (!in_dedup_scope(cls.dedup_scope, before.to, to))
+    if (!in_dedup_scope(cls.dedup_scope, earlier.to, to))
         report_violation(Invariant::outside_dedup_scope, handle, "");
-    const Millis age = now - before.sent_at;
+    const Millis age = now - earlier.sent_at;
     if (age > cls.dedup_window + kMaxProcessDelay)
-        report_violation(Invariant::outside_dedup_window, handle, std::to_string(age) + " ms");
+        report_violation(Invariant::outside_dedup_window, handle,
+                         std::to_string(age) + " ms after the earlier attempt");
 }
 
 void InvariantChecker::on_attempt_ended(Handle handle, int attempt, bool never_ran) {
@@ -111,15 +113,15 @@
     }
 }
 
-void InvariantChecker::on_answered(Handle handle, bool refused, Millis now) {
+void InvariantChecker::on_answered(Handle handle, bool rejected, Millis now) {
     const auto it = requests_.find(handle);
     if (it == requests_.end()) return;
     Request& request = it->second;
     if (std::exchange(request.answered, true)) report_violation(Invariant::duplicate_answer, handle, "");
     if (now > request.deadline + settings_.answer_slack + kMaxProcessDelay)
         report_violation(Invariant::late_answer, handle,
-                         std::to_string(now - request.deadline) + " ms after its time");
-    if (refused) check_rejection(handle, request);
+                         std::to_string(now - request.deadline) + " ms after the deadline");
+    if (rejected) check_rejection(handle, request);
 }
 
 void InvariantChecker::check_rejection(Handle handle, const Request& request) {
@@ -136,7 +138,8 @@
 
 void InvariantChecker::check_leases(Millis now, Millis stalled_for) {
     for (const LeaseInvariant::Overrun& overrun : leases_.check(now, stalled_for))
-        report_violation(Invariant::lease_overrun, overrun.request, std::to_string(overrun.age) + " ms");
+        report_violation(Invariant::lease_overrun, overrun.request,
+                         std::to_string(overrun.age) + " ms since the lease began, stalls excluded");
 }
 
 }  // namespace gorsenotch::control
--- a/src/control/invariant_checker.h
+++ b/src/control/invariant_checker.h
@@ -1,11 +1,10 @@
-// Checks at run time what was done for each request against the invariants: an account of its own, fed with
-// effects only and kept apart from what decides them (the Router, control/send_preconditions). No I/O; the
-// clock is handed in, ms.
+// Checks the effects of each request against the invariants at run time. It keeps its own records, fed by
+// effects only, and shares no state with the code that decides on them (the Router,
+// control/send_preconditions). No I/O; the caller supplies the clock, in ms.
 //
-// A violation is counted by its invariant and handed to on_violation.
-// Ownership: one for each request lifecycle, which alone feeds it; one entry for each request until forget(),
-// and one for each held KV cache, see control/lease_invariant. Errors: calls about an unknown request change
-// nothing.
+// Each violation is counted by invariant and passed to on_violation.
+// Ownership: one per request lifecycle, its only caller. It holds one entry per request until forget(), and
+// one per leased KV cache, see control/lease_invariant. Errors: calls for an unknown request have no effect.
 #pragma once
 
 #include <array>
@@ -22,49 +21,48 @@
 
 namespace gorsenotch::control {
 
-// The invariants that are checked; kInvariantNames has their names in the log.
+// The checked invariants, each named for its violation; kInvariantNames has the names for the log.
 enum class Invariant {
-    sent_after_end,        // an attempt after the final response, or for a client known to have disconnected
-    sent_while_draining,   // an attempt at an endpoint listed as not healthy for longer than the grace
-    overlapping_attempts,  // a second attempt while one is in flight
-    duplicate_execution,   // a further attempt after a decode of an unsafe request that may have run
-    outside_dedup_scope,   // a further attempt of a keyed request outside its dedup scope
-    outside_dedup_window,  // or after its dedup window
+    sent_after_end,        // an attempt after the final response, or after the client disconnected
+    sent_while_draining,   // an attempt to an endpoint listed as not healthy for longer than the drain grace
+    overlapping_attempts,  // a second attempt while another is in flight
+    duplicate_execution,   // another attempt after a decode of an unsafe request that may have run
+    outside_dedup_scope,   // another attempt of a keyed request outside its dedup scope
+    outside_dedup_window,  // another attempt of a keyed request after its dedup window
     rejected_after_possible_run,  // a rejection after a decode that may have run and must not be repeated
     duplicate_answer,
-    lease_overrun,  // a KV cache for longer than allowed, with no proof that it was taken or released
-    late_answer,    // may be this process's standstill, so it is counted and never fatal
+    lease_overrun,  // a KV cache leased for too long with no proof that it was taken or released
+    late_answer,    // a stall of this process can cause it, so it is counted and never fatal
 };
 constexpr std::array<const char*, 10> kInvariantNames = {
     "sent_after_end",      "sent_while_draining",  "overlapping_attempts",        "duplicate_execution",
     "outside_dedup_scope", "outside_dedup_window", "rejected_after_possible_run", "duplicate_answer",
     "lease_overrun",       "late_answer"};
 
-// Counts violations and reports each through on_violation. Owns its account; shares no state with what it
-// checks.
+// Records the effects of each request, counts violations and reports each through on_violation.
 class InvariantChecker {
 public:
     using Handle = LeaseInvariant::Handle;
     // `settings` must outlive this.
     explicit InvariantChecker(const Settings& settings) : settings_(settings), leases_(settings) {}
 
-    // `what`: detail for the log, may be empty.
-    std::function<void(Invariant, Handle, const std::string& what)> on_violation;
+    // `detail`: for the log, may be empty.
+    std::function<void(Invariant, Handle, const std::string& detail)> on_violation;
 
     // ---- requests and their attempts ----
     void on_request_accepted(Handle request, int cls, Millis deadline);
-    // The list as it was taken: an endpoint's status, at each entry.
+    // Called for each entry of a received endpoint list.
     void on_endpoint_listed(EndpointId endpoint, EndpointStatus status, Millis now);
-    // A full list: an endpoint that it lacks is removed.
+    // Called for each full list: an endpoint missing from it is removed.
     void on_full_list(const std::vector<Endpoint>& entries, Millis now);
-    // The first byte of an attempt goes out.
+    // The first byte of an attempt was sent.
     void on_attempt_sent(Handle request, int attempt, const Endpoint& to, Role role, Millis now);
     void on_attempt_ended(Handle request, int attempt, bool never_ran);
-    void on_answered(Handle request, bool refused, Millis now);
+    void on_answered(Handle request, bool rejected, Millis now);
     void on_client_disconnected(Handle request);
     void forget(Handle request) { requests_.erase(request); }
 
-    // ---- KV caches left by prefills, see LeaseInvariant ----
+    // ---- KV caches stored by prefills, see LeaseInvariant ----
     void on_prefill_answered(Handle request, Millis now, Millis stalled_for) {
         leases_.on_prefill_answered(request, now, stalled_for);
     }
@@ -76,13 +74,13 @@
     void on_release_called(Handle request) { leases_.on_release_called(request); }
     void on_release_answered(Handle request, Millis sent) { leases_.on_release_answered(request, sent); }
     void on_endpoint_answered(Millis now) { leases_.on_endpoint_answered(now); }
-    // To be called as often as is convenient.
+    // May be called at any interval.
     void check_leases(Millis now, Millis stalled_for);
     std::uint64_t unanswered_leases() const { return leases_.unanswered(); }
 
     // ---- results ----
     const std::array<std::uint64_t, kInvariantNames.size()>& violations() const { return violations_; }
-    // Requests with an entry.
+    // The number of requests with an entry.
     std::size_t size() const { return requests_.size(); }
 
 private:
@@ -102,16 +100,16 @@
         std::vector<SentAttempt> sent;
     };
     const ClassSettings& class_of(const Request& request) const;
-    void report_violation(Invariant invariant, Handle request, const std::string& what);
+    void report_violation(Invariant invariant, Handle request, const std::string& detail);
     void check_request_open(Handle handle, const Request& request);
     void check_endpoint_healthy(Handle handle, const Endpoint& to, Millis now);
-    void check_retry(Handle handle, const Request& request, const SentAttempt& before, const Endpoint& to,
+    void check_retry(Handle handle, const Request& request, const SentAttempt& earlier, const Endpoint& to,
                      Millis now);
     void check_rejection(Handle handle, const Request& request);
 
     const Settings& settings_;
     std::unordered_map<Handle, Request> requests_;
-    std::unordered_map<EndpointId, Millis> unhealthy_since_;  // endpoints listed as not healthy
+    std::unordered_map<EndpointId, Millis> unhealthy_since_;  // only endpoints listed as not healthy
     LeaseInvariant leases_;
     std::array<std::uint64_t, kInvariantNames.size()> violations_{};
 };
--- a/tests/control/invariant_checker_test.cpp
+++ b/tests/control/invariant_checker_test.cpp
@@ -1,4 +1,4 @@
-// InvariantChecker: what was done for each request, one case for each invariant.
+// InvariantChecker: one case for each invariant, with effects that violate it and effects that do not.
 #include "control/invariant_checker.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 struct InvariantCheckerTest : ::testing::Test {
     Settings settings = [] {
-        Settings made;
+        Settings initial;
         ClassSettings idempotent;
         ClassSettings keyed;
         keyed.idempotency = Idempotency::with_key;
@@ -16,10 +16,10 @@
         keyed.dedup_window = 1000;
         ClassSettings unsafe;
         unsafe.idempotency = Idempotency::unsafe;
-        made.classes = {idempotent, keyed, unsafe};
-        made.drain_grace = 250;
-        made.answer_slack = 50;
-        return made;
+        initial.classes = {idempotent, keyed, unsafe};
+        initial.drain_grace = 250;
+        initial.answer_slack = 50;
+        return initial;
     }();
     InvariantChecker checker{settings};
     std::vector<Invariant> violated;
@@ -42,7 +42,7 @@
     }
 };
 
-TEST_F(InvariantCheckerTest, AnOrdinaryRequestViolatesNothing) {
+TEST_F(InvariantCheckerTest, ARequestThatFollowsTheRulesViolatesNothing) {
     checker.on_attempt_sent(0, 0, endpoint(1), Role::prefill, 100);
     checker.on_attempt_ended(0, 0, false);
     send_decode(0, 1, 150);
@@ -55,7 +55,7 @@
     EXPECT_EQ(checker.size(), 2u);
 }
 
-TEST_F(InvariantCheckerTest, NothingIsSentAfterTheEndNorForADisconnectedClient) {
+TEST_F(InvariantCheckerTest, AttemptsAfterTheEndOrForADisconnectedClientAreViolations) {
     checker.on_answered(0, true, 100);
     send_decode(0, 0, 200);
     checker.on_client_disconnected(1);
@@ -63,7 +63,7 @@
     EXPECT_EQ(violated, (std::vector<Invariant>{Invariant::sent_after_end, Invariant::sent_after_end}));
 }
 
-TEST_F(InvariantCheckerTest, NothingIsSentToADrainingEndpointOnceItsGraceIsOver) {
+TEST_F(InvariantCheckerTest, AnAttemptToADrainingEndpointAfterItsGraceIsAViolation) {
     checker.on_endpoint_listed(7, EndpointStatus::draining, 100);
     checker.on_endpoint_listed(7, EndpointStatus::removed, 300);  // not healthy since 100
     send_decode(0, 0, 350);
@@ -77,7 +77,7 @@
     EXPECT_EQ(violated.size(), 1u);
 }
 
-TEST_F(InvariantCheckerTest, AnEndpointThatAFullListLacksIsRemoved) {
+TEST_F(InvariantCheckerTest, AnEndpointMissingFromAFullListIsRemoved) {
     send_decode(0, 0, 100);
     checker.on_attempt_ended(0, 0, true);
     checker.on_full_list({endpoint(1)}, 200);
@@ -85,13 +85,13 @@
     EXPECT_EQ(violated, (std::vector<Invariant>{Invariant::sent_while_draining}));
 }
 
-TEST_F(InvariantCheckerTest, OneAttemptIsInFlightAtATime) {
+TEST_F(InvariantCheckerTest, ASecondAttemptInFlightIsAViolation) {
     checker.on_attempt_sent(0, 0, endpoint(1), Role::prefill, 100);
     send_decode(0, 1, 150);
     EXPECT_EQ(violated, (std::vector<Invariant>{Invariant::overlapping_attempts}));
 }
 
-TEST_F(InvariantCheckerTest, AnUnsafeRequestThatMayHaveRunIsNeitherRetriedNorRejected) {
+TEST_F(InvariantCheckerTest, RetryAndRejectionOfAnUnsafeRequestThatMayHaveRunAreViolations) {
     send_decode(2, 0, 100);
     checker.on_attempt_ended(2, 0, false);
     send_decode(2, 1, 200);
@@ -101,10 +101,10 @@
                                                 Invariant::rejected_after_possible_run}));
 }
 
-TEST_F(InvariantCheckerTest, AKeyedRequestStaysInItsDedupScopeAndWindow) {
+TEST_F(InvariantCheckerTest, AKeyedRequestRetriedOutsideItsDedupScopeOrWindowIsAViolation) {
     send_decode(1, 0, 100);
     checker.on_attempt_ended(1, 0, false);
-    send_decode(1, 1, 1250);  // held up for 150 ms between clock and write
+    send_decode(1, 1, 1250);  // 150 ms over the window: the tolerated process delay
     checker.on_attempt_ended(1, 1, true);
     EXPECT_TRUE(violated.empty());
     send_decode(1, 2, 1251);
@@ -114,7 +114,7 @@
               (std::vector<Invariant>{Invariant::outside_dedup_window, Invariant::outside_dedup_scope}));
 }
 
-TEST_F(InvariantCheckerTest, AKvCacheIsTakenOrReleasedInTime) {
+TEST_F(InvariantCheckerTest, AKvCacheNeitherTakenNorReleasedInTimeIsAViolation) {
     settings.lease_release_timeout = 1000;
     const auto check_at = [&](Millis now, Millis stalled_for = 0) {
         checker.on_endpoint_answered(now);
@@ -130,12 +130,12 @@
     checker.on_prefill_answered(1, 2000, 0);
     checker.on_decode_answered(1);
     check_at(9000);
-    EXPECT_EQ(violated.size(), 1u) << "a decode that has arrived may wait for it";
+    EXPECT_EQ(violated.size(), 1u) << "a decode that arrived may be waiting for the KV cache";
     checker.on_decode_ended(1, 9000, 0);
     check_at(10000);
     checker.on_release_answered(1, 8999);
     check_at(10500);
-    EXPECT_EQ(violated.size(), 2u) << "a release sent before it was held anew proves nothing";
+    EXPECT_EQ(violated.size(), 2u) << "a release sent before the lease restarted proves nothing";
     checker.on_prefill_answered(1, 11000, 0);
     checker.forget(1);
     checker.on_release_answered(1, 11500);
@@ -143,12 +143,12 @@
     checker.on_lease_taken(2);
     checker.on_prefill_answered(0, 11000, 0);
     check_at(13000, 700);
-    EXPECT_EQ(violated.size(), 2u) << "this process stood still for 700 ms";
+    EXPECT_EQ(violated.size(), 2u) << "this process was stalled for 700 ms";
     check_at(13300, 700);
     EXPECT_EQ(violated.size(), 3u);
 }
 
-TEST_F(InvariantCheckerTest, AnOverrunThatNoEndpointCouldBeAskedToEndIsNoViolation) {
+TEST_F(InvariantCheckerTest, AnOverrunWhileNoEndpointRespondsIsNoViolation) {
     settings.lease_release_timeout = 1000;
     checker.on_endpoint_answered(90);
     checker.on_prefill_answered(0, 100, 0);
@@ -159,11 +159,11 @@
     for (int call = 0; call < 3; ++call) checker.on_release_called(1);
     checker.on_endpoint_answered(7000);
     checker.check_leases(8000, 0);
-    EXPECT_TRUE(violated.empty()) << "three endpoints were asked, and hang";
+    EXPECT_TRUE(violated.empty()) << "three releases were sent and none was answered";
     EXPECT_EQ(checker.unanswered_leases(), 2u);
 }
 
-TEST_F(InvariantCheckerTest, OneResponseInTime) {
+TEST_F(InvariantCheckerTest, ALateOrSecondAnswerIsAViolation) {
     checker.on_answered(0, false, 5200);
     EXPECT_TRUE(violated.empty());
     checker.on_answered(1, false, 5201);
