--- a/src/control/lease_invariant.cpp
+++ b/src/control/lease_invariant.cpp
@@ -4,15 +4,15 @@
 
 namespace gorsenotch::control {
 namespace {
-// The platform allows this much more than the settings for what is held.
-constexpr Millis kPlatformExtra = 300;
+// The platform tolerates leases that exceed the setting by this much.
+constexpr Millis kPlatformTolerance = 300;
 constexpr Millis kCheckInterval = 50;
-constexpr int kMaxReleaseCalls = 3;        // after which the endpoints' responses are what is missing
-constexpr Millis kDefaultDuration = 1000;  // where the settings name no time
+constexpr int kMaxReleaseCalls = 3;        // with this many unanswered, endpoints count as unresponsive
+constexpr Millis kDefaultDuration = 1000;  // if the settings give no release time-out
 }  // namespace
 
 void LeaseInvariant::on_prefill_answered(Handle request, Millis now, Millis stalled_for) {
-    leases_.try_emplace(request, Lease{now, stalled_for, false, 0});  // one that is held already is the older
+    leases_.try_emplace(request, Lease{now, stalled_for, false, 0});  // keeps an existing, older lease
 }
 
 void LeaseInvariant::on_decode_answered(Handle request) {
@@ -28,32 +28,33 @@
     if (const auto it = leases_.find(request); it != leases_.end()) ++it->second.release_calls;
 }
 
-void LeaseInvariant::on_release_answered(Handle request, Millis sent) {
+void LeaseInvariant::on_release_answered(Handle request, Millis sent_at) {
     const auto it = leases_.find(request);
-    if (it != leases_.end() && it->second.since <= sent) leases_.erase(it);
+    if (it != leases_.end() && it->second.acquired_at <= sent_at) leases_.erase(it);
 }
 
-Millis LeaseInvariant::allowed() const {
+Millis LeaseInvariant::allowed_duration() const {
     return settings_.lease_release_timeout > 0 ? settings_.lease_release_timeout : kDefaultDuration;
 }
 
-bool LeaseInvariant::nothing_more_to_do(const Lease& lease) const {
-    return lease.release_calls >= kMaxReleaseCalls || last_answer_at_ <= lease.since + allowed() / 2;
+bool LeaseInvariant::endpoints_unresponsive(const Lease& lease) const {
+    return lease.release_calls >= kMaxReleaseCalls ||
+           last_answer_at_ <= lease.acquired_at + allowed_duration() / 2;
 }
 
 std::vector<LeaseInvariant::Overrun> LeaseInvariant::check(Millis now, Millis stalled_for) {
     std::vector<Overrun> overruns;
     if (now < next_check_) return overruns;
     next_check_ = now + kCheckInterval;
-    const Millis limit = allowed() + kPlatformExtra + kMaxProcessDelay;
+    const Millis limit = allowed_duration() + kPlatformTolerance + kMaxProcessDelay;
     for (auto it = leases_.begin(); it != leases_.end();) {
         const Lease& lease = it->second;
-        const Millis age = now - lease.since - (stalled_for - lease.stalled_for);
+        const Millis age = now - lease.acquired_at - (stalled_for - lease.stalled_for);
         if (lease.decode_arrived || age <= limit) {
             ++it;
             continue;
         }
-        if (nothing_more_to_do(lease)) {
+        if (endpoints_unresponsive(lease)) {
             ++unanswered_;
         } else {
             overruns.push_back({it->first, age});
--- a/src/control/lease_invariant.h
+++ b/src/control/lease_invariant.h
@@ -1,9 +1,10 @@
-// Checks at run time that KV caches left by prefills are taken or released in time, from responses alone. An
-// account of its own, kept apart from what decides releases (control/kv_lease). No I/O; the clock is handed
-// in, ms.
+// Checks at run time that KV caches stored by prefills are taken or released in time, based on responses
+// alone. It keeps its own records and shares no state with the code that decides on releases
+// (control/kv_lease). No I/O; the caller supplies the clock, in ms.
 //
-// Ownership: part of InvariantChecker. One entry for each held KV cache, kept beyond the request until it is
-// proved taken or released, or reported. Errors: calls about an unknown request change nothing.
+// Ownership: part of InvariantChecker. It holds one entry per leased KV cache, even after the request ends,
+// until the cache is proved taken or released, or its overrun is reported. Errors: calls for an unknown
+// request have no effect.
 #pragma once
 
 #include <cstdint>
@@ -14,44 +15,45 @@
 
 namespace gorsenotch::control {
 
+// Records the KV lease of each request and finds the leases that overran.
 class LeaseInvariant {
 public:
     using Handle = std::uint64_t;
-    // A KV cache held for longer than allowed, with no proof that it was taken or released.
+    // A KV cache leased for longer than allowed, with no proof that it was taken or released.
     struct Overrun {
         Handle request = 0;
         Millis age = 0;
     };
     explicit LeaseInvariant(const Settings& settings) : settings_(settings) {}
 
-    // `stalled_for`: the sum of this process's standstills so far, which count against nobody.
+    // `stalled_for`: total stall time of this process so far; it does not count towards a lease's age.
     void on_prefill_answered(Handle request, Millis now, Millis stalled_for);
-    // A byte of a decode's response: the decode has arrived.
+    // The first byte of a decode's response was received, so the decode arrived at its endpoint.
     void on_decode_answered(Handle request);
     void on_decode_ended(Handle request, Millis now, Millis stalled_for);
     void on_lease_taken(Handle request) { leases_.erase(request); }
-    // An endpoint was asked to release it.
+    // A release was sent to an endpoint.
     void on_release_called(Handle request);
-    // An endpoint answered a release that was sent at `sent`.
-    void on_release_answered(Handle request, Millis sent);
-    // Any endpoint has answered anything.
+    // An endpoint answered a release that was sent at `sent_at`.
+    void on_release_answered(Handle request, Millis sent_at);
+    // Any endpoint answered any request.
     void on_endpoint_answered(Millis now) { last_answer_at_ = now; }
 
-    // Reports each overrun once. To be called as often as is convenient; it looks only every so often.
+    // Reports each overrun once. May be called at any interval; calls within the check interval do nothing.
     std::vector<Overrun> check(Millis now, Millis stalled_for);
-    // Overruns that are no violation, as nothing more could be done: several endpoints were asked, or none
-    // answered anything. They may have been reached and hang.
+    // Overruns that are not violations, as no endpoint responded: either several releases were sent and none
+    // was answered, or no endpoint answered any request. The endpoints may be reachable but hung.
     std::uint64_t unanswered() const { return unanswered_; }
 
 private:
     struct Lease {
-        Millis since = 0;
-        Millis stalled_for = 0;       // at `since`
-        bool decode_arrived = false;  // the decode in flight
+        Millis acquired_at = 0;
+        Millis stalled_for = 0;       // at `acquired_at`
+        bool decode_arrived = false;  // the decode in flight arrived at its endpoint
         int release_calls = 0;
     };
-    Millis allowed() const;
-    bool nothing_more_to_do(const Lease& lease) const;
+    Millis allowed_duration() const;
+    bool endpoints_unresponsive(const Lease& lease) const;
 
     const Settings& settings_;
     std::unordered_map<Handle, Lease> leases_;
