--- a/src/control/kv_lease.cpp
+++ b/src/control/kv_lease.cpp
@@ -6,27 +6,29 @@
 namespace gorsenotch::control {
 namespace {
 
-constexpr Millis kDefaultDuration = 1000;  // where the settings name no time
+constexpr Millis kDefaultDuration = 1000;  // if the settings give no release time-out
 
-// Fractions of the duration. Proof may come until the first: the rest is what a release takes that meets
-// silent endpoints one after another (0.45), and a process that is held up (150 ms).
+// Fractions of the duration.
+// Proof of arrival may come until this point. The rest is reserved for a release that meets several
+// unresponsive endpoints in turn (0.45 of the duration), and for a delay of this process (150 ms).
 constexpr double kProofFraction = 0.6;
-// A decode that begins late gets this to arrive,
-constexpr double kArrivalFraction = 0.1;
-// but not beyond this, unless it began later still.
-constexpr double kLatestFraction = 0.8;
+// A decode that begins late gets this much time to arrive.
+constexpr double kLateDecodeFraction = 0.1;
+// The late decode's time ends at this point at the latest, unless the decode began even later.
+constexpr double kLatestProofFraction = 0.8;
 
-// For a prefill the duration is used up further, as a release costs its work: the platform allows 300 ms more
-// than the settings, of which half is left for a process that is held up.
+// A prefill gets more time, as its release discards the prefill's work. The platform tolerates 300 ms more
+// than the setting; half of that is added here, half remains for a delay of this process.
 constexpr double kPrefillFraction = 0.55;
 constexpr Millis kPrefillExtra = 150;
-// Its endpoint is sent a health check this long before.
+// The prefill's endpoint is sent a health check this long before the release.
 constexpr double kHealthCheckFraction = 0.25;
-constexpr Millis kMinHealthCheckTime = 150;
+constexpr Millis kMinHealthCheckTimeout = 150;
 
 }  // namespace
 
-KvLease::KvLease(Millis release_within) : duration_(release_within > 0 ? release_within : kDefaultDuration) {}
+KvLease::KvLease(Millis release_timeout)
+    : duration_(release_timeout > 0 ? release_timeout : kDefaultDuration) {}
 
 bool KvLease::decode_in_flight() const {
     return attempt_ == Attempt::decode_unwritten || attempt_ == Attempt::decode_written;
@@ -42,7 +44,7 @@
     holding_ = origin == LeaseOrigin::prefill_unanswered ? Holding::unanswered_prefill : Holding::held;
     timeline_.origin = origin;
     timeline_.holder = holder;
-    if (held_before) return;  // something older is held as well: the lease runs from that
+    if (held_before) return;  // the lease keeps running from the older resource
     running_since_ = now;
     timeline_ = {origin, holder, now, -1, -1, -1, -1, timeline_.awaited};
 }
@@ -58,8 +60,8 @@
     timeline_.arrived = -1;
 }
 
-void KvLease::on_request_written(Millis now, Millis usual_until) {
-    prefill_usual_until_ = usual_until;
+void KvLease::on_request_written(Millis now, Millis expected_by) {
+    prefill_expected_by_ = expected_by;
     attempt_ = decode_in_flight() ? Attempt::decode_written : Attempt::prefill_written;
     if (attempt_ == Attempt::prefill_written && !held())
         on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.awaited);
@@ -78,15 +80,15 @@
         proof_ = Proof::decode_arrived;
         return;
     }
-    // The prefill has ended: what it leaves is held from now on, though the rest of its response may be lost.
+    // The prefill has ended: its KV cache is held from now on, even if the rest of the response is lost.
     proof_ = Proof::prefill_answered;
     running_since_ = now;
 }
 
 void KvLease::on_attempt_ended(Millis now, bool never_ran) {
     if (never_ran && only_unanswered_prefill()) holding_ = Holding::nothing;
-    // An attempt that had arrived may have been waiting for what is held until now; if it had not arrived,
-    // the lease has run all along.
+    // An attempt that arrived may have been waiting for the resource, so the lease restarts. If it did not
+    // arrive, the lease was never stopped.
     const bool answered = std::exchange(proof_, Proof::none) != Proof::none;
     if (answered && held()) {
         running_since_ = now;
@@ -110,7 +112,7 @@
 
 void KvLease::on_release_begun(Millis now) {
     release_in_progress_ = true;
-    released_at_ = now;
+    release_begun_at_ = now;
     timeline_.released = now;
 }
 
@@ -130,23 +132,23 @@
     if (!held() || proof_ == Proof::decode_arrived || release_in_progress_) return std::nullopt;
     if (attempt_ == Attempt::prefill_written) {
         const Millis due = running_since_ + kPrefillFraction * duration_ + kPrefillExtra;
-        return prefill_in_flight() ? std::max(due, prefill_usual_until_ + health_check_time()) : due;
+        return prefill_in_flight() ? std::max(due, prefill_expected_by_ + health_check_timeout()) : due;
     }
     const Millis due = running_since_ + kProofFraction * duration_;
     if (!decode_in_flight()) return due;
-    const Millis arrives = decode_begun_at_ + kArrivalFraction * duration_;
-    const Millis latest = running_since_ + kLatestFraction * duration_;
-    return decode_begun_at_ > latest ? arrives : std::clamp(arrives, due, latest);
+    const Millis arrival_due = decode_begun_at_ + kLateDecodeFraction * duration_;
+    const Millis latest = running_since_ + kLatestProofFraction * duration_;
+    return decode_begun_at_ > latest ? arrival_due : std::clamp(arrival_due, due, latest);
 }
 
-Millis KvLease::health_check_time() const {
-    return std::max(kMinHealthCheckTime, kHealthCheckFraction * duration_);
+Millis KvLease::health_check_timeout() const {
+    return std::max(kMinHealthCheckTimeout, kHealthCheckFraction * duration_);
 }
 
 std::optional<Millis> KvLease::health_check_at() const {
     const auto due = release_at();
     if (!due || !prefill_in_flight() || health_check_sent_) return std::nullopt;
-    return *due - health_check_time();
+    return *due - health_check_timeout();
 }
 
 }  // namespace gorsenotch::control
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -1,17 +1,17 @@
-// The lease on what model servers hold for one request, that is the KV cache a prefill has left or a decode
-// slot: since when it is held, what has been proved about the attempt that is to take it, and until when it
-// may be held. No I/O; the clock is handed in, ms.
+// The lease on the resources that endpoints hold for one request: the KV cache stored by a prefill, or a
+// decode slot. It tracks when the resource was acquired, what is proved about the attempt that is to take it,
+// and when it must be released. No I/O; the caller supplies the clock, in ms.
 //
-// Bytes written to a connection prove nothing: the kernel takes them, and a peer that has vanished says
-// nothing. Only a byte of a response on the same connection proves that an attempt has arrived, and only the
-// response to a release proves that something was released. So the lease runs on while a decode is written
-// and unproved, and expires in time for a release that itself meets silent endpoints. A release does no harm
-// to a decode that has arrived, since it frees only what no attempt waits for.
+// Written bytes prove nothing: the kernel buffers them even if the peer is gone. Only a byte of the response
+// on the same connection proves that an attempt arrived, and only the response to a release proves that a
+// resource was released. So the lease keeps running while a decode is written but unproved, and it expires
+// early enough for a release that meets unresponsive endpoints. A release does not harm a decode that has
+// arrived, since it frees only resources that no attempt waits for.
 //
-// It does free what a prefill in flight leaves. So while a prefill is in flight a response of its endpoint to
-// something later counts as well, and a health check asks for one where nothing else has brought it.
+// A release does free the result of a prefill in flight. So while a prefill is in flight, a response of its
+// endpoint to any later message also extends the lease; if there is none, a health check is sent to get one.
 //
-// Ownership: one for each request, owned and changed by the request's lifecycle alone. It reports no errors.
+// Ownership: one per request, owned and changed by the request's lifecycle only. It reports no errors.
 #pragma once
 
 #include <array>
@@ -22,103 +22,105 @@
 
 namespace gorsenotch::control {
 
-// How something came to be held.
+// How the leased resource was acquired.
 enum class LeaseOrigin {
-    prefill_done,        // a prefill endpoint answered that the KV cache is there
-    prefill_lost,        // a prefill was sent and ended without a response: it may be held, now or later
-    prefill_unanswered,  // a prefill is in flight: it may have ended, and its response may be lost
-    slot_requested       // a decode slot was asked for
+    prefill_done,        // a prefill endpoint confirmed that the KV cache is stored
+    prefill_lost,        // a prefill ended without a response: its KV cache may be stored, now or later
+    prefill_unanswered,  // a prefill is in flight: it may be done and its response lost
+    slot_requested       // a decode slot was requested
 };
 constexpr std::array<const char*, 4> kLeaseOriginNames = {"prefill_done", "prefill_lost",
                                                           "prefill_unanswered", "slot_requested"};
 
-// The lease of one request: evidence in, the times of health checks and releases out.
+// The lease of one request. Takes evidence and computes when health checks and releases are due.
 class KvLease {
 public:
-    // When each step happened last, for logs; below 0: it did not.
+    // When each step last happened, for logs; below 0: never.
     struct Timeline {
         LeaseOrigin origin = LeaseOrigin::prefill_done;
         EndpointId holder = 0;
-        Millis acquired = -1;    // it is held, or may be held, since then
-        Millis written = -1;     // the latest attempt's last byte was handed to the kernel
-        Millis arrived = -1;     // and that attempt was proved to have arrived
-        Millis expiring = -1;    // the time in which proof may come was over
+        Millis acquired = -1;    // the resource was acquired, or may have been
+        Millis written = -1;     // the latest attempt's last byte was written to the socket
+        Millis arrived = -1;     // the latest attempt was proved to have arrived
+        Millis expiring = -1;    // the time limit for proof of arrival passed
         Millis released = -1;    // a release was begun
         EndpointId awaited = 0;  // the endpoint of the latest attempt
     };
 
-    // `release_within`: the time that the settings allow; 0 or less: a second.
-    explicit KvLease(Millis release_within);
+    // `release_timeout`: from the settings; 0 or less: one second.
+    explicit KvLease(Millis release_timeout);
 
     // ---- evidence ----
     void on_acquired(Millis now, LeaseOrigin origin, EndpointId holder);
-    // An attempt begins. `is_decode`: it takes what is held when it arrives.
+    // An attempt begins. `is_decode`: it takes the leased resource when it arrives.
     void on_attempt_begun(Millis now, EndpointId endpoint, bool is_decode);
-    // The attempt's last byte is in the kernel's hands: no proof of anything.
-    // `usual_until`: a prefill may ordinarily take until then, see PrefillTimes.
-    void on_request_written(Millis now, Millis usual_until = 0);
-    // The attempt's endpoint has answered something sent after it, at `at`: a prefill is taken to have
-    // arrived, and to be still in flight then. For a decode this proves too little.
+    // The attempt's last byte was written to the socket, which proves nothing yet.
+    // `expected_by`: when a prefill of usual duration ends, see PrefillTimes.
+    void on_request_written(Millis now, Millis expected_by = 0);
+    // At `at`, the attempt's endpoint answered a message sent after the attempt. A prefill is then taken to
+    // have arrived and to be still in flight at that time. For a decode this is not enough proof.
     void on_endpoint_answered(Millis at);
-    // The endpoint was asked for such an answer.
+    // A health check was sent to the attempt's endpoint.
     void on_health_check_sent() { health_check_sent_ = true; }
-    // A byte of the attempt's response has come: it has arrived at an endpoint that runs.
+    // The first byte of the attempt's response was received: it arrived at a running endpoint.
     void on_attempt_answered(Millis now);
-    // The attempt is over and has taken nothing. `never_ran`: that is proved.
+    // The attempt ended without taking the resource. `never_ran`: it is proved that it did not run.
     void on_attempt_ended(Millis now, bool never_ran);
-    // The decode's stream has begun: nothing is held any more.
+    // The decode's stream has begun: it took the resource.
     void on_taken();
     void on_release_begun(Millis now);
-    // An endpoint that runs has answered a release. What a written decode may wait for is kept for it.
+    // A running endpoint answered a release. It keeps a resource that a written decode may be waiting for.
     void on_release_answered(Millis now);
-    // Nobody answered the release, or it was withdrawn: what is held is held as before.
+    // No endpoint answered the release, or it was withdrawn: the lease continues unchanged.
     void on_release_failed();
-    // The time in which proof may come is over; recorded in the timeline only.
+    // The time limit for proof of arrival passed; only recorded in the timeline.
     void on_expiring(Millis now) { timeline_.expiring = now; }
 
     // ---- decisions ----
+    // Whether a resource is, or may be, held for the request.
     bool held() const { return holding_ != Holding::nothing; }
-    // Nothing is known to be held; a prefill is in flight that may have ended.
+    // Whether the only resource may be the result of a prefill in flight.
     bool only_unanswered_prefill() const { return holding_ == Holding::unanswered_prefill; }
-    // One release is not enough: a prefill that was cut off may end well after it, and the close of a decode
-    // may reach its endpoint after the release, which then left alone what that decode still waited for.
+    // Whether one release is not enough. A prefill whose connection was closed may end well after the
+    // release. The close of a decode may reach its endpoint after the release, which then did not free the
+    // resource that this decode still waited for.
     bool uncertain() const { return uncertain_; }
-    // A decode that began at `begun` has nothing left to take.
-    bool released_since(Millis begun) const { return released_at_ >= begun; }
-    // When a release has to begin if no proof comes; nothing while none is needed.
+    // Whether a release was begun at or after `begun`, so that a decode begun then has nothing to take.
+    bool released_since(Millis begun) const { return release_begun_at_ >= begun; }
+    // When a release must begin if no proof comes; nullopt if none is needed.
     std::optional<Millis> release_at() const;
-    // When the endpoint of a prefill in flight is due a health check; nothing while it needs none.
+    // When to send a health check to the endpoint of a prefill in flight; nullopt if none is needed.
     std::optional<Millis> health_check_at() const;
-    // A prefill is in flight that nobody has answered: a release would free what it leaves.
+    // Whether a prefill is in flight without a response. A release would free its result.
     bool prefill_in_flight() const;
     Millis prefill_written_at() const { return timeline_.written; }
 
     const Timeline& timeline() const { return timeline_; }
-    // The time allowed for a release, in ms.
+    // The time limit for releasing the resource, in ms.
     Millis duration() const { return duration_; }
 
 private:
-    // What endpoints hold for the request, as far as is known.
+    // The resource held for the request, as far as is known.
     enum class Holding {
         nothing,
-        unanswered_prefill,  // only what a prefill in flight may have left
+        unanswered_prefill,  // only the possible result of a prefill in flight
         held
     };
-    // The latest attempt, as far as the lease depends on it.
+    // The state of the latest attempt.
     enum class Attempt {
-        none,  // or a prefill that is not written yet, which leaves nothing
+        none,  // also a prefill that is not written yet, as it stores nothing
         prefill_written,
         decode_unwritten,
         decode_written
     };
-    // What its response has proved.
+    // What the response to the latest attempt has proved.
     enum class Proof {
         none,
         prefill_answered,  // the prefill has ended
-        decode_arrived     // the lease does not run
+        decode_arrived     // the lease is stopped
     };
     bool decode_in_flight() const;
-    Millis health_check_time() const;  // left for the response to a health check
+    Millis health_check_timeout() const;
 
     const Millis duration_;
     Holding holding_ = Holding::nothing;
@@ -128,10 +130,10 @@
     bool release_in_progress_ = false;
     bool health_check_sent_ = false;
     bool kept_for_decode_ = false;  // a release was answered while a written decode may have been waiting
-    Millis running_since_ = 0;      // the lease runs from then
+    Millis running_since_ = 0;      // start of the time limit
     Millis decode_begun_at_ = 0;
-    Millis released_at_ = -1;  // the latest release was begun; below 0: none was
-    Millis prefill_usual_until_ = 0;
+    Millis release_begun_at_ = -1;  // of the latest release; below 0: none
+    Millis prefill_expected_by_ = 0;
     Timeline timeline_;
 };
 
--- a/tests/control/kv_lease_test.cpp
+++ b/tests/control/kv_lease_test.cpp
@@ -1,4 +1,4 @@
-// KvLease: what ends the lease, what does not, and when a release has to begin.
+// KvLease: which events end or extend the lease, and when a release must begin.
 #include "control/kv_lease.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 struct KvLeaseTest : ::testing::Test {
     KvLease lease{1000};
-    // A prefill that ended at `at`, and a decode whose bytes went out right after it.
+    // A prefill that ends at `at`, followed by a decode that is written 1 ms later.
     void prefill_then_decode(Millis at) {
         lease.on_attempt_begun(at - 50, kPrefillEndpoint, false);
         lease.on_attempt_ended(at, false);
@@ -28,7 +28,8 @@
     EXPECT_FALSE(lease.health_check_at());
 }
 
-// Found by an incident with silent prefill endpoints: a prefill had ended, and its response was lost.
+// Guards against a KV cache that is never released after a prefill ended and its response was lost; seen with
+// unresponsive prefill endpoints.
 TEST_F(KvLeaseTest, AnUnansweredPrefillGetsAHealthCheckAndThenARelease) {
     lease.on_attempt_begun(0, kPrefillEndpoint, false);
     lease.on_request_written(10);
@@ -36,50 +37,52 @@
     EXPECT_EQ(lease.health_check_at(), 460);
     EXPECT_EQ(lease.release_at(), 710);
     lease.on_health_check_sent();
-    EXPECT_FALSE(lease.health_check_at()) << "once";
+    EXPECT_FALSE(lease.health_check_at()) << "sent once";
     lease.on_endpoint_answered(470);
-    EXPECT_EQ(lease.health_check_at(), 920) << "the response counts for that moment alone";
+    EXPECT_EQ(lease.health_check_at(), 920) << "the response proves only that the prefill was in flight then";
     EXPECT_EQ(lease.release_at(), 1170);
     lease.on_release_begun(1170);
     lease.on_release_answered(1180);
-    EXPECT_EQ(lease.release_at(), 1880) << "what it may leave after that is to be released as well";
+    EXPECT_EQ(lease.release_at(), 1880) << "the prefill may store its KV cache after the first release";
     lease.on_attempt_ended(1900, true);
-    EXPECT_FALSE(lease.held()) << "it never ran";
+    EXPECT_FALSE(lease.held()) << "the prefill never ran";
 }
 
-// Found by the soak: the beginning of a prefill's response came, and the rest was lost.
-TEST_F(KvLeaseTest, APrefillWhoseResponseHasOnlyBegunHasEnded) {
+// Guards against a lease that treats a prefill as in flight when its response began and the rest was lost;
+// found by the soak test.
+TEST_F(KvLeaseTest, APrefillHasEndedOnceItsResponseBegins) {
     lease.on_attempt_begun(0, kPrefillEndpoint, false);
     lease.on_request_written(10);
     lease.on_attempt_answered(100);
-    EXPECT_FALSE(lease.health_check_at()) << "its endpoint has answered: no health check is needed";
+    EXPECT_FALSE(lease.health_check_at()) << "the endpoint has answered";
     EXPECT_EQ(lease.release_at(), 800);
     lease.on_endpoint_answered(300);
     EXPECT_EQ(lease.release_at(), 800);
 }
 
-TEST_F(KvLeaseTest, NoHealthCheckBeforeWhatPrefillsUsuallyTake) {
+TEST_F(KvLeaseTest, NoHealthCheckIsSentWithinTheUsualPrefillDuration) {
     lease.on_attempt_begun(0, kPrefillEndpoint, false);
     lease.on_request_written(10, 2000);
     EXPECT_EQ(lease.health_check_at(), 2000);
     EXPECT_EQ(lease.release_at(), 2250);
     lease.on_attempt_answered(300);
-    EXPECT_EQ(lease.release_at(), 1000) << "once its response has begun it has ended";
+    EXPECT_EQ(lease.release_at(), 1000) << "the prefill has ended once its response begins";
 }
 
-TEST_F(KvLeaseTest, AResponseElsewhereProvesNothingForADecode) {
+TEST_F(KvLeaseTest, AnotherResponseOfTheEndpointProvesNothingForADecode) {
     prefill_then_decode(100);
     lease.on_endpoint_answered(300);
     EXPECT_EQ(lease.release_at(), 700);
 }
 
-// Found in the incident of 2026-12-02: decodes lay in the kernel's buffers until the client's deadline.
-TEST_F(KvLeaseTest, BytesOnlyWrittenDoNotStopTheLease) {
+// Guards against taking a write as proof: in the incident of 2026-12-02 written decodes stayed in the
+// kernel's buffers until the client's deadline, and their KV caches were not released.
+TEST_F(KvLeaseTest, WritingADecodeDoesNotStopTheLease) {
     prefill_then_decode(100);
     EXPECT_EQ(lease.release_at(), 700);
 }
 
-TEST_F(KvLeaseTest, AByteOfAResponseStopsItAndTheEndOfThatAttemptStartsItAnew) {
+TEST_F(KvLeaseTest, AResponseByteStopsTheLeaseAndTheEndOfThatAttemptRestartsIt) {
     prefill_then_decode(100);
     lease.on_attempt_answered(300);
     EXPECT_FALSE(lease.release_at());
@@ -88,14 +91,14 @@
     EXPECT_EQ(lease.release_at(), 1500);
 }
 
-TEST_F(KvLeaseTest, AnAttemptThatEndsUnprovedDoesNotStartItAnew) {
+TEST_F(KvLeaseTest, AnAttemptThatEndsUnprovedDoesNotRestartTheLease) {
     prefill_then_decode(100);
     lease.on_attempt_ended(400, false);
     lease.on_attempt_begun(401, kDecodeEndpoint + 1, true);
     EXPECT_EQ(lease.release_at(), 700);
 }
 
-TEST_F(KvLeaseTest, ADecodeThatBeginsLateHasTimeToArrive) {
+TEST_F(KvLeaseTest, ADecodeThatBeginsLateGetsTimeToArrive) {
     prefill_then_decode(100);
     lease.on_attempt_ended(690, false);
     lease.on_attempt_begun(691, kDecodeEndpoint, true);
@@ -105,10 +108,10 @@
     EXPECT_EQ(lease.release_at(), 891);
     lease.on_attempt_ended(890, false);
     lease.on_attempt_begun(891, kDecodeEndpoint + 2, true);
-    EXPECT_EQ(lease.release_at(), 900) << "but the time in which it may is bounded";
+    EXPECT_EQ(lease.release_at(), 900) << "the extra time is bounded";
 }
 
-TEST_F(KvLeaseTest, AStreamThatHasBegunLeavesNothingHeld) {
+TEST_F(KvLeaseTest, AStreamThatHasBegunEndsTheLease) {
     prefill_then_decode(100);
     lease.on_attempt_answered(200);
     lease.on_taken();
@@ -117,11 +120,11 @@
     EXPECT_FALSE(lease.release_at());
 }
 
-TEST_F(KvLeaseTest, AnAnsweredReleaseEndsItAndAnUnansweredOneDoesNot) {
+TEST_F(KvLeaseTest, AnAnsweredReleaseEndsTheLeaseAndAnUnansweredOneDoesNot) {
     prefill_then_decode(100);
     lease.on_attempt_ended(400, false);
     lease.on_release_begun(400);
-    EXPECT_FALSE(lease.release_at()) << "the release itself goes on";
+    EXPECT_FALSE(lease.release_at()) << "a release is already in progress";
     lease.on_release_failed();
     EXPECT_EQ(lease.release_at(), 700);
     lease.on_release_begun(700);
@@ -129,8 +132,9 @@
     EXPECT_FALSE(lease.held());
 }
 
-// A release leaves alone what a decode that has arrived waits for: it is held again as that decode ends.
-TEST_F(KvLeaseTest, WhatADecodeMayHaveWaitedForIsHeldAgainAsThatEnds) {
+// A release does not free a KV cache that an arrived decode waits for, so it is still held when that decode
+// ends.
+TEST_F(KvLeaseTest, AKvCacheThatADecodeMayHaveWaitedForIsHeldAgainWhenTheDecodeEnds) {
     prefill_then_decode(100);
     lease.on_release_begun(700);
     lease.on_release_answered(700);
@@ -140,8 +144,9 @@
     EXPECT_EQ(lease.release_at(), 2600);
 }
 
-// Found by the soak: a release overtook, on another connection, the close of the decode right before it.
-TEST_F(KvLeaseTest, AReleaseMayOvertakeTheEndOfADecodeSoOneIsNotEnough) {
+// Guards against relying on a single release: on another connection it can overtake the close of the decode
+// before it, and then it frees nothing. Found by the soak test.
+TEST_F(KvLeaseTest, OneReleaseIsNotEnoughAsItMayOvertakeTheCloseOfADecode) {
     prefill_then_decode(100);
     EXPECT_FALSE(lease.uncertain());
     lease.on_attempt_ended(300, false);
@@ -152,10 +157,10 @@
     prefill_then_decode(400);
     lease.on_attempt_answered(450);
     lease.on_attempt_ended(450, true);
-    EXPECT_FALSE(lease.uncertain()) << "it was rejected: its endpoint has done with it";
+    EXPECT_FALSE(lease.uncertain()) << "the decode was rejected, so it does not wait at its endpoint";
 }
 
-TEST_F(KvLeaseTest, ADecodeThatWasNotWrittenCanNotHaveWaited) {
+TEST_F(KvLeaseTest, AReleaseIsFinalForADecodeThatWasNotWritten) {
     lease.on_acquired(100, LeaseOrigin::prefill_done, kPrefillEndpoint);
     lease.on_attempt_begun(110, kDecodeEndpoint, true);
     lease.on_release_begun(700);
@@ -175,10 +180,10 @@
     lease.on_attempt_answered(650);
     lease.on_attempt_ended(650, false);
     lease.on_acquired(650, LeaseOrigin::prefill_done, kPrefillEndpoint + 1);
-    EXPECT_EQ(lease.release_at(), 1250) << "an answered attempt was in flight: the lease runs from its end";
+    EXPECT_EQ(lease.release_at(), 1250) << "the lease restarts when an answered attempt ends";
 }
 
-TEST_F(KvLeaseTest, ALostPrefillMayLeaveSomethingLater) {
+TEST_F(KvLeaseTest, ALostPrefillMayStoreItsKvCacheLater) {
     lease.on_attempt_begun(50, kPrefillEndpoint, false);
     lease.on_attempt_ended(100, false);
     lease.on_acquired(100, LeaseOrigin::prefill_lost, kPrefillEndpoint);
@@ -187,12 +192,12 @@
     EXPECT_EQ(lease.release_at(), 700);
 }
 
-TEST_F(KvLeaseTest, ASlotIsHeldFromItsRequestOn) {
+TEST_F(KvLeaseTest, ASlotIsLeasedFromItsRequestOn) {
     lease.on_acquired(100, LeaseOrigin::slot_requested, kDecodeEndpoint);
     EXPECT_EQ(lease.release_at(), 700);
 }
 
-TEST(KvLeaseSettings, AnUnsetTimeMeansASecondAndAShortOneIsKept) {
+TEST(KvLeaseSettings, AnUnsetReleaseTimeOutMeansOneSecondAndAShortOneIsUsed) {
     for (const Millis unset : {0.0, -5.0}) {
         KvLease lease(unset);
         lease.on_acquired(0, LeaseOrigin::prefill_done, kPrefillEndpoint);
