--- a/src/control/prefill_times.h
+++ b/src/control/prefill_times.h
@@ -1,8 +1,8 @@
-// How long prefills take, by the length of their prompts. It separates a prefill whose response must be lost
-// from one that is merely slow: another response of the same endpoint does not prove that the prefill's own
-// connection still works.
+// Estimates how long prefills take for a prompt length, to tell a prefill whose response was probably lost
+// from one that is merely slow. Other responses of the same endpoint cannot tell them apart, as they do not
+// prove that the prefill's own connection still works.
 //
-// No I/O. Ownership: one for each request lifecycle, which alone feeds it. Times are ms.
+// No I/O. Ownership: one per request lifecycle, its only caller. Times are ms.
 #pragma once
 
 #include <optional>
@@ -12,17 +12,18 @@
 
 namespace gorsenotch::control {
 
+// A running quantile of prefill times, scaled by prompt length.
 class PrefillTimes {
 public:
-    // A prefill of `prompt_tokens` tokens was answered after `took`.
-    void add_prefill(Millis took, double prompt_tokens);
-    // How long a prefill may ordinarily take: longer than nearly all did recently; 0 with too few samples.
+    // Adds a sample: a prefill of `prompt_tokens` tokens was answered after `duration`.
+    void add_prefill(Millis duration, double prompt_tokens);
+    // The time within which nearly all recent prefills were answered; 0 with too few samples.
     Millis usual_duration(double prompt_tokens) const;
-    // A prefill has been in flight for `age`, far beyond the usual duration. False with too few samples.
+    // Whether `age`, the time in flight, is far beyond the usual duration. False with too few samples.
     bool is_unusual(Millis age, double prompt_tokens) const;
 
 private:
-    std::optional<stats::QuantileEstimate> usual_;  // ms for a unit of work, see work_units() in the source
+    std::optional<stats::QuantileEstimate> usual_ms_per_unit_;  // see work_units() in the source file
     int samples_ = 0;
 };
 
