--- a/src/control/stall_detector.cpp
+++ b/src/control/stall_detector.cpp
@@ -13,7 +13,7 @@
 Millis StallDetector::on_activity(Millis now) {
     if (state_ == LoopState::unreported) {
         state_ = LoopState::working;
-        last_activity_ = now;
+        work_begun_at_ = now;
     }
     const Millis found = state_ == LoopState::polling ? stall_after_poll(now) : stall_within_work(now);
     stalled_for_ += found;
@@ -21,21 +21,21 @@
     return found;
 }
 
-// Woken for an event before the poll was due to end: on time. After it: as late as that.
+// Waking for an event before the poll was due to end is on time; any time beyond that is a delay.
 Millis StallDetector::stall_after_poll(Millis now) {
     state_ = LoopState::working;
-    last_activity_ = now;
+    work_begun_at_ = now;
     counted_in_work_ = 0;
-    const Millis late = now - poll_until_;
-    return late >= min_stall_ ? late : 0;
+    const Millis delay = now - poll_until_;
+    return delay >= min_stall_ ? delay : 0;
 }
 
-// A run of work that lasts too long: nothing that came meanwhile has been handled.
+// A period of work that lasts too long is a stall, as no events are handled during it.
 Millis StallDetector::stall_within_work(Millis now) {
-    const Millis working_for = now - last_activity_;
+    const Millis working_for = now - work_begun_at_;
     const Millis uncounted = working_for - counted_in_work_;
-    const bool stall_goes_on = counted_in_work_ > 0 && working_for > counted_in_work_;
-    if (uncounted < min_stall_ && !stall_goes_on) return 0;
+    const bool stall_continues = counted_in_work_ > 0 && working_for > counted_in_work_;
+    if (uncounted < min_stall_ && !stall_continues) return 0;
     counted_in_work_ = working_for;
     return uncounted;
 }
