--- a/src/control/process_delay.h
+++ b/src/control/process_delay.h
@@ -1,12 +1,12 @@
-// What run-time checks allow for this process itself.
+// The delay of this process itself that run-time checks tolerate.
 #pragma once
 
 #include "gorsenotch/settings.h"
 
 namespace gorsenotch::control {
 
-// The process may be held up for so long, in ms, between reading its clock and writing; windows and deadlines
-// allow for it.
+// The longest tolerated delay between reading the clock and writing to a socket, ms. Checks of windows and
+// deadlines add it.
 constexpr Millis kMaxProcessDelay = 150;
 
 }  // namespace gorsenotch::control
--- a/src/control/send_preconditions.h
+++ b/src/control/send_preconditions.h
@@ -1,8 +1,8 @@
-// Whether an attempt may be sent, or a client's connection closed, now: the facts in, nothing or the reason
-// against it out. Asked at the last moment before the effect by whoever carries it out; nobody else decides
-// it. No I/O, no state; times are ms.
+// Decides whether an attempt may be sent, or a client connection closed, from the facts at that moment. The
+// code that performs the effect calls this right before it; no other code makes this decision. No I/O, no
+// state; times are ms.
 //
-// What was done is checked by control/invariant_checker, which shares nothing with this.
+// control/invariant_checker verifies the effects afterwards and shares no code with this.
 #pragma once
 
 #include <array>
@@ -12,9 +12,9 @@
 
 namespace gorsenotch::control {
 
-// ---- the first byte of an attempt is about to go out ----
+// ---- before the first byte of an attempt is sent ----
 
-// Why an attempt may not begin.
+// Why an attempt may not be sent.
 enum class SendBlockReason {
     request_over,
     client_disconnected,
@@ -28,31 +28,31 @@
     "request_over",     "client_disconnected", "not_listed",    "not_healthy",
     "send_window_over", "deadline_exceeded",   "lease_released"};
 
-// What is known right before the first byte of an attempt.
+// The facts right before the first byte of an attempt is sent.
 struct SendPreconditions {
-    bool request_over = false;         // its client has its final response
-    bool client_disconnected = false;  // its connection has been closed, whether that was read or not
-    std::optional<EndpointStatus> endpoint_status;  // as in the latest list; nothing: not listed
-    bool lease_released = false;                    // a decode's KV cache was released since it was decided
+    bool request_over = false;         // the client has its final response
+    bool client_disconnected = false;  // the client closed its connection, even if the close is still unread
+    std::optional<EndpointStatus> endpoint_status;  // from the latest list; nullopt: not listed
+    bool lease_released = false;  // a decode's KV cache was released after the attempt was decided
     Millis now = 0;
-    Millis send_by = 0;   // the Router's own bound; 0: none
+    Millis send_by = 0;   // the Router's bound for this attempt; 0: none
     Millis deadline = 0;  // of the request; 0: none
 };
-// Nothing where the attempt may be sent, else the first reason against it in the order of the enum.
+// Returns nullopt if the attempt may be sent, else the first reason against it in the order of the enum.
 std::optional<SendBlockReason> check_send(const SendPreconditions& facts);
 
-// ---- a client's connection is about to be closed without a response ----
+// ---- before a client connection is closed without a response ----
 
 // Why a client connection may not be closed.
 enum class CloseBlockReason { request_open, unread_bytes };
 constexpr std::array<const char*, 2> kCloseBlockReasonNames = {"request_open", "unread_bytes"};
 
-// What is known right before a client connection is closed without an answer.
+// The facts right before a client connection is closed without a response.
 struct ClosePreconditions {
-    bool request_open = false;  // one has been read, in part at least, and is owed a response
-    bool unread_bytes = false;  // bytes have come that nobody has read
+    bool request_open = false;  // a request was read, at least in part, and has no final response yet
+    bool unread_bytes = false;  // received bytes wait in the socket
 };
-// Nothing where the connection may be closed, else the first reason against it in the order of the enum.
+// Returns nullopt if the connection may be closed, else the first reason against it in the order of the enum.
 std::optional<CloseBlockReason> check_close(const ClosePreconditions& facts);
 
 }  // namespace gorsenotch::control
--- a/tests/control/send_preconditions_test.cpp
+++ b/tests/control/send_preconditions_test.cpp
@@ -1,4 +1,4 @@
-// Preconditions of sending an attempt and of closing a connection: one case for each reason.
+// The preconditions of sending an attempt and of closing a client connection: one case for each reason.
 #include "control/send_preconditions.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
     return facts;
 }
 
-TEST(CheckSend, EachReasonIsNamed) {
+TEST(CheckSend, EachReasonIsReturned) {
     EXPECT_FALSE(check_send(permitted()));
     auto facts = permitted();
     facts.request_over = true;
@@ -40,7 +40,7 @@
     EXPECT_EQ(check_send(facts), SendBlockReason::deadline_exceeded);
 }
 
-TEST(CheckClose, NeitherWithAnOpenRequestNorWithUnreadBytes) {
+TEST(CheckClose, AConnectionWithAnOpenRequestOrUnreadBytesIsNotClosed) {
     EXPECT_FALSE(check_close({false, false}));
     EXPECT_EQ(check_close({true, false}), CloseBlockReason::request_open);
     EXPECT_EQ(check_close({false, true}), CloseBlockReason::unread_bytes);
@@ -52,7 +52,7 @@
     EXPECT_EQ(check_send(facts), SendBlockReason::lease_released);
 }
 
-TEST(CheckSend, WithoutBoundsTheClockDoesNotMatter) {
+TEST(CheckSend, WithoutTimeLimitsTheClockDoesNotMatter) {
     auto facts = permitted();
     facts.now = 1e9;
     facts.deadline = 0;
@@ -60,7 +60,7 @@
     EXPECT_FALSE(check_send(facts));
 }
 
-TEST(CheckSend, TheFirstReasonIsGiven) {
+TEST(CheckSend, TheFirstReasonIsReturned) {
     SendPreconditions facts;
     facts.request_over = true;
     facts.client_disconnected = true;
