--- a/src/state/action_codec.h
+++ b/src/state/action_codec.h
@@ -1,6 +1,6 @@
-// Actions as the JSON objects of a decision journal. They are only written and compared, never read back.
-// The names of fields are stored data: journals of earlier versions are compared with them, so they may not
-// change.
+// Encodes actions as the JSON objects of a decision journal. They are only written and compared, never
+// decoded. The field names are stored data and must not change: replay compares journals of earlier versions
+// with them.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,6 +9,7 @@
 
 namespace gorsenotch::state {
 
+// The journal's JSON object for `action`; "a" names its type.
 nlohmann::json action_to_json(const Action& action);
 
 }  // namespace gorsenotch::state
--- a/src/state/event_codec.cpp
+++ b/src/state/event_codec.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-// ---- writing: one function an event ----
+// ---- encoding: one function per event type ----
 
 Json report_to_json(const LoadReport& report) {
     return {report.memory_utilization, report.queued_kilotokens, report.latency};
@@ -86,7 +86,7 @@
 
 Json to_json(const Shutdown&) { return {{"e", "shutdown"}}; }
 
-// ---- reading: one function an event ----
+// ---- decoding: one function per event type ----
 
 LoadReport report_from_json(const Json& json) { return {json.at(0), json.at(1), json.at(2)}; }
 
@@ -161,18 +161,18 @@
 
 Event shutdown_from_json(const Json&) { return Shutdown{}; }
 
-using EventReader = Event (*)(const Json&);
+using EventDecoder = Event (*)(const Json&);
 
-// The names that events have in a journal.
-const std::unordered_map<std::string, EventReader>& event_readers() {
-    static const std::unordered_map<std::string, EventReader> readers = {
+// Decoders by the event's name in a journal.
+const std::unordered_map<std::string, EventDecoder>& event_decoders() {
+    static const std::unordered_map<std::string, EventDecoder> decoders = {
         {"arrival", arrival_from_json},           {"outcome", attempt_ended_from_json},
         {"first", first_token_from_json},         {"place", reservation_reply_from_json},
         {"gone", client_disconnected_from_json},  {"list", endpoint_update_from_json},
         {"probe", health_check_result_from_json}, {"due", timer_fired_from_json},
         {"released", lease_released_from_json},   {"shutdown", shutdown_from_json},
     };
-    return readers;
+    return decoders;
 }
 
 }  // namespace
@@ -183,10 +183,10 @@
 
 Event event_from_json(const Json& json) {
     const std::string name = json.at("e");
-    const auto reader = event_readers().find(name);
-    if (reader == event_readers().end())
+    const auto decoder = event_decoders().find(name);
+    if (decoder == event_decoders().end())
         throw JournalError(JournalErrorCode::unknown_event, "unknown event '" + name + "'");
-    return reader->second(json);
+    return decoder->second(json);
 }
 
 }  // namespace gorsenotch::state
--- a/src/state/event_codec.h
+++ b/src/state/event_codec.h
@@ -1,5 +1,5 @@
-// Events as the JSON objects of a decision journal, and back. The names of fields are stored data: journals
-// written by earlier versions are read with them, so they may not change.
+// Encodes events as the JSON objects of a decision journal and decodes them. The field names are stored data
+// and must not change: journals written by earlier versions are read with them.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,10 +8,10 @@
 
 namespace gorsenotch::state {
 
-// Without the event's time, which the journal adds.
+// The journal's JSON object for `event`, without its time, which the journal adds.
 nlohmann::json event_to_json(const Event& event);
-// The journal may be damaged in any way. Throws JournalError or nlohmann::json::exception for what is not an
-// event: a number that its field cannot hold is an error, never undefined behaviour.
+// Decodes an event. `json` may be damaged in any way: if it is not a valid event, throws JournalError or
+// nlohmann::json::exception. A number out of its field's range is an error, never undefined behaviour.
 Event event_from_json(const nlohmann::json& json);
 
 }  // namespace gorsenotch::state
--- a/tests/state/event_codec_test.cpp
+++ b/tests/state/event_codec_test.cpp
@@ -1,4 +1,4 @@
-// The journal's JSON of events and actions: stored data, so each form is written out here.
+// The journal's JSON for events and actions. The format is stored data, so each encoding is spelled out here.
 #include "state/event_codec.h"
 
 #include <gtest/gtest.h>
@@ -8,12 +8,13 @@
 namespace gorsenotch::state {
 namespace {
 
-struct EventForm {
+// An event and its encoding in the journal.
+struct EncodedEvent {
     Event event;
     std::string json;
 };
 
-std::vector<EventForm> event_forms() {
+std::vector<EncodedEvent> encoded_events() {
     Arrival arrival;
     arrival.request = "r";
     arrival.cls = 1;
@@ -67,21 +68,21 @@
     };
 }
 
-TEST(EventCodec, EachEventHasItsStoredForm) {
-    const auto forms = event_forms();
-    ASSERT_EQ(forms.size(), std::variant_size_v<Event>);
-    for (const EventForm& form : forms) EXPECT_EQ(event_to_json(form.event).dump(), form.json);
+TEST(EventCodec, EachEventIsEncodedAsInStoredJournals) {
+    const auto encoded = encoded_events();
+    ASSERT_EQ(encoded.size(), std::variant_size_v<Event>);
+    for (const EncodedEvent& entry : encoded) EXPECT_EQ(event_to_json(entry.event).dump(), entry.json);
 }
 
-TEST(EventCodec, EachEventIsReadBack) {
-    for (const EventForm& form : event_forms()) {
-        const Event read = event_from_json(nlohmann::json::parse(form.json));
-        EXPECT_EQ(read.index(), form.event.index());
-        EXPECT_EQ(event_to_json(read).dump(), form.json);
+TEST(EventCodec, EachEventIsDecoded) {
+    for (const EncodedEvent& entry : encoded_events()) {
+        const Event decoded = event_from_json(nlohmann::json::parse(entry.json));
+        EXPECT_EQ(decoded.index(), entry.event.index());
+        EXPECT_EQ(event_to_json(decoded).dump(), entry.json);
     }
 }
 
-TEST(ActionCodec, EachActionHasItsStoredForm) {
+TEST(ActionCodec, EachActionIsEncodedAsInStoredJournals) {
     StartAttempt start;
     start.request = "r";
     start.endpoint = 2;
