--- a/src/state/decision_journal.cpp
+++ b/src/state/decision_journal.cpp
@@ -12,17 +12,18 @@
 
 using Json = nlohmann::json;
 
-// Whether the file's last line lacks its end: an earlier life may have been killed within a write.
-bool ends_within_line(const std::string& file) {
-    std::ifstream earlier(file, std::ios::binary | std::ios::ate);
-    return earlier && earlier.tellg() > 0 && earlier.seekg(-1, std::ios::end).get() != '\n';
+// Whether the file's last line lacks its line end: an earlier run may have been killed during a write.
+bool has_torn_last_line(const std::string& file) {
+    std::ifstream existing(file, std::ios::binary | std::ios::ate);
+    return existing && existing.tellg() > 0 && existing.seekg(-1, std::ios::end).get() != '\n';
 }
 
+// Appends one line per event and action; writes nothing after a failed write.
 class Journal : public DecisionObserver {
 public:
     Journal(const std::string& file, std::uint64_t seed, std::function<void(const std::string&)> on_stopped)
         : file_(file), on_stopped_(std::move(on_stopped)) {
-        const bool torn = ends_within_line(file);
+        const bool torn = has_torn_last_line(file);
         out_.open(file, std::ios::app);
         if (torn) out_ << '\n';
         out_ << Json{{"seed", seed}}.dump() << '\n';
@@ -40,7 +41,7 @@
     void write(const Json& line) {
         if (!out_) return;
         out_ << line.dump() << '\n';
-        if (!out_ && on_stopped_) on_stopped_(file_ + ": a write failed, the journal ends there");
+        if (!out_ && on_stopped_) on_stopped_(file_ + ": write failed, no further events are recorded");
     }
 
     const std::string file_;
--- a/src/state/decision_journal.h
+++ b/src/state/decision_journal.h
@@ -1,8 +1,8 @@
-// The decision journal: each event that goes into a Router and each action that comes out, as NDJSON, one
-// object a line. It serves to examine decisions after the fact and to replay them, see state/journal_replay.
+// The decision journal: each event passed to a Router and each resulting action, as NDJSON with one object
+// per line. It allows decisions to be examined later and to be replayed, see state/journal_replay.
 //
-// The format is stored data. A line with "seed" starts a life of the gateway; one with "e" is an event at the
-// time "t"; one with "a" is an action of the latest event. Later lives are appended to the same file.
+// The format is stored data. A line with "seed" starts a run of the gateway, a line with "e" is an event at
+// time "t", and a line with "a" is an action caused by the latest event. Later runs append to the same file.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,9 @@
 
 namespace gorsenotch::state {
 
-// Opens `file` for appending and writes the seed; null if the file cannot be written. Where a write fails
-// later the journal ends there, since what followed a gap would not replay, and `on_stopped` is called once
-// with the reason. The observer owns the file; it is not synced.
+// Opens `file` for appending and writes the seed; returns null if the file cannot be written. After a failed
+// write nothing more is written, since a journal with a gap cannot be replayed, and `on_stopped` is called
+// once with the reason. The observer owns the file; it is not synced.
 std::unique_ptr<DecisionObserver> open_journal(
     const std::string& file, std::uint64_t seed,
     std::function<void(const std::string& reason)> on_stopped = nullptr);
--- a/src/state/decision_observer.h
+++ b/src/state/decision_observer.h
@@ -1,5 +1,4 @@
-// Interface of an observer that is given each event before it goes into a Router and each action that comes
-// out, in order. The decision journal is one.
+// Interface for observers of a Router's events and actions, such as the decision journal.
 #pragma once
 
 #include "gorsenotch/actions.h"
@@ -8,10 +7,11 @@
 
 namespace gorsenotch::state {
 
+// Called with each event before the Router handles it and with each resulting action, in order.
 class DecisionObserver {
 public:
     virtual ~DecisionObserver() = default;
-    // `now`: the Router's clock, ms.
+    // `now`: the time passed to the Router, ms.
     virtual void on_event(Millis now, const Event& event) = 0;
     virtual void on_action(const Action& action) = 0;
 };
--- a/src/state/journal_error.h
+++ b/src/state/journal_error.h
@@ -1,4 +1,4 @@
-// What is wrong with a journal that cannot be replayed.
+// Errors of reading a decision journal.
 #pragma once
 
 #include <stdexcept>
@@ -6,16 +6,16 @@
 
 namespace gorsenotch::state {
 
-// What is wrong with a journal.
+// The kind of fault in a journal.
 enum class JournalErrorCode {
     malformed_line,       // not a JSON object, or a field is missing or of another type
-    number_out_of_range,  // a number that its field cannot hold
-    unknown_value,        // no such enumerator
+    number_out_of_range,  // a number outside its field's range
+    unknown_value,        // a number that is no enumerator of its field's type
     unknown_event,
-    missing_seed  // an event before the line that starts a Router
+    missing_seed  // an event before the first line with a seed
 };
 
-// A journal that cannot be written or replayed; the message names the file or line.
+// Thrown for a journal that cannot be replayed. The message that leaves replay() begins with the line number.
 class JournalError : public std::runtime_error {
 public:
     JournalError(JournalErrorCode code, const std::string& message)
--- a/src/state/journal_replay.cpp
+++ b/src/state/journal_replay.cpp
@@ -22,12 +22,12 @@
     throw JournalError(code, "line " + std::to_string(line_number) + ": " + message);
 }
 
-// Owns the Router of the life that is being replayed, and its actions that the journal has yet to name.
+// Owns the Router of the run that is being replayed, and its actions for the latest event.
 class Replayer {
 public:
     explicit Replayer(const Settings& settings) : settings_(settings) {}
 
-    // One complete line.
+    // Handles one line, without its line end.
     void on_line(const std::string& line) {
         ++line_number_;
         const Json json = Json::parse(line, nullptr, false);
@@ -47,7 +47,7 @@
     const ReplayResult& result() const { return result_; }
 
 private:
-    // A line may be torn only where a life ends: a new one must follow.
+    // A line may be torn only at the end of a run, so the next line must start a new run.
     void check_torn_line(const Json& next) {
         if (torn_line_ > 0 && !(next.is_object() && next.contains("seed")))
             throw_at_line(torn_line_, JournalErrorCode::malformed_line, "not a JSON object");
@@ -57,7 +57,7 @@
     void dispatch(const Json& json, const std::string& line) {
         if (!json.is_object()) throw JournalError(JournalErrorCode::malformed_line, "not a JSON object");
         if (json.contains("seed")) {
-            start_life(json);
+            start_run(json);
         } else if (json.contains("e")) {
             on_event(json);
         } else {
@@ -65,16 +65,17 @@
         }
     }
 
-    void start_life(const Json& json) {
+    void start_run(const Json& json) {
         router_ = std::make_unique<Router>(settings_, to_integer<std::uint64_t>(json.at("seed")));
         actions_.clear();
         next_action_ = 0;
     }
 
     void on_event(const Json& json) {
-        if (!router_) throw JournalError(JournalErrorCode::missing_seed, "an event before the seed");
+        if (!router_)
+            throw JournalError(JournalErrorCode::missing_seed, "event before the first line with a seed");
         if (next_action_ < actions_.size())
-            report_difference("missing: " + action_to_json(actions_[next_action_]).dump());
+            report_difference("action only in the replay: " + action_to_json(actions_[next_action_]).dump());
         actions_.clear();
         next_action_ = 0;
         const Millis now = json.at("t");
@@ -85,24 +86,24 @@
     void on_action(const Json& json, const std::string& line) {
         ++result_.actions;
         if (next_action_ >= actions_.size()) {
-            report_difference("not said again: " + line);
-        } else if (const Json again = action_to_json(actions_[next_action_]); again != json) {
-            report_difference("was " + line + ", is now " + again.dump());
+            report_difference("action only in the journal: " + line);
+        } else if (const Json replayed = action_to_json(actions_[next_action_]); replayed != json) {
+            report_difference("journal has " + line + ", replay has " + replayed.dump());
         }
         ++next_action_;
     }
 
-    void report_difference(const std::string& what) {
+    void report_difference(const std::string& detail) {
         if (!result_.difference.empty()) return;
-        result_.difference = "line " + std::to_string(line_number_) + ": " + what;
+        result_.difference = "line " + std::to_string(line_number_) + ": " + detail;
     }
 
     const Settings& settings_;
     std::unique_ptr<Router> router_;
     std::vector<Action> actions_;  // of the latest event
-    std::size_t next_action_ = 0;  // of those, the one that the journal names next
+    std::size_t next_action_ = 0;  // index in actions_ of the next action to compare
     std::size_t line_number_ = 0;  // from 1
-    std::size_t torn_line_ = 0;    // the line before, if it was torn; 0: it was not
+    std::size_t torn_line_ = 0;    // number of the previous line if it was torn, else 0
     ReplayResult result_;
 };
 
@@ -111,7 +112,7 @@
 ReplayResult replay(std::istream& journal, const Settings& settings) {
     Replayer replayer(settings);
     for (std::string line; std::getline(journal, line);) {
-        // A complete line ends with its line end; the rest of one was being written when the gateway died.
+        // A last line without a line end was being written when the gateway was killed.
         if (journal.eof()) break;
         replayer.on_line(line);
     }
--- a/src/state/journal_replay.h
+++ b/src/state/journal_replay.h
@@ -1,5 +1,5 @@
-// Replays a decision journal: feeds its events to a fresh Router and compares the actions (`gorsenotch
-// replay`). The same version with the same settings must decide the same again.
+// Replays a decision journal (`gorsenotch replay`): passes its events to a new Router and compares the
+// actions. The same version with the same settings must produce the same actions.
 #pragma once
 
 #include <iosfwd>
@@ -9,15 +9,16 @@
 
 namespace gorsenotch::state {
 
+// The number of replayed lines, and the first deviation from the journal.
 struct ReplayResult {
     long events = 0;
     long actions = 0;
-    std::string difference;  // the first one, with its line; empty: none
+    std::string difference;  // the first difference, with its line number; empty: none
 };
 
-// Each life in the journal gets a Router with its seed. Throws JournalError (a std::runtime_error) naming the
-// line where the journal is damaged; a last line that was cut short, by the end or by the next life, is
-// passed over.
+// Each run in the journal gets a Router with its seed. Throws JournalError (a std::runtime_error) with the
+// line number if the journal is damaged. A torn line at the end of the journal or before the next run is
+// skipped.
 ReplayResult replay(std::istream& journal, const Settings& settings);
 
 }  // namespace gorsenotch::state
--- a/src/state/json_values.h
+++ b/src/state/json_values.h
@@ -1,4 +1,4 @@
-// Checked conversion of JSON values that come from a file.
+// Checked conversion of JSON values that were read from a file.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace gorsenotch::state {
 
-// A whole number that fits the type. Throws JournalError otherwise.
+// Converts an integer that fits the type. Throws JournalError otherwise.
 template <class Integer>
 Integer to_integer(const nlohmann::json& json) {
     using Limits = std::numeric_limits<Integer>;
@@ -22,15 +22,17 @@
         if (std::is_signed_v<Integer> && value >= static_cast<std::int64_t>(Limits::min()))
             return static_cast<Integer>(value);
     }
-    throw JournalError(JournalErrorCode::number_out_of_range, "not a whole number in range: " + json.dump());
+    throw JournalError(JournalErrorCode::number_out_of_range,
+                       "expected an integer in the range of its field, got " + json.dump());
 }
 
-// An enumerator by its number, from 0 to `last`. Throws JournalError otherwise.
+// Converts the number of an enumerator, from 0 to `last`. Throws JournalError otherwise.
 template <class Enum>
 Enum to_enum(const nlohmann::json& json, Enum last) {
     const int value = to_integer<int>(json);
     if (value < 0 || value > static_cast<int>(last))
-        throw JournalError(JournalErrorCode::unknown_value, "no such value: " + json.dump());
+        throw JournalError(JournalErrorCode::unknown_value,
+                           "expected the number of an enumerator, got " + json.dump());
     return static_cast<Enum>(value);
 }
 
