--- a/src/state/snapshot_store.cpp
+++ b/src/state/snapshot_store.cpp
@@ -17,9 +17,9 @@
 namespace gorsenotch::state {
 namespace {
 
-// The first line of a file: format and version, generation, length in bytes, checksum.
+// The header is a file's first line: format and version, generation number, length in bytes, checksum.
 constexpr const char* kFormat = "gorsenotch-saved 1";
-constexpr std::size_t kMaxHeader = 128;
+constexpr std::size_t kMaxHeaderBytes = 128;
 constexpr int kFileMode = 0600;
 
 bool sync_folder(const std::string& folder) {
@@ -48,16 +48,16 @@
     return ::close(fd) == 0 && written;
 }
 
-std::string header(unsigned long number, const std::string& text) {
+std::string format_header(unsigned long number, const std::string& text) {
     const auto checksum =
         static_cast<unsigned long long>(XXH3_64bits_withSeed(text.data(), text.size(), number));
-    std::array<char, kMaxHeader> line{};
+    std::array<char, kMaxHeaderBytes> line{};
     std::snprintf(line.data(), line.size(), "%s %lu %zu %016llx\n", kFormat, number, text.size(), checksum);
     return line.data();
 }
 
-// The generation's number in a header's line; 0 if there is none.
-unsigned long number_in(const std::string& header_line) {
+// The generation number in a header line; 0 if the line is not a header.
+unsigned long parse_generation_number(const std::string& header_line) {
     unsigned long number = 0;
     if (std::sscanf(header_line.c_str(), "gorsenotch-saved 1 %lu", &number) != 1) return 0;
     return number;
@@ -78,11 +78,11 @@
     if (!in) return generation;
     std::string header_line;
     std::getline(in, header_line);
-    std::ostringstream rest;
-    rest << in.rdbuf();
-    const std::string text = rest.str();
-    const unsigned long number = number_in(header_line);
-    if (number == 0 || header_line + "\n" != header(number, text)) {
+    std::ostringstream body;
+    body << in.rdbuf();
+    const std::string text = body.str();
+    const unsigned long number = parse_generation_number(header_line);
+    if (number == 0 || header_line + "\n" != format_header(number, text)) {
         generation.fault = path(slot) + " is damaged";
         return generation;
     }
@@ -107,10 +107,10 @@
 std::optional<SnapshotError> SnapshotStore::save(const std::string& text) {
     const unsigned long first = read(Slot::first).number;
     const unsigned long second = read(Slot::second).number;
-    // Replaced is the older generation, or the one that is missing or damaged.
+    // Replace the missing or damaged generation, else the older one.
     const Slot slot = first < second || first == 0 ? Slot::first : Slot::second;
     const std::string temporary = folder_ + "/" + name_ + ".new";
-    const bool saved = write_file(temporary, header(std::max(first, second) + 1, text) + text) &&
+    const bool saved = write_file(temporary, format_header(std::max(first, second) + 1, text) + text) &&
                        std::rename(temporary.c_str(), path(slot).c_str()) == 0 && sync_folder(folder_);
     if (saved) return std::nullopt;
     return SnapshotError{SnapshotErrorCode::write_failed, path(slot) + ": " + std::strerror(errno)};
--- a/src/state/snapshot_store.h
+++ b/src/state/snapshot_store.h
@@ -1,10 +1,10 @@
-// A text that must survive this process: two generations on disk, each with its length and checksum.
+// Persists a text in two generations on disk, each with its length and checksum.
 //
-// save() never leaves a moment in which neither generation can be read: the new one is written aside and
-// synced before it replaces the older. load() gives the newest generation that is intact; a torn or damaged
-// one is passed over and reported.
+// At every moment during save() at least one generation is readable: the new one is written to a temporary
+// file and synced before it replaces the older one. load() returns the newest intact generation; a torn or
+// damaged one is skipped and reported.
 //
-// Ownership: the two files and a temporary one belong to one store. Not for use by two threads at once.
+// Ownership: the two files and the temporary file belong to one store. Not thread-safe.
 // The file format is stored data.
 #pragma once
 
@@ -13,38 +13,38 @@
 
 namespace gorsenotch::state {
 
-// What went wrong with a snapshot.
+// The kind of a snapshot error.
 enum class SnapshotErrorCode {
-    damaged_generation,  // one or both files were passed over
-    write_failed         // the system refused; what was saved before stays
+    damaged_generation,  // one or both files were skipped
+    write_failed         // a system call failed; the previously saved text remains
 };
 
-// A failed save, or a generation that was passed over; the message says which.
+// A failed save or a skipped generation.
 struct SnapshotError {
     SnapshotErrorCode code;
-    std::string message;  // the file and what is wrong
+    std::string message;  // the file and its fault
 };
 
-// The newest intact generation, if there is one, and what was passed over.
+// The newest intact generation, if there is one, and the damaged ones.
 struct LoadedSnapshot {
-    std::optional<std::string> text;     // nothing if no generation is intact
-    std::optional<SnapshotError> error;  // names what was passed over; nothing if nothing was
+    std::optional<std::string> text;     // nullopt if no generation is intact
+    std::optional<SnapshotError> error;  // names the skipped files; nullopt if none was skipped
 };
 
-// One text in two generations on disk. Owns both files; no locks: one writer at a time.
+// Stores one text in two generations on disk. Owns both files and takes no locks: use one writer at a time.
 class SnapshotStore {
 public:
-    // `folder` must exist; the files are `name`.a and `name`.b there.
+    // `folder` must exist; the files in it are `name`.a and `name`.b.
     SnapshotStore(std::string folder, std::string name);
 
-    // Nothing if the text is on disk, else why not.
+    // Returns nullopt once the text is synced to disk, else the error.
     [[nodiscard]] std::optional<SnapshotError> save(const std::string& text);
     LoadedSnapshot load() const;
 
 private:
-    enum class Slot : char { first = 'a', second = 'b' };  // the files' endings
+    enum class Slot : char { first = 'a', second = 'b' };  // the files' extensions
     struct Generation {
-        unsigned long number = 0;  // 0: there is none
+        unsigned long number = 0;  // 0: missing or damaged
         std::string text;
         std::string fault;
     };
--- a/tests/state/snapshot_store_test.cpp
+++ b/tests/state/snapshot_store_test.cpp
@@ -1,4 +1,4 @@
-// SnapshotStore: what is saved is loaded again, whatever happens to one of the two files.
+// SnapshotStore: a saved text is loaded again even if one of the two files is damaged.
 #include "state/snapshot_store.h"
 
 #include <gtest/gtest.h>
@@ -21,33 +21,34 @@
     }
 }
 
-// The newer file cut short or with one byte changed anywhere: the older generation serves, and it is said so.
-TEST(SnapshotStore, DamageAnywhereGivesTheOtherGeneration) {
+// Guards against loading a damaged text: with the newer file truncated or one bit flipped at any byte, the
+// older generation is loaded. Damage is reported.
+TEST(SnapshotStore, WithTheNewerFileDamagedTheOlderGenerationIsLoaded) {
     const TemporaryFolder folder;
     SnapshotStore store(folder.path, "x");
     ASSERT_FALSE(store.save("older"));
     ASSERT_FALSE(store.save("newer text"));
-    const std::string newer = folder.text("x.a").find("newer") != std::string::npos ? "x.a" : "x.b";
-    const std::string intact = folder.text(newer);
+    const std::string newer = folder.read_file("x.a").find("newer") != std::string::npos ? "x.a" : "x.b";
+    const std::string intact = folder.read_file(newer);
     for (std::size_t n = 0; n < intact.size(); ++n) {
-        folder.put(newer, intact.substr(0, n));
-        const LoadedSnapshot after_cut = store.load();
-        EXPECT_EQ(after_cut.text, "older") << n;
-        ASSERT_TRUE(after_cut.error) << n;
-        EXPECT_EQ(after_cut.error->code, SnapshotErrorCode::damaged_generation);
-        EXPECT_EQ(after_cut.error->message, folder.path + "/" + newer + " is damaged");
+        folder.write_file(newer, intact.substr(0, n));
+        const LoadedSnapshot after_truncation = store.load();
+        EXPECT_EQ(after_truncation.text, "older") << n;
+        ASSERT_TRUE(after_truncation.error) << n;
+        EXPECT_EQ(after_truncation.error->code, SnapshotErrorCode::damaged_generation);
+        EXPECT_EQ(after_truncation.error->message, folder.path + "/" + newer + " is damaged");
         std::string flipped = intact;
         flipped[n] = static_cast<char>(flipped[n] ^ 1);
-        folder.put(newer, flipped);
+        folder.write_file(newer, flipped);
         EXPECT_EQ(store.load().text, "older") << n;
     }
-    // What is saved next replaces the damaged file, never the good one.
+    // The next save replaces the damaged file, never the intact one.
     ASSERT_FALSE(store.save("newest"));
-    const LoadedSnapshot healed = store.load();
-    EXPECT_EQ(healed.text, "newest");
-    EXPECT_FALSE(healed.error);
-    folder.put("x.a", "junk");
-    folder.put("x.b", "");
+    const LoadedSnapshot after_save = store.load();
+    EXPECT_EQ(after_save.text, "newest");
+    EXPECT_FALSE(after_save.error);
+    folder.write_file("x.a", "junk");
+    folder.write_file("x.b", "");
     const LoadedSnapshot both_damaged = store.load();
     EXPECT_FALSE(both_damaged.text);
     ASSERT_TRUE(both_damaged.error);
@@ -57,15 +58,15 @@
     EXPECT_EQ(store.load().text, "again");
 }
 
-TEST(SnapshotStore, ARefusalOfTheSystemIsReportedAndHarmless) {
+TEST(SnapshotStore, AFailedWriteIsReportedAndKeepsTheSavedText) {
     const TemporaryFolder folder;
     SnapshotStore store(folder.path, "x");
     ASSERT_FALSE(store.save("kept"));
-    std::filesystem::create_directory(folder.path + "/x.new");  // nothing can be written aside
-    const auto refused = store.save("lost");
-    ASSERT_TRUE(refused);
-    EXPECT_EQ(refused->code, SnapshotErrorCode::write_failed);
-    EXPECT_NE(refused->message, "");
+    std::filesystem::create_directory(folder.path + "/x.new");  // the temporary file cannot be opened
+    const auto write_error = store.save("lost");
+    ASSERT_TRUE(write_error);
+    EXPECT_EQ(write_error->code, SnapshotErrorCode::write_failed);
+    EXPECT_NE(write_error->message, "");
     EXPECT_EQ(store.load().text, "kept");
     EXPECT_TRUE(SnapshotStore("/nowhere/at/all", "x").save("y"));
 }
--- a/tests/state/temporary_folder.h
+++ b/tests/state/temporary_folder.h
@@ -1,4 +1,4 @@
-// A folder of the test's own, removed with everything in it at the end.
+// A temporary folder for tests.
 #pragma once
 
 #include <unistd.h>
@@ -11,6 +11,7 @@
 
 namespace gorsenotch::state {
 
+// Creates a folder and removes it with its contents when destroyed.
 struct TemporaryFolder {
     std::string path;
     TemporaryFolder() {
@@ -20,13 +21,13 @@
     ~TemporaryFolder() { std::filesystem::remove_all(path); }
     TemporaryFolder(const TemporaryFolder&) = delete;
     TemporaryFolder& operator=(const TemporaryFolder&) = delete;
-    std::string text(const std::string& name) const {
+    std::string read_file(const std::string& name) const {
         std::ifstream in(path + "/" + name, std::ios::binary);
-        std::ostringstream all;
-        all << in.rdbuf();
-        return all.str();
+        std::ostringstream content;
+        content << in.rdbuf();
+        return content.str();
     }
-    void put(const std::string& name, const std::string& text) const {
+    void write_file(const std::string& name, const std::string& text) const {
         std::ofstream(path + "/" + name, std::ios::binary | std::ios::trunc) << text;
     }
 };
