--- a/src/simulator_adapter/action_writer.h
+++ b/src/simulator_adapter/action_writer.h
@@ -1,4 +1,4 @@
-// Actions of a Router as lines of the simulator's wire.
+// Writes a Router's actions as messages of the simulator's wire protocol.
 #pragma once
 
 #include <ostream>
@@ -8,7 +8,7 @@
 
 namespace gorsenotch::simulator_adapter {
 
-// Writes one line: the action's word, the instance's name, the action's fields.
+// Writes one line: the action's word, the name of the simulated gateway, and the action's fields.
 void write_action(std::ostream& out, const std::string& instance, const Action& action);
 
 }  // namespace gorsenotch::simulator_adapter
--- a/src/simulator_adapter/message.cpp
+++ b/src/simulator_adapter/message.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 template <class Value, std::size_t count>
-Value parse_word(const std::string& text, const std::array<settings::NamedValue<Value>, count>& words) {
+Value parse_value(const std::string& text, const std::array<settings::NamedValue<Value>, count>& words) {
     const auto value = settings::to_one_of(text, words);
-    if (!value) throw WireError("unknown word '" + text + "'");
+    if (!value) throw WireError("unknown value '" + text + "'");
     return *value;
 }
 
@@ -28,26 +28,26 @@
 }
 
 const std::string& Message::text(std::size_t field) const {
-    if (field >= fields_.size()) throw WireError("part " + std::to_string(field) + " is missing");
+    if (field >= fields_.size()) throw WireError("field " + std::to_string(field) + " is missing");
     return fields_[field];
 }
 
 bool Message::flag(std::size_t field) const {
     const auto value = settings::to_bool(text(field));
-    if (!value) throw WireError("bad bool '" + text(field) + "'");
+    if (!value) throw WireError("expected a boolean, got '" + text(field) + "'");
     return *value;
 }
 
 AttemptResult Message::result(std::size_t field) const {
-    return parse_word(text(field), words::kAttemptResults);
+    return parse_value(text(field), words::kAttemptResults);
 }
 
 EndpointStatus Message::status(std::size_t field) const {
-    return parse_word(text(field), words::kEndpointStatuses);
+    return parse_value(text(field), words::kEndpointStatuses);
 }
 
 EndpointUpdate::Kind Message::update_kind(std::size_t field) const {
-    return parse_word(text(field), words::kUpdateKinds);
+    return parse_value(text(field), words::kUpdateKinds);
 }
 
 LoadReport Message::load_report(std::size_t field) const {
@@ -56,7 +56,8 @@
     if (pairs == "-" || pairs.empty()) return report;
     for (const auto& pair : split(pairs, ',')) {
         const auto colon = pair.find(':');
-        if (colon == std::string::npos) throw WireError("bad load report '" + pair + "'");
+        if (colon == std::string::npos)
+            throw WireError("load report: expected name:value, got '" + pair + "'");
         const std::string name = pair.substr(0, colon);
         const std::string value = pair.substr(colon + 1);
         if (name == words::kMemoryUtilization) report.memory_utilization = parse_number<double>(value, -1);
--- a/src/simulator_adapter/message.h
+++ b/src/simulator_adapter/message.h
@@ -1,4 +1,4 @@
-// One line of the simulator's wire: a word and fields, separated by tabs.
+// Parses one line of the simulator's wire protocol: a word and its fields, separated by tabs.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +12,24 @@
 
 namespace gorsenotch::simulator_adapter {
 
-// Malformed input; the text names the reason and, once it leaves the session, the line.
+// Thrown on malformed input. The text names the reason; Session::run() prepends the line number.
 struct WireError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
+// The parts of `text` between separators, including empty parts.
 std::vector<std::string> split(const std::string& text, char separator);
 
-// All of the text as a number, "-" as `absent`. Throws WireError otherwise.
+// Converts the complete text to a number, or "-" to `absent`. Throws WireError otherwise.
 template <class Number>
 Number parse_number(const std::string& text, Number absent = 0) {
     if (text == "-") return absent;
     const auto value = settings::to_number<Number>(text);
-    if (!value) throw WireError("bad number '" + text + "'");
+    if (!value) throw WireError("expected a number or '-', got '" + text + "'");
     return *value;
 }
 
-// Fields are counted from 0, the word. All readers throw WireError where a field is missing or malformed.
+// A parsed line. Field 0 is the word. All accessors throw WireError if the field is missing or malformed.
 class Message {
 public:
     explicit Message(const std::string& line) : fields_(split(line, '\t')) {}
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -15,13 +15,13 @@
     return it == indices.end() ? absent : it->second;
 }
 
-// The path=value pairs from a field on.
+// Parses the path=value pairs that begin at field `from`.
 settings::SettingValues setting_values(const Message& message, std::size_t from) {
     settings::SettingValues values;
     for (std::size_t i = from; i < message.size(); ++i) {
         const std::string& pair = message.text(i);
         const auto equals = pair.find('=');
-        if (equals == std::string::npos) throw WireError("bad setting '" + pair + "'");
+        if (equals == std::string::npos) throw WireError("setting: expected path=value, got '" + pair + "'");
         const std::string value = pair.substr(equals + 1);
         const bool absent = value.empty() || value == "-";
         values.set(pair.substr(0, equals), absent ? std::vector<std::string>{} : split(value, ','));
@@ -71,18 +71,18 @@
     }
 }
 
-// False where the input ends before a batch.
+// Returns false if the input ends before a batch begins.
 bool Session::serve_batch() {
     auto message = next_message();
     while (message && message->empty()) message = next_message();
     if (!message) return false;
     if (message->word() != words::kBatchBegin)
-        throw WireError("a batch must begin with 'clock', not '" + message->word() + "'");
+        throw WireError("expected 'clock' at the beginning of a batch, got '" + message->word() + "'");
     now_ = message->number(1);
     while ((message = next_message())) {
         if (message->word() == words::kBatchEnd) return true;
         const auto handler = handlers().find(message->word());
-        // Unknown words are passed over: the simulator may know more than this.
+        // Unknown messages are ignored, so that newer simulators can add some.
         if (handler != handlers().end()) (this->*handler->second)(*message);
     }
     throw WireError("input ends inside a batch");
@@ -95,7 +95,8 @@
     for (std::uint64_t i = 0; i < count; ++i) {
         const auto entry = next_message();
         if (!entry) throw WireError("input ends inside a batch");
-        if (entry->word() != words::kEndpointRow) throw WireError("a list entry must begin with 'm'");
+        if (entry->word() != words::kEndpointRow)
+            throw WireError("expected 'm' at the beginning of an endpoint row");
         EndpointRow row;
         row.endpoint.id = entry->integer<EndpointId>(1);
         row.zone = entry->text(2);
@@ -146,7 +147,7 @@
     arrival.max_tokens = message.number(11);
     arrival.client_retry = (flags & words::kClientRetry) != 0;
     arrival.resumed = (flags & words::kResumed) != 0;
-    feed(message.text(1), arrival);
+    handle_event(message.text(1), arrival);
 }
 
 void Session::on_attempt_ended(const Message& message) {
@@ -159,49 +160,49 @@
     ended.request_closed = message.flag(7);
     ended.detail = message.number(8);
     ended.report = message.load_report(9);
-    feed(message.text(1), ended);
+    handle_event(message.text(1), ended);
 }
 
 void Session::on_first_token(const Message& message) {
     const FirstToken first_token{message.text(2), message.integer<int>(5), message.integer<EndpointId>(4),
                                  message.number(3)};
-    feed(message.text(1), first_token);
+    handle_event(message.text(1), first_token);
 }
 
 void Session::on_reservation_reply(const Message& message) {
     const ReservationReply reply{message.text(2), message.integer<EndpointId>(4),
                                  message.integer<int>(5) == 1};
-    feed(message.text(1), reply);
+    handle_event(message.text(1), reply);
 }
 
 void Session::on_client_disconnected(const Message& message) {
-    feed(message.text(1), ClientDisconnected{message.text(2)});
+    handle_event(message.text(1), ClientDisconnected{message.text(2)});
 }
 
 void Session::on_health_check_result(const Message& message) {
     const HealthCheckResult result{message.integer<EndpointId>(3), message.result(2) == AttemptResult::served,
                                    message.number(4), message.load_report(5)};
-    feed(message.text(1), result);
+    handle_event(message.text(1), result);
 }
 
 void Session::on_timer_fired(const Message& message) {
-    feed(message.text(1), TimerFired{message.integer<std::uint64_t>(2)});
+    handle_event(message.text(1), TimerFired{message.integer<std::uint64_t>(2)});
 }
 
 void Session::on_endpoint_update(const Message& message) {
     EndpointUpdate update;
     update.kind = message.update_kind(2);
-    message.integer<std::int64_t>(3);  // the list's version, checked only
+    message.integer<std::int64_t>(3);  // the list's version is only validated
     if (update.kind != EndpointUpdate::Kind::failed) {
         const auto list = endpoint_lists_.find(message.integer<std::uint64_t>(4));
         if (list == endpoint_lists_.end())
-            throw WireError("list number " + message.text(4) + " was never sent");
-        for (const EndpointRow& row : list->second) update.endpoints.push_back(resolve(row));
+            throw WireError("endpoint list " + message.text(4) + " was not received");
+        for (const EndpointRow& row : list->second) update.endpoints.push_back(resolve_names(row));
     }
-    feed(message.text(1), update);
+    handle_event(message.text(1), update);
 }
 
-Endpoint Session::resolve(const EndpointRow& row) const {
+Endpoint Session::resolve_names(const EndpointRow& row) const {
     const auto zone = zones_.find(row.zone);
     const auto kind = kinds_.find(row.kind);
     if (zone == zones_.end()) throw WireError("unknown zone '" + row.zone + "'");
@@ -212,7 +213,7 @@
     return endpoint;
 }
 
-void Session::feed(const std::string& instance, const Event& event) {
+void Session::handle_event(const std::string& instance, const Event& event) {
     const auto it = instances_.find(instance);
     if (it == instances_.end() || !it->second.router) return;
     std::vector<Action> actions;
--- a/tests/simulator_adapter/message_test.cpp
+++ b/tests/simulator_adapter/message_test.cpp
@@ -1,4 +1,4 @@
-// Message and write_action: the fields of single lines of the simulator's wire.
+// Message and write_action: parsing and writing single lines of the simulator's wire protocol.
 #include "simulator_adapter/message.h"
 
 #include <gtest/gtest.h>
@@ -11,16 +11,16 @@
 namespace gorsenotch::simulator_adapter {
 namespace {
 
-std::string error_of(const std::function<void()>& read) {
+std::string error_of(const std::function<void()>& access) {
     try {
-        read();
+        access();
     } catch (const WireError& error) {
         return error.what();
     }
     return "";
 }
 
-TEST(Message, FieldsAreReadByTheirTypes) {
+TEST(Message, FieldsAreParsedByTheirTypes) {
     const Message message("finished\t7\t-\t1.5\ttrue\tRST\tcordoned\tX");
     EXPECT_EQ(message.word(), "finished");
     EXPECT_EQ(message.size(), 8U);
@@ -34,16 +34,16 @@
     EXPECT_EQ(message.update_kind(7), EndpointUpdate::Kind::failed);
 }
 
-TEST(Message, MalformedFieldsAreNamed) {
+TEST(Message, MalformedFieldsAreReportedWithTheirText) {
     const Message message("word\tx");
-    EXPECT_EQ(error_of([&] { message.text(2); }), "part 2 is missing");
-    EXPECT_EQ(error_of([&] { message.number(1); }), "bad number 'x'");
-    EXPECT_EQ(error_of([&] { message.flag(1); }), "bad bool 'x'");
-    EXPECT_EQ(error_of([&] { message.result(1); }), "unknown word 'x'");
-    EXPECT_EQ(error_of([&] { message.load_report(1); }), "bad load report 'x'");
+    EXPECT_EQ(error_of([&] { message.text(2); }), "field 2 is missing");
+    EXPECT_EQ(error_of([&] { message.number(1); }), "expected a number or '-', got 'x'");
+    EXPECT_EQ(error_of([&] { message.flag(1); }), "expected a boolean, got 'x'");
+    EXPECT_EQ(error_of([&] { message.result(1); }), "unknown value 'x'");
+    EXPECT_EQ(error_of([&] { message.load_report(1); }), "load report: expected name:value, got 'x'");
 }
 
-TEST(Message, ALoadReportTakesItsValuesByName) {
+TEST(Message, ALoadReportIsParsedByValueNames) {
     const LoadReport report = Message("w\tmean_ms:30,x0:0.5,other:1,x1:-").load_report(1);
     EXPECT_EQ(report.memory_utilization, 0.5);
     EXPECT_EQ(report.queued_kilotokens, -1) << "absent";
@@ -55,7 +55,7 @@
     EXPECT_FALSE(Message("\t").empty());
 }
 
-TEST(ActionWriter, NumbersKeepAllTheirDigits) {
+TEST(ActionWriter, NumbersAreWrittenWithFullPrecision) {
     std::ostringstream out;
     write_action(out, "gateway_1", SetTimer{7, 0.1});
     write_action(out, "gateway_1", WatchEndpoints{});
