--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,10 +1,10 @@
-// The simulator's router process: reads its wire from standard input, answers on standard output. Exit status
-// 2 on malformed input, 0 when the input ends.
+// The simulator's router process: reads messages from standard input and writes replies to standard output.
+// The exit status is 2 on malformed input and 0 at the end of the input.
 #include <iostream>
 
 #include "simulator_adapter/wire.h"
 
-constexpr int kMalformedInput = 2;
+constexpr int kExitMalformedInput = 2;
 
 int main() {
     std::ios::sync_with_stdio(false);
@@ -13,7 +13,7 @@
         gorsenotch::simulator_adapter::Session(std::cin, std::cout).run();
     } catch (const gorsenotch::simulator_adapter::WireError& error) {
         std::cerr << "gorsenotch_simulator_adapter: " << error.what() << '\n';
-        return kMalformedInput;
+        return kExitMalformedInput;
     }
     return 0;
 }
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,5 +1,5 @@
-// The simulator's wire: turns its messages into events and the Router's actions into its lines. It decides
-// nothing.
+// Translates between the simulator's wire protocol and Routers: messages become events, and actions become
+// messages. It makes no routing decisions.
 #pragma once
 
 #include <cstddef>
@@ -17,21 +17,22 @@
 
 namespace gorsenotch::simulator_adapter {
 
-// A conversation with the simulator. Owns one Router for each simulated gateway (an instance) and keeps them
-// apart; the streams must outlive it.
+// One connection to the simulator. Owns a separate Router for each simulated gateway (instance). The streams
+// must outlive it.
 class Session {
 public:
     Session(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
-    // Serves batches until the input ends. Throws WireError, naming line and reason, on malformed input.
+    // Serves batches until the input ends. On malformed input, throws WireError with the line number and
+    // reason.
     void run();
 
 private:
     struct Instance {
-        std::unique_ptr<Router> router;  // null: the Router refused its settings
+        std::unique_ptr<Router> router;  // null: the Router rejected its settings
         std::map<std::string, int> classes;
         std::map<std::string, int> tenants;
     };
-    // An entry of an endpoint list, before the settings that index its names are known.
+    // An entry of an endpoint list. Zone and kind stay names until the settings that number them are known.
     struct EndpointRow {
         Endpoint endpoint;
         std::string zone;
@@ -43,7 +44,7 @@
     bool serve_batch();
     std::optional<Message> next_message();
 
-    // One a message.
+    // One handler per message type.
     void on_endpoint_rows(const Message& message);
     void on_init(const Message& message);
     void on_killed(const Message& message);
@@ -56,8 +57,8 @@
     void on_timer_fired(const Message& message);
     void on_endpoint_update(const Message& message);
 
-    Endpoint resolve(const EndpointRow& row) const;
-    void feed(const std::string& instance, const Event& event);
+    Endpoint resolve_names(const EndpointRow& row) const;
+    void handle_event(const std::string& instance, const Event& event);
     void write_router_error(const std::string& instance, const char* reason);
 
     std::istream& in_;
@@ -65,8 +66,8 @@
     std::size_t line_number_ = 0;
     Millis now_ = 0;
     std::map<std::string, Instance> instances_;
-    std::map<std::uint64_t, std::vector<EndpointRow>> endpoint_lists_;  // by the simulator's number
-    // Index by name, as the settings list them; the same for all instances.
+    std::map<std::uint64_t, std::vector<EndpointRow>> endpoint_lists_;  // by the simulator's list number
+    // Indices by name, in the order of the settings; the same for all instances.
     std::map<std::string, int> zones_;
     std::map<std::string, int> kinds_;
 };
--- a/src/simulator_adapter/wire_words.h
+++ b/src/simulator_adapter/wire_words.h
@@ -1,4 +1,4 @@
-// The words of the simulator's wire and what they stand for: the only place that knows them.
+// The only definition of the words of the simulator's wire protocol and their meaning.
 #pragma once
 
 #include <array>
@@ -63,7 +63,7 @@
      {"F", EndpointUpdate::Kind::full},
      {"C", EndpointUpdate::Kind::cached},
      {"X", EndpointUpdate::Kind::failed}}};
-// Values of a load report, as name:value pairs.
+// Names in the name:value pairs of a load report.
 constexpr const char* kMemoryUtilization = "x0";
 constexpr const char* kQueuedKilotokens = "x1";
 constexpr const char* kLatency = "mean_ms";
