--- a/src/engine/load_report.h
+++ b/src/engine/load_report.h
@@ -1,4 +1,5 @@
-// Load reports of engines: the value of the ORCA header `endpoint-load-metrics`, in its TEXT or JSON form.
+// Parses load reports of engines: the value of the ORCA header `endpoint-load-metrics` in TEXT or JSON
+// format.
 #pragma once
 
 #include <string_view>
@@ -7,7 +8,8 @@
 
 namespace gorsenotch::engine {
 
-// Metrics that are unknown, negative or not finite are passed over; what is no report gives an empty one.
+// Ignores metrics that are unknown, negative or not finite; returns an empty report if `header` is not a
+// report.
 LoadReport parse_load_report(std::string_view header);
 
 }  // namespace gorsenotch::engine
