--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -1,7 +1,9 @@
-// How a kind of engine is spoken to: what to send, and what its answers mean. No I/O; one file a dialect.
+// Defines how to encode requests for a kind of engine and how to interpret its responses. No I/O; one source
+// file per dialect.
 //
-// The read goes to a prefill engine and leaves a state there; its answer names the state in parameters that
-// go with the write to a decode engine, which fetches the state and streams the answer.
+// A prefill request goes to a prefill engine, which stores the KV cache. Its response identifies the KV cache
+// in transfer parameters, which are sent with the decode request. The decode engine fetches the KV cache and
+// streams the answer.
 #pragma once
 
 #include <memory>
@@ -15,51 +17,56 @@
 
 namespace gorsenotch::engine {
 
-// One attempt of a request. `id` is unique to the attempt: what an engine says of it can't be mistaken for
-// another attempt's (the fencing number is part of it).
+// One attempt of a request. `id` is unique to the attempt and includes the fencing number, so that an
+// engine's message about it cannot be taken for one about another attempt.
 struct AttemptInfo {
     std::string id;
-    std::string key;    // the client's idempotency key within its tenant; empty: none
-    std::string cls;    // name of the class, for the engine's own statistics
-    double budget = 0;  // ms until nobody waits for the answer any more; 0: unknown
+    std::string key;          // the client's idempotency key within its tenant; empty: none
+    std::string cls;          // name of the class, for the engine's statistics
+    double remaining_ms = 0;  // until no client waits for the answer any more; 0: unknown
 };
 
-struct ParsedResponse {  // what a whole answer, or its head, means
+// The meaning of a complete response, or of its head.
+struct ParsedResponse {
     AttemptResult result = AttemptResult::error;
-    double note = 0;         // as Outcome::note
-    std::string parameters;  // prefill_done: to hand to the write, as the engine gave them
-    std::string why;         // for the log where result is not good
+    double note = 0;         // as AttemptEnded::detail
+    std::string parameters;  // prefill_done: transfer parameters for the decode, as the engine sent them
+    std::string why;         // the reason for the log if the attempt did not succeed
 };
 
-struct StreamPiece {  // what one event of a stream means
+// One part of the meaning of a stream's event.
+struct StreamPiece {
     enum class Kind { none, text, stop, usage, done, broken } kind = Kind::none;
-    std::string text;  // of a stop: the stop string that matched, where the engine names it
+    std::string text;  // for a stop: the stop string that matched, if the engine sends it
     api::StopReason stop = api::StopReason::end;
     api::Usage usage;
 };
 
-// Requests to engines and the meaning of their answers, in one engine's protocol. Has no state and does no
+// Encodes requests to engines and interprets their responses, in one engine's protocol. Stateless; does no
 // I/O.
 class Dialect {
 public:
     virtual ~Dialect() = default;
     virtual proxy::UpstreamRequest prefill_request(const api::ChatRequest& chat,
                                                    const AttemptInfo& info) const = 0;
-    // `parameters` of the read; empty: the engine reads the prompt itself.
+    // `parameters`: from the prefill's response; empty: the engine prefills the prompt itself.
     virtual proxy::UpstreamRequest decode_request(const api::ChatRequest& chat, const AttemptInfo& info,
                                                   const std::string& parameters) const = 0;
-    // Lets go of the state that the attempt `id` (a read) left or will leave, and stops the read if it runs.
+    // Releases the KV cache that the prefill attempt `id` stored or will store, and stops the prefill if it
+    // runs.
     virtual proxy::UpstreamRequest release_request(const std::string& id) const = 0;
+    // Interprets a complete response to a prefill.
     virtual ParsedResponse judge_prefill(int status, const std::string& body) const = 0;
-    // An answer to a write that is not a stream.
+    // Interprets a response to a decode that is not a stream.
     virtual ParsedResponse parse_rejection(int status, const std::string& body) const = 0;
-    // One event's meanings, in order, in place of what `pieces` held; at most one text, one stop and one
-    // usage.
+    // Replaces the contents of `pieces` with the parts of one event, in order; at most one text, one stop and
+    // one usage.
     virtual void parse_event(std::string_view data, std::vector<StreamPiece>& pieces) const = 0;
+    // The load report in a response's headers; empty if there is none.
     virtual LoadReport load_report(const http::Headers& headers) const = 0;
 };
 
-// vLLM's OpenAI-compatible server with a KV connector, per its public documentation.
+// The dialect of vLLM's OpenAI-compatible server with a KV connector, per its public documentation.
 std::unique_ptr<Dialect> vllm();
 
 }  // namespace gorsenotch::engine
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -1,7 +1,8 @@
-// vLLM's disaggregated serving, per its public documentation: /v1/chat/completions with kv_transfer_params;
-// the read asks for one token with do_remote_decode, its answer carries the parameters for the write.
-// Load reports: the ORCA `endpoint-load-metrics` header (TEXT or JSON form). A state that no write will take
-// is let go of by POST /abort_request with the request id, as SGLang has it.
+// Dialect of vLLM's disaggregated serving, per its public documentation: /v1/chat/completions with
+// kv_transfer_params. The prefill requests one token with do_remote_decode, and its response has the
+// parameters for the decode. Load reports are in the ORCA `endpoint-load-metrics` header, in TEXT or JSON
+// format. A KV cache that no decode will take is released by POST /abort_request with the request id, as in
+// SGLang.
 #include <cmath>
 
 #include "engine/dialect.h"
@@ -12,7 +13,7 @@
 
 using api::Json;
 
-Json body_of(const api::ChatRequest& chat) {
+Json chat_body(const api::ChatRequest& chat) {
     Json messages = Json::array();
     for (const auto& message : chat.messages)
         messages.push_back({{"role", message.role}, {"content", message.text}});
@@ -34,19 +35,19 @@
     return request;
 }
 
-long whole(const Json& object, const char* key) {
+long token_count(const Json& object, const char* key) {
     const auto it = object.find(key);
-    // From outside: a number that no long holds would be undefined to convert.
+    // The number is untrusted: converting one that a long cannot hold would be undefined behaviour.
     if (it == object.end() || !it->is_number()) return 0;
     const double value = it->get<double>();
     return std::isfinite(value) && value > 0 && value < 1e12 ? static_cast<long>(value) : 0;
 }
 
 api::Usage usage_of(const Json& json) {
-    api::Usage usage{whole(json, "prompt_tokens"), 0, whole(json, "completion_tokens")};
+    api::Usage usage{token_count(json, "prompt_tokens"), 0, token_count(json, "completion_tokens")};
     const auto details = json.find("prompt_tokens_details");
     if (details != json.end() && details->is_object()) {
-        usage.cached = std::min(usage.input, whole(*details, "cached_tokens"));
+        usage.cached = std::min(usage.input, token_count(*details, "cached_tokens"));
     }
     return usage;
 }
@@ -56,7 +57,7 @@
     if (json.is_object() && json.contains("error")) error = &json["error"];
     if (error->is_object() && error->contains("message") && (*error)["message"].is_string())
         return (*error)["message"].get<std::string>().substr(0, 200);
-    return "no reason given";
+    return "no error message in the response";
 }
 
 std::string error_type(const Json& json) {
@@ -66,58 +67,58 @@
     return error["type"].get<std::string>();
 }
 
-ParsedResponse refusal(int status, const std::string& body) {
+ParsedResponse parse_error_response(int status, const std::string& body) {
     std::string why;
     const Json json = api::parse_json(body, why);
     ParsedResponse parsed;
     parsed.why = "status " + std::to_string(status) + ": " + error_text(json);
-    // Only what states that nothing ran counts as not run: 429 at admission, and a state that is gone.
+    // Only responses that state that nothing ran count as not run: 429 at admission, and a missing KV cache.
     if (status == 429) parsed.result = AttemptResult::rejected;
     if (status == 424 && error_type(json) == "kv_transfer_error")
         parsed.result = AttemptResult::rejected, parsed.note = 1;
     return parsed;
 }
 
-// Reads one chunk of a stream without building it: every token of every stream passes here, and the few
-// members that matter are known by their path. What else a chunk holds is passed by.
+// Parses one chunk of a stream without building a JSON value, as this runs for every token of every stream.
+// The few needed members are recognized by their path, and all others are skipped.
 class ChunkReader final : public nlohmann::json_sax<Json> {
 public:
-    std::string text, finish, stop_string, error_text = "no reason given";
+    std::string text, finish, stop_string, error_text = "no error message in the response";
     api::Usage usage;
     bool object = false, error = false, has_usage = false;
 
-    bool null() override { return value(); }
-    bool boolean(bool) override { return value(); }
-    bool number_integer(number_integer_t x) override { return number(static_cast<double>(x)); }
-    bool number_unsigned(number_unsigned_t x) override { return number(static_cast<double>(x)); }
-    bool number_float(number_float_t x, const string_t&) override { return number(x); }
+    bool null() override { return end_value(); }
+    bool boolean(bool) override { return end_value(); }
+    bool number_integer(number_integer_t amount) override { return number(static_cast<double>(amount)); }
+    bool number_unsigned(number_unsigned_t amount) override { return number(static_cast<double>(amount)); }
+    bool number_float(number_float_t amount, const string_t&) override { return number(amount); }
     bool binary(binary_t&) override { return true; }
-    bool string(string_t& json) override {
-        if (at(Key::choices, 0, Key::delta, Key::content)) {
-            text = std::move(json);
-        } else if (at(Key::choices, 0, Key::finish)) {
-            finish = std::move(json);
-        } else if (at(Key::choices, 0, Key::stop_reason)) {
-            stop_string = std::move(json);
+    bool string(string_t& text_value) override {
+        if (is_at(Key::choices, 0, Key::delta, Key::content)) {
+            text = std::move(text_value);
+        } else if (is_at(Key::choices, 0, Key::finish_reason)) {
+            finish = std::move(text_value);
+        } else if (is_at(Key::choices, 0, Key::stop_reason)) {
+            stop_string = std::move(text_value);
         } else if (depth_ == 1 && key_[1] == Key::error) {
             error = true;
-            error_text = std::move(json);
+            error_text = std::move(text_value);
         } else if (depth_ == 2 && key_[1] == Key::error && key_[2] == Key::message) {
-            error_text = std::move(json);
+            error_text = std::move(text_value);
         }
-        return value();
+        return end_value();
     }
     bool start_object(std::size_t) override {
         if (depth_ == 0) object = true;
         if (depth_ == 1 && key_[1] == Key::error) error = true;
         if (depth_ == 1 && key_[1] == Key::usage) has_usage = true;
-        return down(-1);
+        return enter_level(-1);
     }
-    bool start_array(std::size_t) override { return down(0); }
-    bool end_object() override { return up(); }
-    bool end_array() override { return up(); }
+    bool start_array(std::size_t) override { return enter_level(0); }
+    bool end_object() override { return leave_level(); }
+    bool end_array() override { return leave_level(); }
     bool key(string_t& name) override {
-        if (depth_ <= kPath) key_[depth_] = known(name);
+        if (depth_ <= kMaxPathDepth) key_[depth_] = key_of(name);
         return true;
     }
     bool parse_error(std::size_t, const std::string&, const nlohmann::detail::exception&) override {
@@ -130,77 +131,80 @@
         choices,
         delta,
         content,
-        finish,
+        finish_reason,
         stop_reason,
         error,
         message,
         usage,
-        prompt,
-        output,
-        details,
-        cached
+        prompt_tokens,
+        completion_tokens,
+        prompt_tokens_details,
+        cached_tokens
     };
-    static constexpr int kPath = 5, kDeepest = 64;
+    static constexpr int kMaxPathDepth = 5, kMaxDepth = 64;
 
-    static Key known(const std::string& name) {
-        static constexpr std::pair<std::string_view, Key> kNames[] = {{"choices", Key::choices},
-                                                                      {"delta", Key::delta},
-                                                                      {"content", Key::content},
-                                                                      {"finish_reason", Key::finish},
-                                                                      {"stop_reason", Key::stop_reason},
-                                                                      {"error", Key::error},
-                                                                      {"message", Key::message},
-                                                                      {"usage", Key::usage},
-                                                                      {"prompt_tokens", Key::prompt},
-                                                                      {"completion_tokens", Key::output},
-                                                                      {"prompt_tokens_details", Key::details},
-                                                                      {"cached_tokens", Key::cached}};
+    static Key key_of(const std::string& name) {
+        static constexpr std::pair<std::string_view, Key> kNames[] = {
+            {"choices", Key::choices},
+            {"delta", Key::delta},
+            {"content", Key::content},
+            {"finish_reason", Key::finish_reason},
+            {"stop_reason", Key::stop_reason},
+            {"error", Key::error},
+            {"message", Key::message},
+            {"usage", Key::usage},
+            {"prompt_tokens", Key::prompt_tokens},
+            {"completion_tokens", Key::completion_tokens},
+            {"prompt_tokens_details", Key::prompt_tokens_details},
+            {"cached_tokens", Key::cached_tokens}};
         for (const auto& [known_name, key] : kNames) {
             if (known_name == name) return key;
         }
         return Key::other;
     }
-    // A value at choices[n].a or choices[n].a.b. An array takes a level of its own: index_ holds its place.
-    bool at(Key list, int n, Key a, Key b = Key::other) const {
-        const int want = b == Key::other ? 3 : 4;
-        return depth_ == want && key_[1] == list && index_[2] == n && key_[3] == a &&
-               (want == 3 || key_[4] == b);
+    // Whether the current value is at list[element].outer or, with `inner`, at list[element].outer.inner. An
+    // array takes a level of its own, in which index_ counts its elements.
+    bool is_at(Key list, int element, Key outer, Key inner = Key::other) const {
+        const int wanted_depth = inner == Key::other ? 3 : 4;
+        return depth_ == wanted_depth && key_[1] == list && index_[2] == element && key_[3] == outer &&
+               (wanted_depth == 3 || key_[4] == inner);
     }
-    bool number(double x) {
-        if (has_usage && std::isfinite(x) && x > 0 && x < 1e12) {
-            if (depth_ == 2 && key_[1] == Key::usage && key_[2] == Key::prompt)
-                usage.input = static_cast<long>(x);
-            if (depth_ == 2 && key_[1] == Key::usage && key_[2] == Key::output)
-                usage.output = static_cast<long>(x);
-            if (depth_ == 3 && key_[1] == Key::usage && key_[2] == Key::details && key_[3] == Key::cached)
-                usage.cached = static_cast<long>(x);
+    bool number(double amount) {
+        if (has_usage && std::isfinite(amount) && amount > 0 && amount < 1e12) {
+            if (depth_ == 2 && key_[1] == Key::usage && key_[2] == Key::prompt_tokens)
+                usage.input = static_cast<long>(amount);
+            if (depth_ == 2 && key_[1] == Key::usage && key_[2] == Key::completion_tokens)
+                usage.output = static_cast<long>(amount);
+            if (depth_ == 3 && key_[1] == Key::usage && key_[2] == Key::prompt_tokens_details &&
+                key_[3] == Key::cached_tokens)
+                usage.cached = static_cast<long>(amount);
         }
-        return value();
+        return end_value();
     }
-    bool down(int index) {
-        if (++depth_ > kDeepest) return false;
-        if (depth_ <= kPath) index_[depth_] = index, key_[depth_] = Key::other;
+    bool enter_level(int index) {
+        if (++depth_ > kMaxDepth) return false;
+        if (depth_ <= kMaxPathDepth) index_[depth_] = index, key_[depth_] = Key::other;
         return true;
     }
-    bool up() {
+    bool leave_level() {
         --depth_;
-        return value();
+        return end_value();
     }
-    // A value has ended: in an array the next one has the next place.
-    bool value() {
-        if (depth_ <= kPath && index_[depth_] >= 0) ++index_[depth_];
+    // A value has ended: in an array the index advances to the next one.
+    bool end_value() {
+        if (depth_ <= kMaxPathDepth && index_[depth_] >= 0) ++index_[depth_];
         return true;
     }
     int depth_ = 0;
-    Key key_[kPath + 1] = {};
-    int index_[kPath + 1] = {-1, -1, -1, -1, -1, -1};
+    Key key_[kMaxPathDepth + 1] = {};
+    int index_[kMaxPathDepth + 1] = {-1, -1, -1, -1, -1, -1};
 };
 
 class Vllm : public Dialect {
 public:
     proxy::UpstreamRequest prefill_request(const api::ChatRequest& chat,
                                            const AttemptInfo& info) const override {
-        Json body = body_of(chat);
+        Json body = chat_body(chat);
         body["max_tokens"] = 1;
         body["stream"] = false;
         body["kv_transfer_params"] = {{"do_remote_decode", true},    {"do_remote_prefill", false},
@@ -211,7 +215,7 @@
 
     proxy::UpstreamRequest decode_request(const api::ChatRequest& chat, const AttemptInfo& info,
                                           const std::string& parameters) const override {
-        Json body = body_of(chat);
+        Json body = chat_body(chat);
         body["max_tokens"] = chat.max_tokens;
         body["stream"] = true;
         body["stream_options"] = {{"include_usage", true}};
@@ -224,14 +228,14 @@
     }
 
     ParsedResponse judge_prefill(int status, const std::string& body) const override {
-        if (status != 200) return refusal(status, body);
+        if (status != 200) return parse_error_response(status, body);
         ParsedResponse parsed;
         const Json json = api::parse_json(body, parsed.why);
         const auto params = json.is_object() ? json.find("kv_transfer_params") : json.end();
-        // A read whose state can't be named can't be written from: the next attempt reads anew.
+        // Without transfer parameters no decode can fetch the KV cache, so the next attempt prefills again.
         if (!json.is_object() || params == json.end() || !params->is_object() ||
             !params->value("do_remote_prefill", Json()).is_boolean() || !params->at("do_remote_prefill")) {
-            parsed.why = "the read's answer has no transfer parameters";
+            parsed.why = "prefill response: kv_transfer_params with do_remote_prefill true not found";
             return parsed;
         }
         parsed.result = AttemptResult::prefill_done;
@@ -242,8 +246,8 @@
     }
 
     ParsedResponse parse_rejection(int status, const std::string& body) const override {
-        ParsedResponse parsed = refusal(status, body);
-        if (status == 200) parsed.why = "the answer is not an event stream";
+        ParsedResponse parsed = parse_error_response(status, body);
+        if (status == 200) parsed.why = "response with status 200 is not an event stream";
         return parsed;
     }
 
@@ -254,9 +258,9 @@
             return;
         }
         ChunkReader chunk;
-        const bool whole = Json::sax_parse(data, &chunk);
-        if (!whole || !chunk.object || chunk.error) {
-            const std::string why = chunk.error ? chunk.error_text : "an event that is not a JSON object";
+        const bool is_valid = Json::sax_parse(data, &chunk);
+        if (!is_valid || !chunk.object || chunk.error) {
+            const std::string why = chunk.error ? chunk.error_text : "stream event is not a JSON object";
             pieces.push_back({StreamPiece::Kind::broken, why.substr(0, 200), {}, {}});
             return;
         }
@@ -265,7 +269,7 @@
             StreamPiece piece{StreamPiece::Kind::stop, {}, api::StopReason::end, {}};
             if (chunk.finish == "length") piece.stop = api::StopReason::length;
             if (chunk.finish == "content_filter") piece.stop = api::StopReason::refused;
-            // vLLM names the stop string that matched.
+            // vLLM sends the matched stop string in stop_reason.
             if (chunk.finish == "stop" && !chunk.stop_string.empty())
                 piece.stop = api::StopReason::sequence, piece.text = std::move(chunk.stop_string);
             pieces.push_back(std::move(piece));
