--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -4,6 +4,7 @@
 // format. A KV cache that no decode will take is released by POST /abort_request with the request id, as in
 // SGLang.
 #include <cmath>
+#include <cstddef>
 
 #include "engine/dialect.h"
 #include "engine/load_report.h"
@@ -13,6 +14,9 @@
 
 using api::Json;
 
+constexpr double kMaxTokenCount = 1e12;  // larger numbers are taken as invalid
+constexpr std::size_t kMaxErrorTextBytes = 200;
+
 Json chat_body(const api::ChatRequest& chat) {
     Json messages = Json::array();
     for (const auto& message : chat.messages)
@@ -40,7 +44,7 @@
     // The number is untrusted: converting one that a long cannot hold would be undefined behaviour.
     if (it == object.end() || !it->is_number()) return 0;
     const double value = it->get<double>();
-    return std::isfinite(value) && value > 0 && value < 1e12 ? static_cast<long>(value) : 0;
+    return std::isfinite(value) && value > 0 && value < kMaxTokenCount ? static_cast<long>(value) : 0;
 }
 
 api::Usage usage_of(const Json& json) {
@@ -56,7 +60,7 @@
     const Json* error = &json;
     if (json.is_object() && json.contains("error")) error = &json["error"];
     if (error->is_object() && error->contains("message") && (*error)["message"].is_string())
-        return (*error)["message"].get<std::string>().substr(0, 200);
+        return (*error)["message"].get<std::string>().substr(0, kMaxErrorTextBytes);
     return "no error message in the response";
 }
 
@@ -170,7 +174,7 @@
                (wanted_depth == 3 || key_[4] == inner);
     }
     bool number(double amount) {
-        if (has_usage && std::isfinite(amount) && amount > 0 && amount < 1e12) {
+        if (has_usage && std::isfinite(amount) && amount > 0 && amount < kMaxTokenCount) {
             if (depth_ == 2 && key_[1] == Key::usage && key_[2] == Key::prompt_tokens)
                 usage.input = static_cast<long>(amount);
             if (depth_ == 2 && key_[1] == Key::usage && key_[2] == Key::completion_tokens)
@@ -261,7 +265,7 @@
         const bool is_valid = Json::sax_parse(data, &chunk);
         if (!is_valid || !chunk.object || chunk.error) {
             const std::string why = chunk.error ? chunk.error_text : "stream event is not a JSON object";
-            pieces.push_back({StreamPiece::Kind::broken, why.substr(0, 200), {}, {}});
+            pieces.push_back({StreamPiece::Kind::broken, why.substr(0, kMaxErrorTextBytes), {}, {}});
             return;
         }
         if (!chunk.text.empty()) pieces.push_back({StreamPiece::Kind::text, std::move(chunk.text), {}, {}});
