--- a/src/api/chat.cpp
+++ b/src/api/chat.cpp
@@ -17,20 +17,21 @@
 }
 
 Json parse_json(std::string_view text, std::string& why, int max_depth) {
-    // Guards against: a stack overflow when a deep value is printed or walked, and two readers of one body
-    // that each take another of two equal keys. May refuse what a lenient peer would take.
+    // The depth limit prevents a stack overflow when the value is traversed or serialized. Duplicate keys are
+    // rejected because two parsers of one body could use different ones. Lenient parsers accept more than
+    // this.
     std::vector<std::set<std::string>> keys;
-    const Json::parser_callback_t watch = [&](int depth, Json::parse_event_t event, Json& value) {
+    const Json::parser_callback_t check_event = [&](int depth, Json::parse_event_t event, Json& value) {
         if (depth > max_depth) throw std::length_error("nested deeper than " + std::to_string(max_depth));
         if (event == Json::parse_event_t::object_start) keys.emplace_back();
         if (event == Json::parse_event_t::object_end) keys.pop_back();
         if (event == Json::parse_event_t::key && !keys.back().insert(value.get<std::string>()).second) {
-            throw std::length_error("key '" + value.get<std::string>() + "' stands twice in one object");
+            throw std::length_error("key '" + value.get<std::string>() + "' appears twice in one object");
         }
         return true;
     };
     try {
-        return Json::parse(text, watch);
+        return Json::parse(text, check_event);
     } catch (const Json::parse_error& json) {
         why = "not valid JSON at byte " + std::to_string(json.byte);
     } catch (const std::exception& error) {
@@ -40,32 +41,32 @@
 }
 
 std::string ResponseWriter::begin() {
-    if (begun_ || ended_) return ++ignored_, std::string();
+    if (begun_ || ended_) return ++ignored_calls_, std::string();
     begun_ = true;
     return on_begin();
 }
 
 std::string ResponseWriter::text(std::string_view piece) {
-    if (ended_) return ++ignored_, std::string();
+    if (ended_) return ++ignored_calls_, std::string();
     std::string out = begun_ ? std::string() : begin();
     return out + on_text(piece);
 }
 
 std::string ResponseWriter::finish(StopReason stop, const Usage& usage, const std::string& sequence) {
-    if (ended_) return ++ignored_, std::string();
+    if (ended_) return ++ignored_calls_, std::string();
     std::string out = begun_ ? std::string() : begin();
     ended_ = true;
     return out + on_finish(stop, usage, sequence);
 }
 
 std::string ResponseWriter::fail(const ApiError& error) {
-    if (ended_) return ++ignored_, std::string();
+    if (ended_) return ++ignored_calls_, std::string();
     ended_ = true;
     return on_fail(error);
 }
 
 std::string ResponseWriter::ping() {
-    if (!begun_ || ended_) return ++ignored_, std::string();
+    if (!begun_ || ended_) return ++ignored_calls_, std::string();
     return on_ping();
 }
 
--- a/src/api/chat.h
+++ b/src/api/chat.h
@@ -1,5 +1,5 @@
-// What all fronts and dialects share: one request to a model, free of any API's form, and the client's answer
-// as an object that can be ended once. No I/O.
+// Types shared by all client APIs and engine dialects: a request to a model, independent of any API's format,
+// and the writer of the client's response, which can be ended only once. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -19,63 +19,66 @@
     std::string text;
 };
 
-// A request to a model, free of the form of any API.
+// A request to a model, independent of any API's format.
 struct ChatRequest {
     std::string model;
-    std::vector<Message> messages;  // the first of them is a system turn where there is a shared instruction
+    std::vector<Message> messages;  // begins with a system turn if there are shared instructions
     long max_tokens = 0;
     std::vector<std::string> stop;
     std::optional<double> temperature, top_p;
     std::optional<long> top_k;
-    std::string user;  // an opaque id of the client's user; may be empty
+    std::string user;  // opaque id of the end user; may be empty
     bool stream = false;
-    // Derived, for the module: estimates in tokens, and hashes that tell equal texts, not what they say.
+    // Derived for routing: estimated token counts, and hashes that only identify equal texts.
     double prompt_tokens = 0;
-    double prefix_tokens = 0;   // of these, of the shared beginning (the system text)
-    std::uint64_t prefix = 0;   // 0: none
-    std::uint64_t session = 0;  // the conversation: the same for each of its turns
+    double prefix_tokens = 0;   // the part of prompt_tokens in the shared prefix (the system text)
+    std::uint64_t prefix = 0;   // hash of the shared prefix; 0: none
+    std::uint64_t session = 0;  // hash of the conversation, the same for each of its turns
 };
 
-// A fault of a request, for the client: `message` begins with the field's path where there is one.
+// An error response to the client. `message` begins with the path of the faulty field, if there is one.
 struct ApiError {
     int status = 400;
     std::string type = "invalid_request_error";
     std::string message;
 };
 
-// Tokens of a text as this program reckons them without the engine's tokenizer: a quarter of its bytes.
-// Engines report the true counts; this one is for routing and for count_tokens, which says so.
+// Estimates the tokens of a text without the engine's tokenizer, as a quarter of its bytes. The estimate is
+// for routing and for count_tokens, which states that it is an estimate. Engines report the exact counts.
 double estimate_tokens(std::string_view text);
 
+// A 64-bit hash that is the same in each process.
 std::uint64_t hash(std::string_view text, std::uint64_t seed = 0);
 
-// Parses JSON that came from outside: at most `max_depth` deep, no key twice in one object, valid UTF-8.
-// On failure returns a discarded value and sets `why`.
+// Parses untrusted JSON: nested at most `max_depth` deep, no duplicate key in an object, valid UTF-8. On
+// failure returns a discarded value and sets `why` to the reason.
 Json parse_json(std::string_view text, std::string& why, int max_depth = 64);
 
-// How an engine ended its answer.
+// Why an engine ended its answer.
 enum class StopReason { end, length, sequence, refused };
 
 // Token counts of an answer, as the engine reports them.
 struct Usage {
-    long input = 0, cached = 0, output = 0;  // tokens, by the engine
+    long input = 0, cached = 0, output = 0;  // tokens; `cached` is part of `input`
 };
 
-// An answer on its way to a client. Legal order: any number of text(), then exactly one of finish() and
-// fail(); begin() before the first text. Everything after the end is ignored and counted.
+// Encodes the response to a client. Valid order of calls: begin(), any number of text(), then exactly one of
+// finish() and fail(). text() and finish() call begin() if it was not called. Calls after the end are ignored
+// and counted.
 class ResponseWriter {
 public:
     virtual ~ResponseWriter() = default;
-    // Each returns the bytes of the body to send now (empty: nothing yet).
+    // Each returns the bytes of the body to send now; empty: none yet.
     std::string begin();
     std::string text(std::string_view piece);
-    // `sequence`: of Stop::sequence, the string at which the engine stopped.
+    // `sequence`: for StopReason::sequence, the matched stop string.
     std::string finish(StopReason stop, const Usage& usage, const std::string& sequence = {});
     std::string fail(const ApiError& error);
     std::string ping();
     bool begun() const { return begun_; }
     bool ended() const { return ended_; }
-    long ignored() const { return ignored_; }
+    // The number of ignored calls.
+    long ignored_calls() const { return ignored_calls_; }
 
 protected:
     virtual std::string on_begin() = 0;
@@ -86,7 +89,7 @@
 
 private:
     bool begun_ = false, ended_ = false;
-    long ignored_ = 0;
+    long ignored_calls_ = 0;
 };
 
 }  // namespace gorsenotch::api
