--- a/src/api/messages.cpp
+++ b/src/api/messages.cpp
@@ -24,6 +24,12 @@
 constexpr std::array kUnsupportedFields = {"tools",       "tool_choice",        "thinking",     "container",
                                            "mcp_servers", "context_management", "output_config"};
 
+// Added to the token estimate for each message.
+constexpr double kMessageOverheadTokens = 4;
+constexpr double kMaxAnswerTokens = 1e6;
+constexpr double kMaxTopK = 1e6;
+constexpr std::size_t kMaxUserIdBytes = 256;
+
 // The path of a member for error messages: "messages.0" and "role" give "messages.0.role".
 std::string child_path(const std::string& path, const std::string& key) {
     std::string child = path;
@@ -158,7 +164,7 @@
     }
     if (!max->is_number_integer()) return invalid_request("max_tokens", "Input should be a valid integer");
     // Compared as double, since an unsigned value may not fit a long.
-    if (max->get<double>() < 1 || max->get<double>() > 1e6)
+    if (max->get<double>() < 1 || max->get<double>() > kMaxAnswerTokens)
         return invalid_request("max_tokens", "Input should be from 1 to 1000000");
     chat.max_tokens = max->get<long>();
     return std::nullopt;
@@ -208,7 +214,7 @@
     for (const auto& [key, value] : field->items()) {
         if (key != "user_id") return invalid_request("metadata." + key, "Extra inputs are not permitted");
         if (value.is_null()) continue;
-        if (!value.is_string() || value.get_ref<const std::string&>().size() > 256)
+        if (!value.is_string() || value.get_ref<const std::string&>().size() > kMaxUserIdBytes)
             return invalid_request("metadata.user_id", "Input should be a string of at most 256 characters");
         chat.user = value.get<std::string>();
     }
@@ -219,7 +225,7 @@
     if (auto error = parse_number(body, "temperature", 0, 1, chat.temperature)) return error;
     if (auto error = parse_number(body, "top_p", 0, 1, chat.top_p)) return error;
     std::optional<double> top_k;
-    if (auto error = parse_number(body, "top_k", 0, 1e6, top_k)) return error;
+    if (auto error = parse_number(body, "top_k", 0, kMaxTopK, top_k)) return error;
     if (!top_k) return std::nullopt;
     if (*top_k != std::floor(*top_k)) return invalid_request("top_k", "Input should be a valid integer");
     chat.top_k = static_cast<long>(*top_k);
@@ -242,7 +248,8 @@
 }
 
 void set_derived_fields(ChatRequest& chat) {
-    for (const Message& message : chat.messages) chat.prompt_tokens += estimate_tokens(message.text) + 4;
+    for (const Message& message : chat.messages)
+        chat.prompt_tokens += estimate_tokens(message.text) + kMessageOverheadTokens;
     const bool system = chat.messages.front().role == "system";
     if (system) {
         chat.prefix = hash(chat.messages.front().text) | 1;
