--- a/src/control/drain_schedule.h
+++ b/src/control/drain_schedule.h
@@ -4,7 +4,7 @@
 // A stream that is open when the process is killed fails. A stream that is migrated before resumes on another
 // gateway from its last token, at the cost of another prefill of its prompt. So streams first get time to end
 // by themselves; the rest are migrated at an even pace, so that their prompts are not all prefilled at once.
-// Where clients do not resume broken streams, a request accepted late may be lost to the kill. Such requests
+// Where clients do not resume broken streams, a stream accepted late may be lost to the kill. There, requests
 // are accepted only for the short time in which new connections still arrive after the order to stop.
 //
 // Ownership: one per drain, owned by the program's main loop.
