--- a/src/control/invariant_checker.h
+++ b/src/control/invariant_checker.h
@@ -23,7 +23,7 @@
 
 // The checked invariants, each named for its violation; kInvariantNames has the names for the log.
 enum class Invariant {
-    sent_after_end,        // an attempt after the final response, or after the client disconnected
+    sent_after_end,        // an attempt after the final response, or for a client known to have disconnected
     sent_while_draining,   // an attempt to an endpoint listed as not healthy for longer than the drain grace
     overlapping_attempts,  // a second attempt while another is in flight
     duplicate_execution,   // another attempt after a decode of an unsafe request that may have run
@@ -57,9 +57,12 @@
     void on_full_list(const std::vector<Endpoint>& entries, Millis now);
     // The first byte of an attempt was sent.
     void on_attempt_sent(Handle request, int attempt, const Endpoint& to, Role role, Millis now);
+    // `never_ran`: it is proved that the endpoint did not run the attempt.
     void on_attempt_ended(Handle request, int attempt, bool never_ran);
+    // The client got a final response. `rejected`: the request was rejected, so the client may retry it.
     void on_answered(Handle request, bool rejected, Millis now);
     void on_client_disconnected(Handle request);
+    // Drops the request's entry; its KV lease remains.
     void forget(Handle request) { requests_.erase(request); }
 
     // ---- KV caches stored by prefills, see LeaseInvariant ----
@@ -76,9 +79,11 @@
     void on_endpoint_answered(Millis now) { leases_.on_endpoint_answered(now); }
     // May be called at any interval.
     void check_leases(Millis now, Millis stalled_for);
+    // See LeaseInvariant::unanswered().
     std::uint64_t unanswered_leases() const { return leases_.unanswered(); }
 
     // ---- results ----
+    // The number of violations by Invariant.
     const std::array<std::uint64_t, kInvariantNames.size()>& violations() const { return violations_; }
     // The number of requests with an entry.
     std::size_t size() const { return requests_.size(); }
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -51,6 +51,7 @@
     explicit KvLease(Millis release_timeout);
 
     // ---- evidence ----
+    // The resource was, or may have been, acquired at `holder`. An older lease keeps its start.
     void on_acquired(Millis now, LeaseOrigin origin, EndpointId holder);
     // An attempt begins. `is_decode`: it takes the leased resource when it arrives.
     void on_attempt_begun(Millis now, EndpointId endpoint, bool is_decode);
--- a/src/control/lease_invariant.h
+++ b/src/control/lease_invariant.h
@@ -26,11 +26,14 @@
     };
     explicit LeaseInvariant(const Settings& settings) : settings_(settings) {}
 
+    // A prefill's response was received, so its KV cache is stored.
     // `stalled_for`: total stall time of this process so far; it does not count towards a lease's age.
     void on_prefill_answered(Handle request, Millis now, Millis stalled_for);
     // The first byte of a decode's response was received, so the decode arrived at its endpoint.
     void on_decode_answered(Handle request);
+    // The decode ended without taking the KV cache. If it had arrived, the lease restarts.
     void on_decode_ended(Handle request, Millis now, Millis stalled_for);
+    // A decode took the KV cache.
     void on_lease_taken(Handle request) { leases_.erase(request); }
     // A release was sent to an endpoint.
     void on_release_called(Handle request);
@@ -42,7 +45,8 @@
     // Reports each overrun once. May be called at any interval; calls within the check interval do nothing.
     std::vector<Overrun> check(Millis now, Millis stalled_for);
     // Overruns that are not violations, as no endpoint responded: either several releases were sent and none
-    // was answered, or no endpoint answered any request. The endpoints may be reachable but hung.
+    // was answered, or no endpoint answered any request since half of the allowed time. The endpoints may be
+    // reachable but hung.
     std::uint64_t unanswered() const { return unanswered_; }
 
 private:
--- a/src/state/snapshot_store.h
+++ b/src/state/snapshot_store.h
@@ -39,6 +39,7 @@
 
     // Returns nullopt once the text is synced to disk, else the error.
     [[nodiscard]] std::optional<SnapshotError> save(const std::string& text);
+    // Returns the newest intact generation and reports damaged ones.
     LoadedSnapshot load() const;
 
 private:
