--- a/src/api/chat.h
+++ b/src/api/chat.h
@@ -68,12 +68,15 @@
 class ResponseWriter {
 public:
     virtual ~ResponseWriter() = default;
-    // Each returns the bytes of the body to send now; empty: none yet.
+    // Each returns the bytes of the body to send now; empty: none yet. begin() starts the response.
     std::string begin();
+    // Appends a piece of the answer's text.
     std::string text(std::string_view piece);
-    // `sequence`: for StopReason::sequence, the matched stop string.
+    // Ends the response. `sequence`: for StopReason::sequence, the matched stop string.
     std::string finish(StopReason stop, const Usage& usage, const std::string& sequence = {});
+    // Ends the response with an error.
     std::string fail(const ApiError& error);
+    // Keeps an idle stream alive; ignored before begin().
     std::string ping();
     bool begun() const { return begun_; }
     bool ended() const { return ended_; }
--- a/src/api/versions.h
+++ b/src/api/versions.h
@@ -15,6 +15,7 @@
     bool system_turns;  // any message may have the role `system`, with text only
 };
 
+// From oldest to newest.
 inline constexpr Version kVersions[] = {
     {"2023-01-01", false},
     {"2023-06-01", false},
--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -37,7 +37,7 @@
 // One part of the meaning of a stream's event.
 struct StreamPiece {
     enum class Kind { none, text, stop, usage, done, broken } kind = Kind::none;
-    std::string text;  // for a stop: the stop string that matched, if the engine sends it
+    std::string text;  // stop: the matched stop string, if the engine sends it; broken: the reason
     api::StopReason stop = api::StopReason::end;
     api::Usage usage;
 };
@@ -47,9 +47,11 @@
 class Dialect {
 public:
     virtual ~Dialect() = default;
+    // Encodes the prefill of `chat`.
     virtual proxy::UpstreamRequest prefill_request(const api::ChatRequest& chat,
                                                    const AttemptInfo& info) const = 0;
-    // `parameters`: from the prefill's response; empty: the engine prefills the prompt itself.
+    // Encodes the decode of `chat`. `parameters`: from the prefill's response; empty: the engine prefills the
+    // prompt itself.
     virtual proxy::UpstreamRequest decode_request(const api::ChatRequest& chat, const AttemptInfo& info,
                                                   const std::string& parameters) const = 0;
     // Releases the KV cache that the prefill attempt `id` stored or will store, and stops the prefill if it
