--- a/src/router/attempt_timeout.cpp
+++ b/src/router/attempt_timeout.cpp
@@ -21,7 +21,7 @@
     // a prefill endpoint is silent: its prefills are late, the first one of each gateway.
     const bool patient = stage == Stage::prefill && fleet_stats_.no_load_signal();
     const Millis usual =
-        kTimeoutQuantiles * completion_times_.low_quantile(stage) * stage_work(request, stage);
+        kTimeoutLowQuantileFactor * completion_times_.low_quantile(stage) * stage_work(request, stage);
     return std::min(time_left, std::max(usual, kMinTimeoutObjectiveFraction[patient ? 0 : 1] * objective));
 }
 
--- a/src/router/completion_times.cpp
+++ b/src/router/completion_times.cpp
@@ -16,10 +16,10 @@
         const Millis objective = class_settings.latency_objective;
         const Millis per_1000_tokens = class_settings.latency_objective_per_1000_tokens;
         by_class_[Stage::prefill].emplace_back(per_1000_tokens > 0 ? per_1000_tokens : objective / 20,
-                                               kPriorWeight);
-        by_class_[Stage::decode_queued].emplace_back(objective / 12, kPriorWeight);
+                                               kPriorCompletions);
+        by_class_[Stage::decode_queued].emplace_back(objective / 12, kPriorCompletions);
         by_class_[Stage::streaming].emplace_back(
-            std::max(50 * class_settings.inter_token_objective, objective), kPriorWeight);
+            std::max(50 * class_settings.inter_token_objective, objective), kPriorCompletions);
     }
     low_quantile_ = {
         stats::QuantileEstimate(kLowQuantile, kQuantileStep, by_class_[Stage::prefill][0].prior()),
@@ -45,7 +45,7 @@
     const stats::CompletionTime& time = estimate(stage, request);
     if (time.completed() < 1) return time.value();
     const double quantile = low_quantile(stage) * (stage == Stage::prefill ? 1 : stage_work(request, stage));
-    return std::min(time.value(), kTypicalQuantiles * quantile);
+    return std::min(time.value(), kMaxTypicalToLowQuantileRatio * quantile);
 }
 
 void CompletionTimes::add_time(Stage stage, const RequestState& request, Millis time) {
@@ -65,8 +65,8 @@
 }
 
 void CompletionTimes::decay(Millis elapsed) {
-    const double keep = std::exp(-elapsed / kCompletionSpan);
-    const double slow_keep = std::exp(-elapsed / kCompletionSpan / 10);
+    const double keep = std::exp(-elapsed / kCompletionTimeConstantMs);
+    const double slow_keep = std::exp(-elapsed / kCompletionTimeConstantMs / 10);
     for (const Stage stage : kStages) {
         for (stats::CompletionTime& time : by_class_[stage]) time.decay(keep, slow_keep);
     }
--- a/src/router/decode_selector.cpp
+++ b/src/router/decode_selector.cpp
@@ -24,7 +24,7 @@
     const EndpointState* prefill_endpoint =
         request.lease_held ? registry_.find(request.prefill_endpoint) : nullptr;
     const EndpointRing& ring = registry_.decode_capable();
-    const bool windowed = ring.size() > kMaxFullScan && scope == SearchScope::window;
+    const bool windowed = ring.size() > kMaxFullScanEndpoints && scope == SearchScope::window;
     std::uint64_t cell = 0;
     if (windowed && prefill_endpoint) cell = choose_decode_cell(*prefill_endpoint);
     const std::vector<EndpointState*>& candidates =
--- a/src/router/eligibility.h
+++ b/src/router/eligibility.h
@@ -29,7 +29,7 @@
     Millis retry_deadline(const RequestState& request) const;
     // Whether the endpoint's memory is not nearly full, as far as is known.
     static bool has_capacity(const EndpointState& endpoint) {
-        return endpoint.load.memory_utilization < kMemoryNearFull;
+        return endpoint.load.memory_utilization < kFullMemoryFraction;
     }
 
 private:
--- a/src/router/endpoint_registry.cpp
+++ b/src/router/endpoint_registry.cpp
@@ -71,7 +71,8 @@
     std::erase_if(endpoints_, [now](const auto& entry) {
         const EndpointState& endpoint = entry.second;
         return endpoint.info.status == EndpointStatus::removed &&
-               now - endpoint.last_listed > kForgetRemovedAfter && endpoint.load.in_flight_total() == 0;
+               now - endpoint.last_listed > kRemovedEndpointRetentionMs &&
+               endpoint.load.in_flight_total() == 0;
     });
 }
 
@@ -89,9 +90,9 @@
 const std::vector<EndpointState*>& EndpointRegistry::candidates(const EndpointRing& ring, std::uint64_t key,
                                                                 SearchScope scope,
                                                                 std::vector<EndpointState*>& window) {
-    if (ring.size() <= kMaxFullScan || scope == SearchScope::all) return ring.by_id();
+    if (ring.size() <= kMaxFullScanEndpoints || scope == SearchScope::all) return ring.by_id();
     window.clear();
-    ring.window(key, kCandidateWindow, window);
+    ring.window(key, kCandidateWindowEndpoints, window);
     return window;
 }
 
--- a/src/router/endpoint_registry.h
+++ b/src/router/endpoint_registry.h
@@ -64,7 +64,7 @@
     template <class Choose>
     EndpointState* choose_widening(SearchScope scope, Choose choose) const {
         EndpointState* chosen = choose(scope);
-        if (chosen || scope == SearchScope::all || endpoints_.size() <= kMaxFullScan) return chosen;
+        if (chosen || scope == SearchScope::all || endpoints_.size() <= kMaxFullScanEndpoints) return chosen;
         return choose(SearchScope::all);
     }
 
--- a/src/router/fleet_stats.cpp
+++ b/src/router/fleet_stats.cpp
@@ -70,7 +70,7 @@
 }
 
 FleetStats::CostsByZone FleetStats::decay_cells(Millis elapsed) {
-    const double keep = std::exp(-elapsed / kCompletionSpan / 3);
+    const double keep = std::exp(-elapsed / kCompletionTimeConstantMs / 3);
     CostsByZone costs;
     for (auto& [id, cell] : cells_) {
         cell.objective_spent *= keep;
@@ -109,7 +109,7 @@
 
 void FleetStats::update_rates(const RoleCounts& counts, Millis elapsed) {
     for (const Role role : kRoles) {
-        baseline_rate_[role] *= std::exp(-elapsed / kCompletionSpan / 10);
+        baseline_rate_[role] *= std::exp(-elapsed / kCompletionTimeConstantMs / 10);
         if (counts.warm[role] > 0)
             baseline_rate_[role] = std::max(baseline_rate_[role], counts.send_rate[role] / counts.warm[role]);
         if (counts.listed[role] > 0) available_fraction_[role] = counts.available[role] / counts.listed[role];
@@ -136,8 +136,8 @@
             (cell.objective_spent + kCellPriorPrefills * zone_cost) / (cell.prefills + kCellPriorPrefills);
         const double by_decode_endpoints =
             0.5 + 0.5 * cell.decode_share * prefill_endpoints / cell.prefill_share;
-        const double by_cost = (kCalmObjectiveFraction + mean_cost) / (kCalmObjectiveFraction + cell_cost);
-        cell.weight = std::clamp(by_decode_endpoints, 1 / kMaxCellWeightChange, kMaxCellWeightChange) *
+        const double by_cost = (kCellCostOffsetFraction + mean_cost) / (kCellCostOffsetFraction + cell_cost);
+        cell.weight = std::clamp(by_decode_endpoints, 1 / kMaxCellWeightFactor, kMaxCellWeightFactor) *
                       std::clamp(by_cost, kMinCellCostFactor, kMaxCellCostFactor);
         cell.prefill_share *= cell.weight;
         total_share += cell.prefill_share;
--- a/src/router/fleet_stats.h
+++ b/src/router/fleet_stats.h
@@ -35,8 +35,8 @@
     // Whether this gateway uses an endpoint too rarely for its own queues to show the load. The endpoint list
     // and observed times are used in their place.
     bool low_sample_rate() const {
-        return settings_.gateways > kFewGateways &&
-               baseline_rate_[settings_.kinds[0].role] * kCompletionSpan < 1;
+        return settings_.gateways > kMaxGatewaysAtHighSampleRate &&
+               baseline_rate_[settings_.kinds[0].role] * kCompletionTimeConstantMs < 1;
     }
     // Whether, besides, no endpoint reports its load.
     bool no_load_signal() const { return low_sample_rate() && !has_load_reports_; }
--- a/src/router/health_monitor.cpp
+++ b/src/router/health_monitor.cpp
@@ -62,12 +62,12 @@
 }
 
 void HealthMonitor::on_poll_failed(Millis now) {
-    last_poll_ = now - services_.settings.poll_interval / 2 + kPollRetryDelay;
+    last_poll_ = now - services_.settings.poll_interval / 2 + kPollRetryDelayMs;
 }
 
 void HealthMonitor::schedule_tick(Millis now) {
     next_tick_ = now + interval_;
-    services_.actions.emit(SetTimer{kHealthTimer, next_tick_});
+    services_.actions.emit(SetTimer{kHealthTickTimerId, next_tick_});
 }
 
 void HealthMonitor::poll_endpoints(Millis now) {
--- a/src/router/load_shedder.cpp
+++ b/src/router/load_shedder.cpp
@@ -34,7 +34,7 @@
     // Guards against a gateway that used one overloaded endpoint and rejects requests while others are idle:
     // at a low sample rate its estimate may be twice the truth. May do harm by late answers where all are
     // overloaded.
-    const double tolerance = fleet_stats_.no_load_signal() ? kNoSignalWaitFactor : 1;
+    const double tolerance = fleet_stats_.no_load_signal() ? kNoLoadSignalWaitFactor : 1;
     return queueing > tolerance * allowed_wait * (kMinShedThreshold + kShedThresholdRange * value);
 }
 
@@ -55,7 +55,7 @@
 }
 
 double LoadShedder::quota_burst(const TenantSettings& tenant) const {
-    return std::max(kMinQuotaBurst, kQuotaBurstSeconds * tenant.quota_per_s / settings_.gateways);
+    return std::max(kMinQuotaBurstRequests, kQuotaBurstSeconds * tenant.quota_per_s / settings_.gateways);
 }
 
 }  // namespace gorsenotch::router
--- a/src/router/outlier_detector.cpp
+++ b/src/router/outlier_detector.cpp
@@ -66,7 +66,7 @@
     health.connect_failed = false;
     if (result == AttemptResult::prefill_done) record_completion(endpoint, request, Stage::prefill);
     if (request.attempt.stage == Stage::streaming) record_completion(endpoint, request, Stage::streaming);
-    health.error_rate *= 1 - kErrorRateStep;
+    health.error_rate *= 1 - kErrorRateSmoothingFactor;
     if (!health.ejected || sent_before_ejection) return;
     if (health.was_unreachable) {
         endpoint.warming_since = now;
@@ -97,8 +97,8 @@
     EndpointHealth& health = endpoint.health;
     health.last_class_failure[class_index(request)] = now;
     if (sent_before_ejection) return;
-    health.error_rate +=
-        kErrorRateStep * (result == AttemptResult::reset ? kResetWeight : 1) * (1 - health.error_rate);
+    health.error_rate += kErrorRateSmoothingFactor * (result == AttemptResult::reset ? kResetWeight : 1) *
+                         (1 - health.error_rate);
     // With few samples no second failure comes in time to confirm the first.
     const bool failing = health.error_rate > kErrorRateThreshold || fleet_stats_.low_sample_rate();
     if (health.ejected || (failing && within_max_ejection_fraction(endpoint, Stage::prefill)))
--- a/src/router/outlier_detector.h
+++ b/src/router/outlier_detector.h
@@ -55,7 +55,7 @@
     // Lasts longer than an overload.
     bool is_class_ejected(Millis now, const EndpointState& endpoint, const RequestState& request) const {
         return fleet_stats_.low_sample_rate() &&
-               now - endpoint.health.last_class_failure[class_index(request)] < kClassEjectionTime;
+               now - endpoint.health.last_class_failure[class_index(request)] < kClassEjectionTimeMs;
     }
     // Of an ejected endpoint.
     static bool may_get_trial(Millis now, const EndpointState& endpoint) {
--- a/src/router/prefill_selector.cpp
+++ b/src/router/prefill_selector.cpp
@@ -97,7 +97,7 @@
 std::vector<PrefillSelector::LoadedEndpoint> PrefillSelector::with_loads(
     Millis now, const std::vector<EndpointState*>& eligible) const {
     const auto is_recent = [now](const EndpointState& endpoint) {
-        return now - endpoint.load.last_report_at < kRateSpan;
+        return now - endpoint.load.last_report_at < kRateTimeConstantMs;
     };
     double reported_sum = 0;
     double reports = 0;
@@ -133,8 +133,8 @@
     // what the cache saves. Otherwise the first overload spreads the prefixes, each prefill takes longer and
     // the overload persists.
     const double saved_factor =
-        std::clamp(request.arrival.prompt_tokens / (1000 * uncached_kilotokens(request)), kMinLoadMargin,
-                   kMaxLoadMargin);
+        std::clamp(request.arrival.prompt_tokens / (1000 * uncached_kilotokens(request)),
+                   kMinLoadMarginPrompts, kMaxLoadMarginPrompts);
     const double prompt_load =
         fleet_stats_.typical_prompt_tokens() / registry_.memory_capacity(*eligible[0].endpoint);
     std::vector<EndpointState*> within_margin;
@@ -145,7 +145,7 @@
         // The margin for the own zone is narrower: it may have few endpoints, which its gateways would
         // overload.
         own_zone_has_capacity |=
-            endpoint->info.zone == settings_.own_zone && load <= least + kMinLoadMargin * prompt_load;
+            endpoint->info.zone == settings_.own_zone && load <= least + kMinLoadMarginPrompts * prompt_load;
     }
     if (own_zone_has_capacity) prefer_own_zone(request, eligible, within_margin);
     return within_margin;
@@ -157,7 +157,7 @@
 void PrefillSelector::prefer_own_zone(const RequestState& request,
                                       const std::vector<LoadedEndpoint>& eligible,
                                       std::vector<EndpointState*>& within_margin) const {
-    const int exponent = fleet_stats_.no_load_signal() ? kNoSignalZoneExponent : kZoneExponent;
+    const int exponent = fleet_stats_.no_load_signal() ? kNoLoadSignalZoneExponent : kZoneExponent;
     double own_share = 0;
     double all_shares = 0;
     for (const LoadedEndpoint& candidate : eligible) {
--- a/src/router/prefix_affinity.cpp
+++ b/src/router/prefix_affinity.cpp
@@ -29,10 +29,10 @@
 }
 
 void PrefixAffinity::decay(Millis elapsed) {
-    const double keep = std::exp(-elapsed / kCompletionSpan / 10);
+    const double keep = std::exp(-elapsed / kCompletionTimeConstantMs / 10);
     arrivals_ *= keep;
     for (auto& [prefix, count] : arrivals_by_prefix_) count *= keep;
-    std::erase_if(arrivals_by_prefix_, [](const auto& entry) { return entry.second < kForgetPrefixBelow; });
+    std::erase_if(arrivals_by_prefix_, [](const auto& entry) { return entry.second < kMinPrefixArrivals; });
 }
 
 std::uint64_t PrefixAffinity::affinity_key(const RequestState& request) const {
@@ -82,7 +82,7 @@
     const auto found = arrivals_by_prefix_.find(prefix);
     if (found == arrivals_by_prefix_.end()) return 1;
     const double share = (found->second - 1) / (kSharedPrefixPriorArrivals + arrivals_);
-    return 1 + static_cast<std::size_t>(share * static_cast<double>(endpoints) / kAffinityReplicaLoad);
+    return 1 + static_cast<std::size_t>(share * static_cast<double>(endpoints) / kMaxReplicaLoadFactor);
 }
 
 }  // namespace gorsenotch::router
--- a/src/router/records.h
+++ b/src/router/records.h
@@ -79,7 +79,7 @@
 
 // Attempts sent to an endpoint. Changed by SlowStart alone.
 struct SendHistory {
-    stats::DecayingRate rate{kRateSpan};
+    stats::DecayingRate rate{kRateTimeConstantMs};
     std::deque<Millis> recent;  // times of the sends within the overload window, ascending
 };
 
--- a/src/router/retry_budget.cpp
+++ b/src/router/retry_budget.cpp
@@ -6,8 +6,8 @@
 
 // With many gateways the sum of their budgets counts, so each starts with less.
 RetryBudget::RetryBudget(int gateways)
-    : initial_retries_(
-          std::clamp(kInitialRetriesOfAllGateways / gateways, kMinRetryBudget, kMaxInitialRetryBudget)),
+    : initial_retries_(std::clamp(kInitialRetriesOfAllGateways / gateways, kMinInitialRetryBudget,
+                                  kMaxInitialRetryBudget)),
       retries_left_(initial_retries_) {}
 
 void RetryBudget::on_first_token(Millis now) {
@@ -15,7 +15,7 @@
 }
 
 double RetryBudget::capacity(Millis now) const {
-    return std::max(initial_retries_, kRetryBudgetSpan * arrival_rate_.read(now));
+    return std::max(initial_retries_, kRetryBudgetWindowMs * arrival_rate_.read(now));
 }
 
 }  // namespace gorsenotch::router
--- a/src/router/retry_budget.h
+++ b/src/router/retry_budget.h
@@ -23,7 +23,7 @@
 
     const double initial_retries_;
     double retries_left_;
-    stats::DecayingRate arrival_rate_{kRateSpan};
+    stats::DecayingRate arrival_rate_{kRateTimeConstantMs};
 };
 
 }  // namespace gorsenotch::router
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -181,7 +181,7 @@
 }
 
 void Router::Impl::on(const TimerFired& timer) {
-    if (timer.timer == kHealthTimer) return health_monitor_.on_health_tick(now_);
+    if (timer.timer == kHealthTickTimerId) return health_monitor_.on_health_tick(now_);
     RequestState* request = in_flight_requests_.find_by_serial(timer.timer);
     if (!request || request->closed) return;
     if (request->attempt.in_flight && request->attempt.stage == Stage::streaming) return;
--- a/src/router/slow_start.cpp
+++ b/src/router/slow_start.cpp
@@ -19,9 +19,10 @@
     const double progress = warming_for / settings_.slow_start_duration;
     const double capacity = settings_.initial_capacity + (1 - settings_.initial_capacity) * progress;
     const double share =
-        std::min(capacity, kSlowStartSafety * settings_.overload_factor * settings_.initial_capacity);
+        std::min(capacity, kSlowStartBudgetFraction * settings_.overload_factor * settings_.initial_capacity);
     const double baseline_sends = fleet_stats.baseline_rate(endpoint.role) * settings_.overload_window;
-    if (settings_.gateways <= kFewGateways) return sent + 1 <= std::max(1.0, share * baseline_sends);
+    if (settings_.gateways <= kMaxGatewaysAtHighSampleRate)
+        return sent + 1 <= std::max(1.0, share * baseline_sends);
     const double draw = stats::hash_fraction(seed_ + request.serial, endpoint.info.id);
     return sent + draw < share * std::max(fleet_stats.available_fraction(endpoint.role), baseline_sends);
 }
--- a/tests/router/health_monitor_test.cpp
+++ b/tests/router/health_monitor_test.cpp
@@ -54,7 +54,7 @@
     monitor.start(0);
     ASSERT_EQ(count<SetTimer>(), 1u);
     EXPECT_EQ(std::get<SetTimer>(emitted[0]).at, kInterval);
-    EXPECT_EQ(std::get<SetTimer>(emitted[0]).timer, router::kHealthTimer);
+    EXPECT_EQ(std::get<SetTimer>(emitted[0]).timer, router::kHealthTickTimerId);
     tick_until(500);
     EXPECT_EQ(count<SetTimer>(), 11u);
 }
