--- a/include/gorsenotch/actions.h
+++ b/include/gorsenotch/actions.h
@@ -1,4 +1,4 @@
-// The actions that a Router returns and its host carries out, in the order given.
+// The actions that a Router returns. The host executes them in the order given.
 #pragma once
 
 #include <cstddef>
@@ -11,77 +11,77 @@
 
 namespace gorsenotch {
 
-// Send the request to an endpoint. The attempts of a request are numbered from 0.
+// Sends the request to an endpoint. The attempts of a request are numbered from 0.
 struct StartAttempt {
     RequestId request;
     EndpointId endpoint = 0;
-    Millis timeout = 0;  // of this attempt; 0: the client's deadline
-    // Clock time after which no byte may be sent (the attempt then ends as not_sent); 0: none.
+    Millis timeout = 0;  // of this attempt; 0: only the client's deadline applies
+    // Clock time after which no byte of the request may be sent; the attempt then ends as not_sent. 0: none.
     Millis send_by = 0;
 };
-// Cancel an attempt in flight.
+// Cancels an attempt in flight.
 struct StopAttempt {
     RequestId request;
     int attempt = 0;
 };
-// Reserve a slot for the request at an endpoint.
+// Reserves a slot for the request at an endpoint.
 struct ReserveSlot {
     RequestId request;
     EndpointId endpoint = 0;
 };
-// Release every KV-cache lease and slot of the request that no attempt needs.
+// Releases every KV lease and reserved slot of the request that no attempt in flight needs.
 struct ReleaseLease {
     RequestId request;
 };
-// Why a request was rejected or failed. For logs only.
+// Why a request was rejected or failed. Used in logs only.
 enum class EndCause {
-    deadline,            // its deadline has passed
-    shed_load,           // the expected wait is too long for its priority weight
-    no_decode_endpoint,  // on arrival: every decode endpoint is down
-    attempts_exhausted,  // as many as the settings allow
-    may_have_run,        // and its class is not idempotent
-    retry_budget,        // this gateway's retry budget is exhausted
-    no_endpoint,         // none is eligible: down, full, warming, or outside its dedup scope or window
-    decode_too_late,     // prefilled, but it would miss its latency objective while others wait
-    shutdown,
+    deadline,            // the deadline of the request has passed
+    shed_load,           // the expected wait is too long for the priority weight of the request
+    no_decode_endpoint,  // no decode endpoint was reachable on arrival
+    attempts_exhausted,  // Settings::max_attempts have been made
+    may_have_run,        // an attempt may have run, and the class is Idempotency::unsafe
+    retry_budget,        // the retry budget of this gateway is exhausted
+    no_endpoint,  // no endpoint is eligible: down, full, in slow start, or outside the dedup scope or window
+    decode_too_late,  // prefilled, but would miss its latency objective while other requests wait
+    shutdown,         // the host is shutting down
 };
 // The number of values of EndCause.
 constexpr std::size_t kEndCauses = 9;
 
-// Final answer: the request did not run and may be retried.
+// Final answer: the client may retry the request, as it did not run or may safely run again.
 struct Reject {
     RequestId request;
-    Millis retry_after = 0;  // advice to the client; 0: none
+    Millis retry_after = 0;  // value for Retry-After; 0: none
     EndCause cause = EndCause::deadline;
 };
-// Final answer: the request may have run.
+// Final answer: the request may have run, and running it again is not safe.
 struct Fail {
     RequestId request;
     EndCause cause = EndCause::deadline;
 };
-// End a stream so that its client continues it on another endpoint.
+// Ends a stream so that it is continued on another endpoint.
 struct MigrateStream {
     RequestId request;
 };
-// Check the health of an endpoint.
+// Checks the health of an endpoint.
 struct HealthCheck {
     EndpointId endpoint = 0;
 };
-// Fire TimerFired at the given clock time.
+// Requests a TimerFired event at the given clock time.
 struct SetTimer {
     std::uint64_t timer = 0;
     Millis at = 0;
 };
-// Subscribe to the endpoint list.
+// Subscribes to the endpoint list.
 struct WatchEndpoints {};
-// Request the complete endpoint list once.
+// Requests the complete endpoint list once.
 struct PollEndpoints {};
-// Write a line to the log.
+// Writes a line to the log.
 struct Log {
     std::string text;
 };
 
-// What a Router asks its host to do, in the order given.
+// Any action of a Router.
 using Action = std::variant<StartAttempt, StopAttempt, ReserveSlot, ReleaseLease, Reject, Fail, MigrateStream,
                             HealthCheck, SetTimer, WatchEndpoints, PollEndpoints, Log>;
 
--- a/include/gorsenotch/events.h
+++ b/include/gorsenotch/events.h
@@ -1,5 +1,5 @@
-// The events that a host reports to a Router. Times are milliseconds on the host's monotonic clock, lengths
-// are tokens; classes, tenants, zones and kinds are indices into Settings.
+// The events that a host reports to a Router. Times are in milliseconds on the host's monotonic clock,
+// lengths in tokens; classes, tenants, zones and kinds are indices into Settings.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +11,36 @@
 
 namespace gorsenotch {
 
-// The host's id of a request; unique within a Router's life.
+// Id of a request, assigned by the host; unique within the lifetime of a Router.
 using RequestId = std::string;
-// Names an endpoint; the same at every gateway.
+// Id of an endpoint; the same at every gateway.
 using EndpointId = std::uint32_t;
 
-// Load as an endpoint reports it. A value below 0 is absent.
+// Load reported by an endpoint. A negative value means not reported.
 struct LoadReport {
-    double memory_utilization = -1;  // share of its KV cache in use, 0 to 1
-    double queued_kilotokens = -1;   // thousands of prompt tokens that wait for prefill or transfer
-    Millis latency = -1;             // recent time to the end of a prefill or to the first token
+    double memory_utilization = -1;  // fraction of the KV cache in use, 0 to 1
+    double queued_kilotokens = -1;   // thousands of prompt tokens waiting for prefill or transfer
+    Millis latency = -1;             // recent time to the end of a prefill, or to the first token
 };
 
-// A request of a client. It gets exactly one final answer.
+// A client's request has arrived. It gets exactly one final answer.
 struct Arrival {
     RequestId request;
     int cls = 0;
     int tenant = 0;
     std::uint64_t session = 0;
-    std::uint64_t shared_prefix = 0;  // identifies the prefix shared with other prompts; 0: none
+    std::uint64_t shared_prefix = 0;  // id of the prefix shared with other prompts; 0: none
     Millis deadline = 0;              // clock time at which the client stops waiting
     Millis length_hint =
         -1;  // predicted duration of the answer at the class's inter-token objective; below 0: none
     double prompt_tokens = 0;
     double shared_prefix_tokens = 0;
     double max_tokens = 0;
-    bool client_retry = false;  // a retry by the client, where clients mark retries
-    bool resumed = false;       // continues a stream that broke
+    bool client_retry = false;  // marked as a retry by the client
+    bool resumed = false;       // continues an interrupted stream
 };
 
-// How an attempt ended.
+// How an attempt ended. A successful prefill ends as prefill_done, a successful decode as served.
 enum class AttemptResult {
     served,
     error,
@@ -53,14 +53,14 @@
     prefill_done
 };
 
-// Whether the result proves that the attempt never ran: it was rejected, or no complete request reached the
-// endpoint.
+// Whether the result proves that the attempt did not run: the endpoint rejected it, or received no complete
+// request.
 constexpr bool never_ran(AttemptResult result) {
     return result == AttemptResult::rejected || result == AttemptResult::unreachable ||
            result == AttemptResult::not_sent;
 }
 
-// The end of an attempt. Exactly one for each StartAttempt.
+// An attempt has ended. Reported exactly once for each StartAttempt.
 struct AttemptEnded {
     RequestId request;
     int attempt = 0;
@@ -73,7 +73,7 @@
     LoadReport report;
 };
 
-// A stream has begun. The client's deadline no longer applies.
+// An attempt has produced its first token. The client's deadline no longer applies.
 struct FirstToken {
     RequestId request;
     int attempt = 0;
@@ -81,7 +81,7 @@
     Millis took = 0;
 };
 
-// The answer to ReserveSlot.
+// The result of a ReserveSlot action.
 struct ReservationReply {
     RequestId request;
     EndpointId endpoint = 0;
@@ -93,7 +93,7 @@
     RequestId request;
 };
 
-// An endpoint as service discovery lists it.
+// An endpoint as listed by service discovery.
 struct Endpoint {
     EndpointId id = 0;
     int zone = 0;
@@ -101,7 +101,7 @@
     std::uint64_t cell = 0;
     EndpointStatus status = EndpointStatus::healthy;
     double weight = 1;
-    Millis started_at = 0;  // 0: long ago
+    Millis started_at = 0;  // 0: long ago, no slow start
 };
 
 // A change of the endpoint list.
@@ -111,11 +111,11 @@
         full,
         cached,
         failed
-    } kind = Kind::full;  // cached: as last stored, possibly stale
+    } kind = Kind::full;  // cached: the host's stored copy of the list, which may be stale
     std::vector<Endpoint> endpoints;
 };
 
-// The result of a HealthCheck.
+// The result of a HealthCheck action.
 struct HealthCheckResult {
     EndpointId endpoint = 0;
     bool healthy = false;
@@ -123,21 +123,21 @@
     LoadReport report;
 };
 
-// A timer of SetTimer has expired.
+// A timer set by SetTimer has expired.
 struct TimerFired {
     std::uint64_t timer = 0;
 };
 
-// The host has released the KV-cache lease of the request, as it would have expired before an attempt is
-// known to have reached its endpoint. An attempt in flight may continue.
+// The host has released the KV lease of the request, because the lease would have expired before the host
+// knew that an attempt had reached its endpoint. An attempt in flight may continue.
 struct LeaseReleased {
     RequestId request;
 };
 
-// The host is about to exit: each request without an answer gets its final one at once.
+// The host is about to exit. Every request without a final answer gets one immediately.
 struct Shutdown {};
 
-// All that a Router is told.
+// Any event that a Router handles.
 using Event = std::variant<Arrival, AttemptEnded, FirstToken, ReservationReply, ClientDisconnected,
                            EndpointUpdate, HealthCheckResult, TimerFired, LeaseReleased, Shutdown>;
 
--- a/include/gorsenotch/logic.h
+++ b/include/gorsenotch/logic.h
@@ -1,4 +1,4 @@
-// The complete public interface in one header. New code includes the parts that it needs.
+// Umbrella header for the complete public interface. Prefer to include the individual headers in new code.
 #pragma once
 
 #include "gorsenotch/actions.h"
