--- a/src/router/tuning.h
+++ b/src/router/tuning.h
@@ -1,5 +1,5 @@
-// The tuned constants of the Router, each with its unit and reason. The same for all deployments; everything
-// else derives from settings, latency objectives or observations. Times are ms, lengths are tokens.
+// Constants of the Router that are the same in every deployment; all other parameters derive from the
+// settings, the latency objectives or observations. Times are in milliseconds, lengths in tokens.
 #pragma once
 
 #include <array>
@@ -9,145 +9,148 @@
 namespace gorsenotch::router {
 
 // ---- outlier_detector ----
-// An endpoint this many times slower than its peers is ejected.
+// Slowdown relative to the peers that the slowness test detects.
 constexpr double kSlowFactor = 3;
-// Log-likelihood ratio at which it is ejected. The test never ends, so chance reaches it once in about exp(8)
-// = 3,000 stages; at 4, in 55 to some hundred, and an ejection migrates all streams off an endpoint.
+// Log-likelihood ratio of slow against normal at which an endpoint is ejected. The test runs continuously, so
+// random variation reaches 8 once in about exp(8) = 3,000 stages. At 4 a false ejection would occur once in
+// 55 to a few hundred stages, and each one migrates all streams off an endpoint.
 constexpr double kSlownessThreshold = 8;
-// Recent share of failed attempts that ejects an endpoint.
+// Smoothed error rate above which an endpoint is ejected.
 constexpr double kErrorRateThreshold = 0.35;
-// Weight of one attempt in that share: two failures in a row eject.
+// Weight of one attempt in the smoothed error rate. Two consecutive failures exceed the threshold.
 constexpr double kErrorRateSmoothingFactor = 0.2;
-// Weight of a reset connection relative to another failure: the fault may be the connection's.
+// Weight of a connection reset relative to other failures, as the network may have caused it.
 constexpr double kResetWeight = 0.5;
-// Concurrent trial requests beyond which an ejection ends.
+// Limit of concurrent trial requests above which an ejection ends.
 constexpr double kMaxTrialConcurrency = 16;
-// Time for which a class does not use an endpoint that failed it.
+// How long a class avoids an endpoint at which one of its requests failed.
 constexpr double kClassEjectionTimeMs = 20000;
-// Fraction of its latency objective from which an attempt is delayed.
+// Fraction of its latency objective after which a pending attempt counts as delayed.
 constexpr double kDelayedObjectiveFraction = 0.5;
 
 // ---- slow_start ----
-// Fraction of the allowed slow-start budget that is used.
+// Fraction of the permitted load that the slow-start budget uses, as a safety margin.
 constexpr double kSlowStartBudgetFraction = 0.7;
 
 // ---- eligibility ----
-// Reported memory utilization at which a decode endpoint has no capacity.
+// Reported memory utilization from which an endpoint counts as full.
 constexpr double kFullMemoryFraction = 0.9;
-// Fraction of the connect timeout within which sent bytes have arrived.
+// Network transit time that is assumed for the bytes of a request, as a fraction of the connect timeout.
 constexpr double kTransitFraction = 0.5;
 
 // ---- in_flight_requests, request_properties ----
-// Fixed work of a prefill or transfer, in thousands of tokens.
+// Fixed overhead of a prefill or KV-cache transfer, in thousands of tokens.
 constexpr double kPrefillOverheadKilotokens = 0.2;
-// Tokens up to which a stream is young: the quantum of the Pascal paper.
+// A stream is young until it has produced this many tokens: the scheduling quantum of the Pascal paper.
 constexpr double kYoungStreamTokens = 500;
-// Tokens of a stream in one unit of work.
+// Tokens of a stream that make one unit of work.
 constexpr double kTokensPerStreamUnit = 100;
-// Bounds of a stream's predicted units, as predictions are rough.
+// Bounds of the predicted work units of a stream. They limit the effect of inaccurate length predictions.
 constexpr double kMinStreamUnits = 0.3;
 constexpr double kMaxStreamUnits = 3.0;
 
 // ---- prefill_selector ----
-// Typical prompts that an endpoint may hold above the least loaded one, growing from the first to the second
-// with the tokens that its cache saves.
+// Load above that of the least loaded endpoint at which an endpoint is still a candidate, in typical prompts.
+// The margin grows from the minimum to the maximum with the tokens that the prefix cache saves.
 constexpr double kMinLoadMarginPrompts = 2;
 constexpr double kMaxLoadMarginPrompts = 8;
-// Power of the cells' weights by which zones share prefills; without a load signal the second.
+// Exponent applied to the cell weights when prefills are divided among zones, with and without a load signal.
 constexpr int kZoneExponent = 2;
 constexpr int kNoLoadSignalZoneExponent = 4;
 
 // ---- prefix_affinity ----
-// How many times the mean load of an endpoint one prefix may cause at a replica.
+// Load that one prefix may cause at each of its replicas, as a multiple of the mean load of an endpoint.
 constexpr double kMaxReplicaLoadFactor = 1.5;
-// Arrivals of other prefixes assumed before any is seen.
+// Prior for the total number of arrivals, so that the first arrivals of a prefix do not make it popular.
 constexpr double kSharedPrefixPriorArrivals = 10;
-// Decayed arrivals below which a shared prefix is forgotten.
+// Decayed arrival count below which a shared prefix is no longer tracked.
 constexpr double kMinPrefixArrivals = 0.05;
 
 // ---- completion_times ----
-// Time over which completion times decay.
+// Time constant of the decay of completion times.
 constexpr double kCompletionTimeConstantMs = 4000;
-// Completions that the prior of a completion time counts for.
+// Weight of the prior of a completion time, in completions.
 constexpr double kPriorCompletions = 2;
-// The low quantile of durations, and the step of its estimate.
+// The low quantile of durations that is tracked, and the step size of its estimator.
 constexpr double kLowQuantile = 0.3;
 constexpr double kQuantileStep = 0.8;
-// A typical duration is at most this many times the low quantile.
+// Upper bound of a typical duration, as a multiple of the low quantile.
 constexpr double kMaxTypicalToLowQuantileRatio = 4;
 
 // ---- attempt_timeout ----
-// A timeout is this many times the mean duration, and at least this fraction of the latency objective.
+// Attempt timeout as a multiple of the mean duration, and its minimum as a fraction of the latency objective.
 constexpr double kMeanTimeoutFactor = 6;
 constexpr double kMeanTimeoutObjectiveFraction = 0.6;
-// At a low sample rate it is this many times the low quantile, and at least a fraction of the latency
-// objective: the first one for a prefill without a load signal, else the second.
+// Attempt timeout at a low sample rate as a multiple of the low quantile, and its minimum as a fraction of
+// the latency objective: the first value for prefills without a load signal, the second for all other
+// attempts.
 constexpr double kTimeoutLowQuantileFactor = 20;
 constexpr std::array<double, 2> kMinTimeoutObjectiveFraction{2.5, 0.4};
 
 // ---- fleet_stats ----
-// Time over which rates are averaged.
+// Time constant of the decay of rates, and the age up to which a load report is recent.
 constexpr double kRateTimeConstantMs = 3000;
-// Up to this many gateways, the queues of one show enough of the load.
+// With at most this many gateways, the queues of each one reflect the load of the endpoints.
 constexpr int kMaxGatewaysAtHighSampleRate = 4;
-// Endpoints scanned for statistics in one tick, on average.
+// Average number of endpoints that are scanned for statistics per health tick.
 constexpr std::size_t kEndpointsPerStatsTick = 256;
-// Arrivals that the typical prompt lengths average over.
+// Number of arrivals over which the typical prompt lengths are averaged.
 constexpr std::uint64_t kTypicalPromptArrivals = 30;
-// Prefills that the mean of its zone counts for in a cell.
+// Weight of the zone's mean cost in the cost of a cell, in prefills.
 constexpr double kCellPriorPrefills = 3;
-// Factor by which decode endpoints raise or lower a cell's weight at most.
+// Maximum factor by which the number of decode endpoints raises or lowers the weight of a cell.
 constexpr double kMaxCellWeightFactor = 1.2;
-// Bounds of the factor by which recent prefill times change a cell's weight.
+// Bounds of the factor by which recent prefill times change the weight of a cell.
 constexpr double kMinCellCostFactor = 0.3;
 constexpr double kMaxCellCostFactor = 1.5;
-// Fraction of the latency objective that prefills are assumed to take in an unknown zone, at most.
+// Maximum cost assumed for prefills in a zone without samples, as a fraction of the latency objective.
 constexpr double kUnknownZoneObjectiveFraction = 0.1;
-// Fraction of the latency objective below which differences of prefill times matter little.
+// Added to prefill costs before they are compared, as a fraction of the latency objective. Differences
+// between costs well below it have little effect.
 constexpr double kCellCostOffsetFraction = 0.3;
 
 // ---- load_shedder ----
-// Fraction of the latency objective that may be queued for, however long the prefill.
+// Minimum of the allowed wait as a fraction of the latency objective, whatever the prefill itself takes.
 constexpr double kMinWaitObjectiveFraction = 0.3;
-// Factor by which a wait estimated from few samples may be too long.
+// Factor by which an expected wait may be overestimated where few samples are available.
 constexpr double kNoLoadSignalWaitFactor = 2;
-// Fraction of the allowed wait at which a request of no value is shed, and what the highest priority weight
-// adds.
+// Fraction of the allowed wait above which a request of value 0 is shed, and the amount that the highest
+// value adds to it.
 constexpr double kMinShedThreshold = 0.3;
 constexpr double kShedThresholdRange = 0.5;
-// Used for the highest priority weight if that is 0.
+// Lower bound of the highest priority weight, which is a divisor.
 constexpr double kMinPriorityWeight = 1e-9;
-// Requests of a tenant at once within its quota: at least the first, or what the quota allows in so many
-// seconds.
+// Size of a tenant's token bucket: at least the first value, or the requests that its quota permits in the
+// second.
 constexpr double kMinQuotaBurstRequests = 2.0;
 constexpr double kQuotaBurstSeconds = 2;
 
 // ---- retry_budget ----
 // Retries earned by each first token.
 constexpr double kRetriesPerFirstToken = 0.3;
-// Retries at the start: the first is split among the gateways, within the bounds that follow.
+// Initial retry budget: the total is divided among the gateways, and each share is kept within the bounds.
 constexpr double kInitialRetriesOfAllGateways = 40.0;
 constexpr double kMinInitialRetryBudget = 4;
 constexpr double kMaxInitialRetryBudget = 20.0;
-// Arrivals of this time cap the retry budget.
+// The retry budget is capped at the number of arrivals in this time.
 constexpr double kRetryBudgetWindowMs = 6000;
 
 // ---- request_dispatcher ----
-// Fraction of its latency objective up to which a prefill at a slow endpoint is restarted elsewhere.
+// Fraction of its latency objective up to which a prefill at a slow endpoint is migrated.
 constexpr double kMigratableObjectiveFraction = 0.8;
 
 // ---- endpoint_registry ----
-// Of a role with more endpoints than the first a choice considers the second, from the request's position on
-// the hash ring.
+// A hash ring with more endpoints than the first value is not scanned in full: the selection considers a
+// window of the second size, which starts at the request's position on the ring.
 constexpr std::size_t kMaxFullScanEndpoints = 128;
 constexpr std::size_t kCandidateWindowEndpoints = 96;
-// Time after which a removed endpoint is forgotten.
+// Time for which the state of a removed endpoint is kept.
 constexpr double kRemovedEndpointRetentionMs = 60000;
 
 // ---- health_monitor ----
-// Label of the health tick's timer; all others are serials of requests.
+// Id of the timer of the health tick. The ids of all other timers are serial numbers of requests.
 constexpr std::uint64_t kHealthTickTimerId = 0;
-// Time after which a failed poll of the endpoint list is repeated.
+// Delay after which a failed poll of the endpoint list is repeated.
 constexpr double kPollRetryDelayMs = 500;
 
 }  // namespace gorsenotch::router
