--- a/src/stats/estimators.h
+++ b/src/stats/estimators.h
@@ -6,20 +6,20 @@
 
 namespace gorsenotch::stats {
 
-// A rate of events, per ms, that decays exponentially over `span` ms.
+// A rate of events, per ms, that decays exponentially over `time_constant` ms.
 class DecayingRate {
 public:
-    explicit DecayingRate(double span) : span_(span) {}
-    double read(double now) const { return value_ * std::exp((at_ - now) / span_); }
+    explicit DecayingRate(double time_constant) : time_constant_(time_constant) {}
+    double read(double now) const { return value_ * std::exp((updated_at_ - now) / time_constant_); }
     void add(double now) {
-        value_ = read(now) + 1 / span_;
-        at_ = now;
+        value_ = read(now) + 1 / time_constant_;
+        updated_at_ = now;
     }
 
 private:
-    double span_;
+    double time_constant_;
     double value_ = 0;
-    double at_ = 0;
+    double updated_at_ = 0;
 };
 
 // Mean duration of one kind of work: time spent on it over completions, both decaying. Work in progress
@@ -27,10 +27,13 @@
 // estimate of the same form, and that one to a prior.
 class CompletionTime {
 public:
-    // `weight`: the number of completions that the prior counts for.
-    CompletionTime(double prior, double weight) : prior_(prior), weight_(weight) {}
+    // `prior_completions`: the number of completions that the prior counts for.
+    CompletionTime(double prior, double prior_completions)
+        : prior_(prior), prior_completions_(prior_completions) {}
     double prior() const { return prior_; }
-    double value() const { return (spent_ + weight_ * slow()) / (completed_ + weight_); }
+    double value() const {
+        return (spent_ + prior_completions_ * slow_value()) / (completed_ + prior_completions_);
+    }
     // Recent completions, decaying.
     double completed() const { return completed_; }
     void add_time(double time) {
@@ -41,19 +44,21 @@
         ++completed_;
         ++slow_completed_;
     }
-    // `keep` and `slow_keep`: the fractions kept of the fast and of the slow estimate.
-    void decay(double keep, double slow_keep) {
-        spent_ *= keep;
-        completed_ *= keep;
-        slow_spent_ *= slow_keep;
-        slow_completed_ *= slow_keep;
+    // `decay_factor` and `slow_decay_factor`: the fractions kept of the fast and of the slow_value estimate.
+    void decay(double decay_factor, double slow_decay_factor) {
+        spent_ *= decay_factor;
+        completed_ *= decay_factor;
+        slow_spent_ *= slow_decay_factor;
+        slow_completed_ *= slow_decay_factor;
     }
 
 private:
-    double slow() const { return (slow_spent_ + weight_ * prior_) / (slow_completed_ + weight_); }
+    double slow_value() const {
+        return (slow_spent_ + prior_completions_ * prior_) / (slow_completed_ + prior_completions_);
+    }
 
     double prior_;
-    double weight_;
+    double prior_completions_;
     double spent_ = 0;
     double completed_ = 0;
     double slow_spent_ = 0;
