--- a/src/router/attempt_timeout.cpp
+++ b/src/router/attempt_timeout.cpp
@@ -8,7 +8,7 @@
 
 // Guards against silence: a request at a dead endpoint must still meet its objective at another one. Grows
 // with the present durations, so that overload does not turn into timeouts.
-Millis AttemptTimeout::of_attempt(Millis now, const RequestState& request) const {
+Millis AttemptTimeout::compute(Millis now, const RequestState& request) const {
     const Millis time_left = request.arrival.deadline - now;
     if (request.attempt_count >= settings_.max_attempts) return time_left;
     const Stage stage = request.attempt.stage;
@@ -19,10 +19,12 @@
     }
     // A prefill that times out is done again elsewhere, so early timeouts double an overload. Does harm where
     // a prefill endpoint is silent: its prefills are late, the first one of each gateway.
-    const bool patient = stage == Stage::prefill && fleet_stats_.no_load_signal();
-    const Millis usual =
+    const bool use_longer_minimum = stage == Stage::prefill && fleet_stats_.no_load_signal();
+    const Millis quantile_timeout =
         kTimeoutLowQuantileFactor * completion_times_.low_quantile(stage) * stage_work(request, stage);
-    return std::min(time_left, std::max(usual, kMinTimeoutObjectiveFraction[patient ? 0 : 1] * objective));
+    return std::min(
+        time_left,
+        std::max(quantile_timeout, kMinTimeoutObjectiveFraction[use_longer_minimum ? 0 : 1] * objective));
 }
 
 }  // namespace gorsenotch::router
--- a/src/router/attempt_timeout.h
+++ b/src/router/attempt_timeout.h
@@ -17,7 +17,7 @@
         : settings_(settings), fleet_stats_(fleet_stats), completion_times_(completion_times) {}
 
     // The timeout of the request's attempt, which has just begun.
-    Millis of_attempt(Millis now, const RequestState& request) const;
+    Millis compute(Millis now, const RequestState& request) const;
 
 private:
     const Settings& settings_;
--- a/src/router/completion_times.cpp
+++ b/src/router/completion_times.cpp
@@ -42,14 +42,14 @@
 // no endpoint responds the mean is used. May do harm where durations differ much: the estimate is too short
 // for the longer ones.
 Millis CompletionTimes::typical(Stage stage, const RequestState& request) const {
-    const stats::CompletionTime& time = estimate(stage, request);
-    if (time.completed() < 1) return time.value();
+    const stats::CompletionTime& completion_time = estimate(stage, request);
+    if (completion_time.completed() < 1) return completion_time.value();
     const double quantile = low_quantile(stage) * (stage == Stage::prefill ? 1 : stage_work(request, stage));
-    return std::min(time.value(), kMaxTypicalToLowQuantileRatio * quantile);
+    return std::min(completion_time.value(), kMaxTypicalToLowQuantileRatio * quantile);
 }
 
-void CompletionTimes::add_time(Stage stage, const RequestState& request, Millis time) {
-    by_class_[stage][stage == Stage::prefill ? 0 : class_index(request)].add_time(time);
+void CompletionTimes::add_time(Stage stage, const RequestState& request, Millis duration) {
+    by_class_[stage][stage == Stage::prefill ? 0 : class_index(request)].add_time(duration);
 }
 
 void CompletionTimes::add_completion(Stage stage, const RequestState& request) {
@@ -59,16 +59,17 @@
 void CompletionTimes::record_stage_end(Millis now, const RequestState& request, bool done) {
     const Stage stage = request.attempt.stage;
     stats::QuantileEstimate& quantile = low_quantile_[static_cast<std::size_t>(stage)];
-    const double took = (now - request.attempt.sent_at) / stage_work(request, stage);
+    const double time_per_unit = (now - request.attempt.sent_at) / stage_work(request, stage);
     // A failed stage shows only that it would have taken longer.
-    if (done || took > quantile.value()) quantile.add(took);
+    if (done || time_per_unit > quantile.value()) quantile.add(time_per_unit);
 }
 
 void CompletionTimes::decay(Millis elapsed) {
-    const double keep = std::exp(-elapsed / kCompletionTimeConstantMs);
-    const double slow_keep = std::exp(-elapsed / kCompletionTimeConstantMs / 10);
+    const double decay_factor = std::exp(-elapsed / kCompletionTimeConstantMs);
+    const double slow_decay_factor = std::exp(-elapsed / kCompletionTimeConstantMs / 10);
     for (const Stage stage : kStages) {
-        for (stats::CompletionTime& time : by_class_[stage]) time.decay(keep, slow_keep);
+        for (stats::CompletionTime& completion_time : by_class_[stage])
+            completion_time.decay(decay_factor, slow_decay_factor);
     }
 }
 
--- a/src/router/decode_selector.cpp
+++ b/src/router/decode_selector.cpp
@@ -16,13 +16,13 @@
       random_(random) {}
 
 EndpointState* DecodeSelector::choose(Millis now, const RequestState& request, SearchScope scope) {
-    return registry_.choose_widening(scope,
-                                     [&](SearchScope wider) { return choose_among(now, request, wider); });
+    return registry_.choose_with_fallback(
+        scope, [&](SearchScope current_scope) { return choose_in_scope(now, request, current_scope); });
 }
 
-EndpointState* DecodeSelector::choose_among(Millis now, const RequestState& request, SearchScope scope) {
+EndpointState* DecodeSelector::choose_in_scope(Millis now, const RequestState& request, SearchScope scope) {
     const EndpointState* prefill_endpoint =
-        request.lease_held ? registry_.find(request.prefill_endpoint) : nullptr;
+        request.has_kv_lease ? registry_.find(request.prefill_endpoint) : nullptr;
     const EndpointRing& ring = registry_.decode_capable();
     const bool windowed = ring.size() > kMaxFullScanEndpoints && scope == SearchScope::window;
     std::uint64_t cell = 0;
@@ -46,7 +46,7 @@
             if (strict && !Eligibility::has_capacity(*endpoint)) continue;
             const PerStage<int>& in_flight = endpoint->load.in_flight;
             int queued = in_flight[Stage::decode_queued] + in_flight[Stage::prefill];
-            if (!strict) queued += in_flight_requests_.young_streams(now, *endpoint);
+            if (!strict) queued += in_flight_requests_.count_young_streams(now, *endpoint);
             eligible.push_back({queued, endpoint});
         }
         if (!eligible.empty()) break;
@@ -87,23 +87,23 @@
 }
 
 // The cell whose decode endpoints are preferred for a KV cache at this prefill endpoint: its own, as far as
-// its share of the decode endpoints covers its prefills; otherwise one with spare decode endpoints, those of
-// the same zone counting double. Guards against few decode endpoints that get all the work of many prefill
-// endpoints nearby. May do harm where links between cells are slow.
+// its share of the decode endpoints covers its prefills; otherwise one with spare_decode_share decode
+// endpoints, those of the same zone counting double. Guards against few decode endpoints that get all the
+// work of many prefill endpoints nearby. May do harm where links between cells are slow.
 std::uint64_t DecodeSelector::choose_decode_cell(const EndpointState& prefill_endpoint) {
     const std::uint64_t own_cell = prefill_endpoint.info.cell;
     const Cell& own = fleet_stats_.cell(own_cell);
     if (!fleet_stats_.low_sample_rate() || random_.next() * own.prefill_share <= own.decode_share)
         return own_cell;
-    const auto spare = [&](const Cell& cell) {
+    const auto spare_decode_share = [&](const Cell& cell) {
         return std::max(0.0, cell.decode_share - cell.prefill_share) *
                (cell.zone == prefill_endpoint.info.zone ? 2 : 1);
     };
     double remaining = 0;
-    for (const auto& [id, cell] : fleet_stats_.cells()) remaining += spare(cell);
+    for (const auto& [id, cell] : fleet_stats_.cells()) remaining += spare_decode_share(cell);
     remaining *= random_.next();
     for (const auto& [id, cell] : fleet_stats_.cells()) {
-        remaining -= spare(cell);
+        remaining -= spare_decode_share(cell);
         if (remaining < 0) return id;
     }
     return own_cell;
--- a/src/router/decode_selector.h
+++ b/src/router/decode_selector.h
@@ -33,7 +33,7 @@
         EndpointState* endpoint;
     };
 
-    EndpointState* choose_among(Millis now, const RequestState& request, SearchScope scope);
+    EndpointState* choose_in_scope(Millis now, const RequestState& request, SearchScope scope);
     std::vector<QueuedEndpoint> eligible_endpoints(Millis now, const RequestState& request,
                                                    const std::vector<EndpointState*>& candidates) const;
     EndpointState* choose_of_shortest_queues(const std::vector<QueuedEndpoint>& eligible,
--- a/src/router/endpoint_registry.cpp
+++ b/src/router/endpoint_registry.cpp
@@ -8,12 +8,12 @@
     if (update.kind != EndpointUpdate::Kind::incremental) mark_all_removed();
     for (const Endpoint& listed : update.endpoints) {
         if (listed.kind < 0 || listed.kind >= static_cast<int>(settings_.kinds.size())) continue;
-        const auto [position, added] = endpoints_.try_emplace(listed.id);
-        EndpointState& endpoint = position->second;
+        const auto [inserted, added] = endpoints_.try_emplace(listed.id);
+        EndpointState& endpoint = inserted->second;
         remove_from_rings(endpoint);
         if (added || listed.started_at > endpoint.info.started_at) reset_after_restart(now, endpoint, listed);
         endpoint.info = listed;
-        endpoint.last_listed = now;
+        endpoint.last_listed_at = now;
         endpoint.role = settings_.kinds[static_cast<std::size_t>(listed.kind)].role;
         if (listed.status == EndpointStatus::healthy) add_to_rings(endpoint);
     }
@@ -34,7 +34,7 @@
     endpoint.health.error_rate = 0;
     endpoint.health.slowness_evidence = {};
     endpoint.health.last_class_failure.assign(settings_.classes.size(), -kNever);
-    endpoint.load.tokens_held_by_others = 0;
+    endpoint.load.tokens_used_by_others = 0;
     endpoint.load.last_report_at = -kNever;
     endpoint.load.memory_utilization = -1;
     // A start in the future, where a clock is wrong, counts as now: it would get no requests until then.
@@ -62,16 +62,16 @@
     EndpointLoad& load = endpoint.load;
     load.memory_utilization = report.memory_utilization;
     load.last_report_at = now;
-    load.tokens_held_by_others =
+    load.tokens_used_by_others =
         std::max(0.0, report.memory_utilization * memory_capacity(endpoint) - load.reserved_tokens);
     return true;
 }
 
-void EndpointRegistry::forget_removed(Millis now) {
+void EndpointRegistry::erase_removed(Millis now) {
     std::erase_if(endpoints_, [now](const auto& entry) {
         const EndpointState& endpoint = entry.second;
         return endpoint.info.status == EndpointStatus::removed &&
-               now - endpoint.last_listed > kRemovedEndpointRetentionMs &&
+               now - endpoint.last_listed_at > kRemovedEndpointRetentionMs &&
                endpoint.load.in_flight_total() == 0;
     });
 }
@@ -83,8 +83,8 @@
 }
 
 double EndpointRegistry::memory_capacity(const EndpointState& endpoint) const {
-    const double of_kind = settings_.kinds[static_cast<std::size_t>(endpoint.info.kind)].memory_tokens;
-    return std::max(1.0, of_kind) * (endpoint.info.weight > 0 ? endpoint.info.weight : 1);
+    const double kind_capacity = settings_.kinds[static_cast<std::size_t>(endpoint.info.kind)].memory_tokens;
+    return std::max(1.0, kind_capacity) * (endpoint.info.weight > 0 ? endpoint.info.weight : 1);
 }
 
 const std::vector<EndpointState*>& EndpointRegistry::candidates(const EndpointRing& ring, std::uint64_t key,
--- a/src/router/endpoint_registry.h
+++ b/src/router/endpoint_registry.h
@@ -19,7 +19,7 @@
 
 // Owns the EndpointState of each endpoint and the hash rings of the healthy ones. It alone adds, updates and
 // removes endpoints; records.h names who changes the parts of an EndpointState. Pointers to an EndpointState
-// are valid until forget_removed().
+// are valid until erase_removed().
 class EndpointRegistry {
 public:
     // `settings` must outlive this object.
@@ -31,7 +31,7 @@
     bool apply_load_report(Millis now, EndpointState& endpoint, const LoadReport& report) const;
     // Forgets endpoints that were removed long ago and have no attempt in flight. Guards against memory that
     // grows with each endpoint ever listed.
-    void forget_removed(Millis now);
+    void erase_removed(Millis now);
 
     // nullptr if unknown.
     EndpointState* find(EndpointId id) {
@@ -54,7 +54,7 @@
     // The endpoints of a ring that a choice considers, in `window` if not all. A window starts at the ring
     // position of `key`, so that gateways with the same list get the same one. Guards against a cost of each
     // request that grows with the fleet. May do harm where few endpoints of a window are eligible, hence
-    // choose_widening().
+    // choose_with_fallback().
     static const std::vector<EndpointState*>& candidates(const EndpointRing& ring, std::uint64_t key,
                                                          SearchScope scope,
                                                          std::vector<EndpointState*>& window);
@@ -62,7 +62,7 @@
     // Makes a choice in `scope` and, where that finds nothing in a large fleet, among all endpoints.
     // `choose` takes a SearchScope and returns an EndpointState* or nullptr.
     template <class Choose>
-    EndpointState* choose_widening(SearchScope scope, Choose choose) const {
+    EndpointState* choose_with_fallback(SearchScope scope, Choose choose) const {
         EndpointState* chosen = choose(scope);
         if (chosen || scope == SearchScope::all || endpoints_.size() <= kMaxFullScanEndpoints) return chosen;
         return choose(SearchScope::all);
--- a/src/router/fleet_stats.cpp
+++ b/src/router/fleet_stats.cpp
@@ -36,7 +36,7 @@
     if (!is_prefill && prefill_endpoint->info.cell == endpoint->info.cell) return;
     Cell& cell = cells_[prefill_endpoint->info.cell];
     // Without a load signal an abandoned stage counts as a complete objective.
-    cell.objective_spent +=
+    cell.objective_fraction_sum +=
         done || !no_load_signal()
             ? std::min(1.0, (now - attempt.sent_at) / latency_objective(settings_, request))
             : 1;
@@ -70,17 +70,17 @@
 }
 
 FleetStats::CostsByZone FleetStats::decay_cells(Millis elapsed) {
-    const double keep = std::exp(-elapsed / kCompletionTimeConstantMs / 3);
+    const double decay_factor = std::exp(-elapsed / kCompletionTimeConstantMs / 3);
     CostsByZone costs;
     for (auto& [id, cell] : cells_) {
-        cell.objective_spent *= keep;
-        cell.prefills *= keep;
+        cell.objective_fraction_sum *= decay_factor;
+        cell.prefills *= decay_factor;
         cell.prefill_share = 0;
         cell.decode_share = 0;
-        costs.total.objective_spent += cell.objective_spent;
+        costs.total.objective_fraction_sum += cell.objective_fraction_sum;
         costs.total.prefills += cell.prefills;
         PrefillCost& zone = costs.zones[cell.zone];
-        zone.objective_spent += cell.objective_spent;
+        zone.objective_fraction_sum += cell.objective_fraction_sum;
         zone.prefills += cell.prefills;
     }
     return costs;
@@ -122,7 +122,7 @@
     const double prefill_endpoints = counts.listed[Role::prefill];
     const double decode_endpoints = counts.listed[Role::decode] + counts.listed[Role::mixed];
     const double mean_cost =
-        costs.total.prefills > 0 ? costs.total.objective_spent / costs.total.prefills : 0;
+        costs.total.prefills > 0 ? costs.total.objective_fraction_sum / costs.total.prefills : 0;
     // A cell without prefills is assumed to be as its zone, and a zone without any to be fast: otherwise a
     // gateway whose own zone is overloaded never tries another one.
     const double assumed_cost = kCellPriorPrefills * std::min(mean_cost, kUnknownZoneObjectiveFraction);
@@ -131,14 +131,16 @@
         cell.decode_share /= std::max(1.0, decode_endpoints);
         if (cell.prefill_share <= 0) continue;
         const PrefillCost& zone = costs.zones[cell.zone];  // none yet in a new zone
-        const double zone_cost = (zone.objective_spent + assumed_cost) / (zone.prefills + kCellPriorPrefills);
-        const double cell_cost =
-            (cell.objective_spent + kCellPriorPrefills * zone_cost) / (cell.prefills + kCellPriorPrefills);
-        const double by_decode_endpoints =
+        const double zone_cost =
+            (zone.objective_fraction_sum + assumed_cost) / (zone.prefills + kCellPriorPrefills);
+        const double cell_cost = (cell.objective_fraction_sum + kCellPriorPrefills * zone_cost) /
+                                 (cell.prefills + kCellPriorPrefills);
+        const double decode_endpoint_factor =
             0.5 + 0.5 * cell.decode_share * prefill_endpoints / cell.prefill_share;
-        const double by_cost = (kCellCostOffsetFraction + mean_cost) / (kCellCostOffsetFraction + cell_cost);
-        cell.weight = std::clamp(by_decode_endpoints, 1 / kMaxCellWeightFactor, kMaxCellWeightFactor) *
-                      std::clamp(by_cost, kMinCellCostFactor, kMaxCellCostFactor);
+        const double cost_factor =
+            (kCellCostOffsetFraction + mean_cost) / (kCellCostOffsetFraction + cell_cost);
+        cell.weight = std::clamp(decode_endpoint_factor, 1 / kMaxCellWeightFactor, kMaxCellWeightFactor) *
+                      std::clamp(cost_factor, kMinCellCostFactor, kMaxCellCostFactor);
         cell.prefill_share *= cell.weight;
         total_share += cell.prefill_share;
     }
--- a/src/router/fleet_stats.h
+++ b/src/router/fleet_stats.h
@@ -59,7 +59,7 @@
 private:
     // Prefills and what they took of their objectives, in one zone or all.
     struct PrefillCost {
-        double objective_spent = 0;
+        double objective_fraction_sum = 0;
         double prefills = 0;
     };
     struct CostsByZone {
--- a/src/router/health_monitor.cpp
+++ b/src/router/health_monitor.cpp
@@ -40,7 +40,7 @@
     const Millis elapsed = now - last_tick_;
     last_tick_ = now;
     const auto delayed_stages = record_pending_attempts(now, elapsed);
-    if (services_.fleet_stats.refresh_if_due(now, services_.registry)) services_.registry.forget_removed(now);
+    if (services_.fleet_stats.refresh_if_due(now, services_.registry)) services_.registry.erase_removed(now);
     services_.prefix_affinity.decay(elapsed);
     services_.completion_times.decay(elapsed);
     services_.abandoned_prefills.expire(now);
--- a/src/router/in_flight_requests.cpp
+++ b/src/router/in_flight_requests.cpp
@@ -16,7 +16,7 @@
 }
 
 void InFlightRequests::erase(RequestState& request) {
-    set_lease_held(request, false);
+    set_kv_lease(request, false);
     id_by_serial_.erase(request.serial);
     by_id_.erase(RequestId(request.arrival.request));  // a copy: the key is destroyed meanwhile
 }
@@ -38,11 +38,11 @@
     AttemptState& attempt = request.attempt;
     attempt.in_flight = true;
     attempt.cancelled = false;
-    attempt.stalled_meanwhile = false;
+    attempt.spans_gateway_stall = false;
     attempt.stage = stage;
     attempt.endpoint = endpoint.info.id;
     attempt.sent_at = now;
-    attempt.first_sent_at = now;
+    attempt.original_sent_at = now;
     attempt.work_units = endpoint.load.in_flight[Stage::decode_queued];  // this one included
     if (stage == Stage::prefill) {
         endpoint.load.reserved_tokens += request.arrival.prompt_tokens;
@@ -55,13 +55,14 @@
     remove_load(endpoint, request);
     AttemptState& attempt = request.attempt;
     attempt.stage = Stage::streaming;
-    const Millis pace = class_of(settings_, request).inter_token_objective;
-    const Millis predicted = request.arrival.length_hint;
-    attempt.work_units = predicted > 0 && pace > 0 ? std::clamp(predicted / pace / kTokensPerStreamUnit,
-                                                                kMinStreamUnits, kMaxStreamUnits)
-                                                   : 1;
+    const Millis inter_token_time = class_of(settings_, request).inter_token_objective;
+    const Millis predicted_duration = request.arrival.length_hint;
+    attempt.work_units = predicted_duration > 0 && inter_token_time > 0
+                             ? std::clamp(predicted_duration / inter_token_time / kTokensPerStreamUnit,
+                                          kMinStreamUnits, kMaxStreamUnits)
+                             : 1;
     ++endpoint.load.in_flight[Stage::streaming];
-    attempt.stage_since = now;
+    attempt.stream_started_at = now;
 }
 
 void InFlightRequests::end_attempt(RequestState& request) const {
@@ -77,27 +78,27 @@
     load.queued_kilotokens -= uncached_kilotokens(request);
 }
 
-void InFlightRequests::set_lease_held(RequestState& request, bool held) const {
-    if (request.lease_held == held) return;
-    request.lease_held = held;
+void InFlightRequests::set_kv_lease(RequestState& request, bool has_lease) const {
+    if (request.has_kv_lease == has_lease) return;
+    request.has_kv_lease = has_lease;
     const double tokens = request.arrival.prompt_tokens;
     if (EndpointState* endpoint = registry_.find(request.prefill_endpoint))
-        endpoint->load.reserved_tokens += held ? tokens : -tokens;
+        endpoint->load.reserved_tokens += has_lease ? tokens : -tokens;
 }
 
-int InFlightRequests::young_streams(Millis now, const EndpointState& endpoint) const {
-    int young = 0;
+int InFlightRequests::count_young_streams(Millis now, const EndpointState& endpoint) const {
+    int young_streams = 0;
     for (const auto& [id, request] : by_id_) {
         const AttemptState& attempt = request.attempt;
         if (!attempt.in_flight || attempt.stage != Stage::streaming || attempt.endpoint != endpoint.info.id)
             continue;
-        const Millis pace = class_of(settings_, request).inter_token_objective;
-        young += now - attempt.stage_since < kYoungStreamTokens * pace;
+        const Millis inter_token_time = class_of(settings_, request).inter_token_objective;
+        young_streams += now - attempt.stream_started_at < kYoungStreamTokens * inter_token_time;
     }
-    return young;
+    return young_streams;
 }
 
-double InFlightRequests::count_before_stream() const {
+double InFlightRequests::count_not_streaming() const {
     double count = 0;
     for (const auto& [id, request] : by_id_) {
         const AttemptState& attempt = request.attempt;
@@ -112,8 +113,8 @@
         AttemptState& attempt = request.attempt;
         if (!attempt.in_flight) continue;
         attempt.sent_at = std::min(now, attempt.sent_at + stalled_for);
-        attempt.stage_since = std::min(now, attempt.stage_since + stalled_for);
-        attempt.stalled_meanwhile = true;
+        attempt.stream_started_at = std::min(now, attempt.stream_started_at + stalled_for);
+        attempt.spans_gateway_stall = true;
     }
 }
 
--- a/src/router/in_flight_requests.h
+++ b/src/router/in_flight_requests.h
@@ -35,12 +35,12 @@
     void begin_stream(Millis now, RequestState& request, EndpointState& endpoint) const;
     void end_attempt(RequestState& request) const;
     // Records whether the prefill endpoint holds the request's KV cache.
-    void set_lease_held(RequestState& request, bool held) const;
+    void set_kv_lease(RequestState& request, bool has_lease) const;
 
     // Own streams at the endpoint that have produced few tokens, at the wanted pace.
-    int young_streams(Millis now, const EndpointState& endpoint) const;
+    int count_young_streams(Millis now, const EndpointState& endpoint) const;
     // Attempts at known endpoints that are not streaming yet.
-    double count_before_stream() const;
+    double count_not_streaming() const;
     // Takes a stall of this gateway out of the age of all attempts in flight.
     void on_stall(Millis now, Millis stalled_for);
 
--- a/src/router/load_shedder.cpp
+++ b/src/router/load_shedder.cpp
@@ -20,26 +20,27 @@
 // The closer the expected wait is to the latency objective, the higher the value a request needs.
 bool LoadShedder::should_shed(Millis now, const RequestState& request) {
     double value = class_of(settings_, request).priority_weight / max_priority_weight_;
-    if (!take_from_quota(now, request)) value *= settings_.over_quota_weight;
+    if (!consume_quota(now, request)) value *= settings_.over_quota_weight;
     if (request.arrival.resumed) return false;
     // The time of its own prefill is no queue. Guards against long prompts rejected whatever the load.
     const double own_kilotokens = uncached_kilotokens(request);
-    const Millis pace = std::min(completion_times_.low_quantile(Stage::prefill),
-                                 completion_times_.mean(Stage::prefill, request));
+    const Millis ms_per_kilotoken = std::min(completion_times_.low_quantile(Stage::prefill),
+                                             completion_times_.mean(Stage::prefill, request));
     const Millis objective = latency_objective(settings_, request);
     const Millis allowed_wait =
-        std::max(objective - pace * own_kilotokens, kMinWaitObjectiveFraction * objective);
-    const Millis queueing = wait_estimator_.expected_wait(now, request) -
-                            pace * std::min(own_kilotokens, fleet_stats_.typical_uncached_kilotokens());
+        std::max(objective - ms_per_kilotoken * own_kilotokens, kMinWaitObjectiveFraction * objective);
+    const Millis queue_wait =
+        wait_estimator_.expected_wait(now, request) -
+        ms_per_kilotoken * std::min(own_kilotokens, fleet_stats_.typical_uncached_kilotokens());
     // Guards against a gateway that used one overloaded endpoint and rejects requests while others are idle:
     // at a low sample rate its estimate may be twice the truth. May do harm by late answers where all are
     // overloaded.
     const double tolerance = fleet_stats_.no_load_signal() ? kNoLoadSignalWaitFactor : 1;
-    return queueing > tolerance * allowed_wait * (kMinShedThreshold + kShedThresholdRange * value);
+    return queue_wait > tolerance * allowed_wait * (kMinShedThreshold + kShedThresholdRange * value);
 }
 
 // Whether the request is within its tenant's quota, or its tenant has none.
-bool LoadShedder::take_from_quota(Millis now, const RequestState& request) {
+bool LoadShedder::consume_quota(Millis now, const RequestState& request) {
     const auto tenant = static_cast<std::size_t>(request.arrival.tenant);
     if (request.arrival.tenant < 0 || tenant >= quotas_.size()) return true;
     const TenantSettings& tenant_settings = settings_.tenants[tenant];
--- a/src/router/load_shedder.h
+++ b/src/router/load_shedder.h
@@ -28,7 +28,7 @@
         Millis updated_at = 0;
     };
 
-    bool take_from_quota(Millis now, const RequestState& request);
+    bool consume_quota(Millis now, const RequestState& request);
     double quota_burst(const TenantSettings& tenant) const;
 
     const Settings& settings_;
--- a/src/router/outlier_detector.cpp
+++ b/src/router/outlier_detector.cpp
@@ -50,7 +50,7 @@
         case AttemptResult::error:
             return record_failure(now, endpoint, request, ended.result, sent_before_ejection);
         case AttemptResult::cancelled:
-            if (attempt.cancelled && !attempt.stalled_meanwhile)
+            if (attempt.cancelled && !attempt.spans_gateway_stall)
                 health.last_class_failure[class_index(request)] = now;
             return;
         case AttemptResult::not_sent:
@@ -122,7 +122,7 @@
     const AttemptState& attempt = request.attempt;
     const Stage stage = attempt.stage;
     const Millis expected = completion_times_.expected(stage, request);
-    const Millis age = now - (stage == Stage::streaming ? attempt.stage_since : attempt.sent_at);
+    const Millis age = now - (stage == Stage::streaming ? attempt.stream_started_at : attempt.sent_at);
     // A stream much older than expected shows a long answer, no longer a slow endpoint.
     if (age < 3 * expected || stage != Stage::streaming) {
         double& evidence = endpoint.health.slowness_evidence[stage];
--- a/src/router/prefill_selector.cpp
+++ b/src/router/prefill_selector.cpp
@@ -27,17 +27,17 @@
       random_(random) {}
 
 EndpointState* PrefillSelector::choose(Millis now, const RequestState& request) {
-    return registry_.choose_widening(SearchScope::window,
-                                     [&](SearchScope scope) { return choose_among(now, request, scope); });
+    return registry_.choose_with_fallback(
+        SearchScope::window, [&](SearchScope scope) { return choose_in_scope(now, request, scope); });
 }
 
-EndpointState* PrefillSelector::choose_among(Millis now, const RequestState& request, SearchScope scope) {
+EndpointState* PrefillSelector::choose_in_scope(Millis now, const RequestState& request, SearchScope scope) {
     const EndpointRing& ring = registry_.with_role(Role::prefill);
     const std::vector<EndpointState*>& candidates = EndpointRegistry::candidates(
         ring, prefix_affinity_.prefill_window_key(request), scope, prefill_window_);
     const std::vector<EndpointState*> endpoints = eligible_endpoints(now, request, scope, candidates);
     if (endpoints.empty()) return nullptr;
-    const std::vector<LoadedEndpoint> eligible = with_loads(now, endpoints);
+    const std::vector<LoadedEndpoint> eligible = compute_loads(now, endpoints);
     const std::vector<EndpointState*> within_margin = within_load_margin(request, eligible);
     const std::uint64_t key = prefix_affinity_.affinity_key(request);
     if (!key) return choose_least_loaded(eligible, within_margin);
@@ -92,84 +92,84 @@
     return eligible;
 }
 
-// The share of its memory that each endpoint uses, by own requests and, as far as reported, by others;
-// without a recent report the mean of the others.
-std::vector<PrefillSelector::LoadedEndpoint> PrefillSelector::with_loads(
+// The endpoint_weight of its memory that each endpoint uses, by own requests and, as far as reported, by
+// others; without a recent report the mean of the others.
+std::vector<PrefillSelector::LoadedEndpoint> PrefillSelector::compute_loads(
     Millis now, const std::vector<EndpointState*>& eligible) const {
     const auto is_recent = [now](const EndpointState& endpoint) {
         return now - endpoint.load.last_report_at < kRateTimeConstantMs;
     };
-    double reported_sum = 0;
-    double reports = 0;
+    double reported_used_sum = 0;
+    double recent_reports = 0;
     for (const EndpointState* endpoint : eligible) {
         if (!is_recent(*endpoint)) continue;
-        reported_sum += endpoint->load.tokens_held_by_others / registry_.memory_capacity(*endpoint);
-        ++reports;
+        reported_used_sum += endpoint->load.tokens_used_by_others / registry_.memory_capacity(*endpoint);
+        ++recent_reports;
     }
-    const double mean_of_others = reports > 0 ? reported_sum / reports : 0;
+    const double mean_used_by_others = recent_reports > 0 ? reported_used_sum / recent_reports : 0;
     std::vector<LoadedEndpoint> loaded;
     for (EndpointState* endpoint : eligible) {
         const double capacity = registry_.memory_capacity(*endpoint);
-        const double by_others =
-            is_recent(*endpoint) ? endpoint->load.tokens_held_by_others / capacity : mean_of_others;
-        loaded.push_back({by_others + endpoint->load.reserved_tokens / capacity, endpoint});
+        const double used_by_others =
+            is_recent(*endpoint) ? endpoint->load.tokens_used_by_others / capacity : mean_used_by_others;
+        loaded.push_back({used_by_others + endpoint->load.reserved_tokens / capacity, endpoint});
     }
     return loaded;
 }
 
-// The endpoints within a margin of the least load, in the own zone or outside.
+// The endpoints within a margin of the lowest_load load, in the own zone or outside.
 std::vector<EndpointState*> PrefillSelector::within_load_margin(
     const RequestState& request, const std::vector<LoadedEndpoint>& eligible) const {
     double sum = 0;
-    double least = eligible[0].load;
+    double lowest_load = eligible[0].load;
     for (const LoadedEndpoint& candidate : eligible) {
         sum += candidate.load;
-        least = std::min(least, candidate.load);
+        lowest_load = std::min(lowest_load, candidate.load);
     }
-    // At a low sample rate few loads are known, and the least of these must not draw all prompts from where
-    // their prefixes are cached.
-    if (fleet_stats_.low_sample_rate()) least = sum / static_cast<double>(eligible.size());
+    // At a low sample rate few loads are known, and the lowest_load of these must not session_fraction all
+    // prompts from where their prefixes are cached.
+    if (fleet_stats_.low_sample_rate()) lowest_load = sum / static_cast<double>(eligible.size());
     // A prompt is processed in full at an endpoint that does not cache its prefix, so the margin grows with
     // what the cache saves. Otherwise the first overload spreads the prefixes, each prefill takes longer and
     // the overload persists.
-    const double saved_factor =
+    const double margin_prompts =
         std::clamp(request.arrival.prompt_tokens / (1000 * uncached_kilotokens(request)),
                    kMinLoadMarginPrompts, kMaxLoadMarginPrompts);
-    const double prompt_load =
+    const double typical_prompt_load =
         fleet_stats_.typical_prompt_tokens() / registry_.memory_capacity(*eligible[0].endpoint);
     std::vector<EndpointState*> within_margin;
     bool own_zone_has_capacity = false;
     for (const auto& [load, endpoint] : eligible) {
-        if (load > least + saved_factor * prompt_load) continue;
+        if (load > lowest_load + margin_prompts * typical_prompt_load) continue;
         within_margin.push_back(endpoint);
         // The margin for the own zone is narrower: it may have few endpoints, which its gateways would
         // overload.
-        own_zone_has_capacity |=
-            endpoint->info.zone == settings_.own_zone && load <= least + kMinLoadMarginPrompts * prompt_load;
+        own_zone_has_capacity |= endpoint->info.zone == settings_.own_zone &&
+                                 load <= lowest_load + kMinLoadMarginPrompts * typical_prompt_load;
     }
-    if (own_zone_has_capacity) prefer_own_zone(request, eligible, within_margin);
+    if (own_zone_has_capacity) filter_by_zone(request, eligible, within_margin);
     return within_margin;
 }
 
 // Keeps the endpoints of the own zone, or only the others. At a low sample rate a zone keeps only as many
-// sessions as its share of the endpoints covers, assuming the same load in each zone. Guards against overload
-// in a zone with few endpoints while others are idle.
-void PrefillSelector::prefer_own_zone(const RequestState& request,
-                                      const std::vector<LoadedEndpoint>& eligible,
-                                      std::vector<EndpointState*>& within_margin) const {
+// sessions as its endpoint_weight of the endpoints covers, assuming the same load in each zone. Guards
+// against overload in a zone with few endpoints while others are idle.
+void PrefillSelector::filter_by_zone(const RequestState& request, const std::vector<LoadedEndpoint>& eligible,
+                                     std::vector<EndpointState*>& within_margin) const {
     const int exponent = fleet_stats_.no_load_signal() ? kNoLoadSignalZoneExponent : kZoneExponent;
-    double own_share = 0;
-    double all_shares = 0;
+    double own_zone_weight = 0;
+    double total_weight = 0;
     for (const LoadedEndpoint& candidate : eligible) {
         const EndpointState& endpoint = *candidate.endpoint;
-        const double share = std::pow(fleet_stats_.prefill_weight(endpoint), exponent);
-        all_shares += share;
-        own_share += endpoint.info.zone == settings_.own_zone ? share : 0;
+        const double endpoint_weight = std::pow(fleet_stats_.prefill_weight(endpoint), exponent);
+        total_weight += endpoint_weight;
+        own_zone_weight += endpoint.info.zone == settings_.own_zone ? endpoint_weight : 0;
     }
-    const double draw = stats::hash_fraction(request.arrival.session, kZoneSalt);
-    const bool stays = !fleet_stats_.low_sample_rate() || draw * all_shares <= own_share * settings_.zones;
+    const double session_fraction = stats::hash_fraction(request.arrival.session, kZoneSalt);
+    const bool use_own_zone = !fleet_stats_.low_sample_rate() ||
+                              session_fraction * total_weight <= own_zone_weight * settings_.zones;
     const auto not_preferred = [&](const EndpointState* endpoint) {
-        return (endpoint->info.zone == settings_.own_zone) != stays;
+        return (endpoint->info.zone == settings_.own_zone) != use_own_zone;
     };
     if (!std::all_of(within_margin.begin(), within_margin.end(), not_preferred))
         std::erase_if(within_margin, not_preferred);
--- a/src/router/prefill_selector.h
+++ b/src/router/prefill_selector.h
@@ -33,16 +33,16 @@
         EndpointState* endpoint;
     };
 
-    EndpointState* choose_among(Millis now, const RequestState& request, SearchScope scope);
+    EndpointState* choose_in_scope(Millis now, const RequestState& request, SearchScope scope);
     EndpointState* choose_least_loaded(const std::vector<LoadedEndpoint>& eligible,
                                        const std::vector<EndpointState*>& within_margin);
     std::vector<EndpointState*> eligible_endpoints(Millis now, const RequestState& request, SearchScope scope,
                                                    const std::vector<EndpointState*>& candidates);
-    std::vector<LoadedEndpoint> with_loads(Millis now, const std::vector<EndpointState*>& eligible) const;
+    std::vector<LoadedEndpoint> compute_loads(Millis now, const std::vector<EndpointState*>& eligible) const;
     std::vector<EndpointState*> within_load_margin(const RequestState& request,
                                                    const std::vector<LoadedEndpoint>& eligible) const;
-    void prefer_own_zone(const RequestState& request, const std::vector<LoadedEndpoint>& eligible,
-                         std::vector<EndpointState*>& within_margin) const;
+    void filter_by_zone(const RequestState& request, const std::vector<LoadedEndpoint>& eligible,
+                        std::vector<EndpointState*>& within_margin) const;
 
     const Settings& settings_;
     const EndpointRegistry& registry_;
--- a/src/router/prefix_affinity.cpp
+++ b/src/router/prefix_affinity.cpp
@@ -29,9 +29,9 @@
 }
 
 void PrefixAffinity::decay(Millis elapsed) {
-    const double keep = std::exp(-elapsed / kCompletionTimeConstantMs / 10);
-    arrivals_ *= keep;
-    for (auto& [prefix, count] : arrivals_by_prefix_) count *= keep;
+    const double decay_factor = std::exp(-elapsed / kCompletionTimeConstantMs / 10);
+    arrivals_ *= decay_factor;
+    for (auto& [prefix, count] : arrivals_by_prefix_) count *= decay_factor;
     std::erase_if(arrivals_by_prefix_, [](const auto& entry) { return entry.second < kMinPrefixArrivals; });
 }
 
@@ -59,16 +59,16 @@
                                       std::size_t usable) const {
     std::vector<ScoredEndpoint> ranking;
     for (EndpointState* endpoint : candidates) {
-        const double draw = stats::hash_fraction(key, endpoint->info.id) + 1e-18;
-        ranking.push_back({-std::log(draw) / fleet_stats_.prefill_weight(*endpoint), endpoint});
+        const double endpoint_fraction = stats::hash_fraction(key, endpoint->info.id) + 1e-18;
+        ranking.push_back({-std::log(endpoint_fraction) / fleet_stats_.prefill_weight(*endpoint), endpoint});
     }
     const std::size_t replicas =
         has_session_affinity(request)
             ? 1
             : std::min(ranking.size(), affinity_replicas(request.arrival.shared_prefix, usable));
     // A session keeps its rank among the replicas.
-    const double rank_draw = stats::hash_fraction(request.arrival.session, kReplicaRankSalt);
-    const auto rank = static_cast<std::ptrdiff_t>(rank_draw * static_cast<double>(replicas));
+    const double session_fraction = stats::hash_fraction(request.arrival.session, kReplicaRankSalt);
+    const auto rank = static_cast<std::ptrdiff_t>(session_fraction * static_cast<double>(replicas));
     const auto chosen = ranking.begin() + rank;
     std::nth_element(ranking.begin(), chosen, ranking.end(), precedes);
     return chosen->endpoint;
@@ -79,9 +79,9 @@
 // multiple of the mean load. May do harm by prefixes processed once at each replica.
 std::size_t PrefixAffinity::affinity_replicas(std::uint64_t prefix, std::size_t endpoints) const {
     if (!fleet_stats_.low_sample_rate()) return 1;
-    const auto found = arrivals_by_prefix_.find(prefix);
-    if (found == arrivals_by_prefix_.end()) return 1;
-    const double share = (found->second - 1) / (kSharedPrefixPriorArrivals + arrivals_);
+    const auto tracked = arrivals_by_prefix_.find(prefix);
+    if (tracked == arrivals_by_prefix_.end()) return 1;
+    const double share = (tracked->second - 1) / (kSharedPrefixPriorArrivals + arrivals_);
     return 1 + static_cast<std::size_t>(share * static_cast<double>(endpoints) / kMaxReplicaLoadFactor);
 }
 
--- a/src/router/records.h
+++ b/src/router/records.h
@@ -51,7 +51,7 @@
     double queued_kilotokens = 0;  // own prefills: thousands of tokens not expected in the KV cache
     double reserved_tokens = 0;    // tokens of own prefills and KV-cache leases, abandoned prefills included
     std::deque<AbandonedPrefill> abandoned_prefills;
-    double tokens_held_by_others = 0;  // KV cache used by other gateways, by the latest report
+    double tokens_used_by_others = 0;  // KV cache used by other gateways, by the latest report
     Millis last_report_at = -kNever;
     double memory_utilization = -1;  // by the latest report; -1 before the first
 
@@ -87,7 +87,7 @@
 struct EndpointState {
     Endpoint info;  // as listed
     Role role = Role::mixed;
-    Millis last_listed = 0;
+    Millis last_listed_at = 0;
     Millis warming_since = -kNever;  // start of the slow start: as listed, or when it became reachable again
     EndpointLoad load;
     EndpointHealth health;
@@ -99,23 +99,24 @@
 // A cell of endpoints with fast links among them. Owned by FleetStats.
 struct Cell {
     int zone = 0;
-    double prefill_share = 0;    // of all prefills, as expected from the endpoints listed
-    double decode_share = 0;     // of the endpoints that can decode
-    double weight = 1;           // of its prefill endpoints in a choice
-    double objective_spent = 0;  // sum of the fractions of latency objectives spent on prefills; decays
-    double prefills = 0;         // number of these prefills; decays
+    double prefill_share = 0;  // of all prefills, as expected from the endpoints listed
+    double decode_share = 0;   // of the endpoints that can decode
+    double weight = 1;         // of its prefill endpoints in a choice
+    double objective_fraction_sum =
+        0;                // sum of the fractions of latency objectives spent on prefills; decays
+    double prefills = 0;  // number of these prefills; decays
 };
 
 // The latest attempt of a request.
 struct AttemptState {
     bool in_flight = false;
     bool cancelled = false;
-    bool stalled_meanwhile = false;  // this gateway stalled while the attempt was in flight
+    bool spans_gateway_stall = false;  // this gateway stalled while the attempt was in flight
     Stage stage = Stage::prefill;
     EndpointId endpoint = 0;
-    Millis sent_at = 0;        // shifted by the stalls of this gateway since
-    Millis stage_since = 0;    // start of the stream; shifted likewise
-    Millis first_sent_at = 0;  // as sent
+    Millis sent_at = 0;            // shifted by the stalls of this gateway since
+    Millis stream_started_at = 0;  // start of the stream; shifted likewise
+    Millis original_sent_at = 0;   // as sent
     // Work at the time of sending: thousands of tokens to prefill, or attempts queued; for a stream its
     // predicted length in hundreds of tokens.
     double work_units = 1;
@@ -136,7 +137,7 @@
     bool closed = false;    // no answer is due: its stream has begun, or it has a final answer
     bool answered = false;  // it has a final answer
     AttemptState attempt;
-    bool lease_held = false;  // the prefill endpoint holds its KV cache
+    bool has_kv_lease = false;  // the prefill endpoint holds its KV cache
     EndpointId prefill_endpoint = 0;
     std::vector<EndpointId> failed_endpoints;
     std::optional<PossibleRun> possible_run;  // the first one
--- a/src/router/request_dispatcher.cpp
+++ b/src/router/request_dispatcher.cpp
@@ -14,14 +14,14 @@
     if (request.possible_run && class_of(settings, request).idempotency == Idempotency::unsafe)
         return finish_with(now, request, EndCause::may_have_run);
     // Each attempt beyond one prefill and one decode is a retry.
-    if (request.attempt_count > (request.lease_held ? 1 : 0)) {
+    if (request.attempt_count > (request.has_kv_lease ? 1 : 0)) {
         if (!services_.retry_budget.available()) return finish_with(now, request, EndCause::retry_budget);
         services_.retry_budget.spend();
     }
     EndpointState* prefill_endpoint =
-        request.lease_held ? nullptr : services_.prefill_selector.choose(now, request);
+        request.has_kv_lease ? nullptr : services_.prefill_selector.choose(now, request);
     if (prefill_endpoint) return start_attempt(now, request, *prefill_endpoint, Stage::prefill);
-    EndpointState* decode_endpoint = request.lease_held || settings.local_prefill
+    EndpointState* decode_endpoint = request.has_kv_lease || settings.local_prefill
                                          ? services_.decode_selector.choose(now, request)
                                          : nullptr;
     if (!decode_endpoint) return finish_with(now, request, EndCause::no_endpoint);
@@ -35,7 +35,7 @@
 bool RequestDispatcher::would_be_late(Millis now, const RequestState& request,
                                       const EndpointState& decode_endpoint) const {
     const int queued = decode_endpoint.load.in_flight[Stage::decode_queued];
-    if (!request.lease_held || request.arrival.resumed || queued <= 1) return false;
+    if (!request.has_kv_lease || request.arrival.resumed || queued <= 1) return false;
     const Millis per_request = services_.completion_times.mean(Stage::decode_queued, request);
     return now - request.arrived_at + per_request * (queued + 1) >
            latency_objective(services_.settings, request);
@@ -47,7 +47,7 @@
     services_.slow_start.record_send(now, endpoint);
     const Millis send_by = std::min(request.arrival.deadline, services_.eligibility.retry_deadline(request));
     services_.actions.emit(StartAttempt{request.arrival.request, endpoint.info.id,
-                                        services_.attempt_timeout.of_attempt(now, request), send_by});
+                                        services_.attempt_timeout.compute(now, request), send_by});
 }
 
 void RequestDispatcher::finish_with(Millis now, RequestState& request, EndCause cause) {
@@ -64,7 +64,7 @@
     }
     request.answered = true;
     request.closed = true;
-    release(request);
+    cancel_or_erase(request);
 }
 
 // An attempt in flight may run, a prefill too.
@@ -82,14 +82,14 @@
     return false;
 }
 
-void RequestDispatcher::release(RequestState& request) {
-    if (!request.attempt.in_flight) return forget(request);
+void RequestDispatcher::cancel_or_erase(RequestState& request) {
+    if (!request.attempt.in_flight) return release_and_erase(request);
     if (services_.settings.cancellation && !request.attempt.cancelled &&
         request.attempt.stage != Stage::streaming)
         cancel_attempt(request);
 }
 
-void RequestDispatcher::forget(RequestState& request) {
+void RequestDispatcher::release_and_erase(RequestState& request) {
     if (request.attempt_count > 0 && request.attempt.stage != Stage::streaming)
         services_.actions.emit(ReleaseLease{request.arrival.request});
     services_.in_flight_requests.erase(request);
--- a/src/router/request_dispatcher.h
+++ b/src/router/request_dispatcher.h
@@ -42,9 +42,9 @@
     // Gives the request its final answer, unless none is due. The request may be destroyed.
     void finish_with(Millis now, RequestState& request, EndCause cause);
     // No answer is due any more: stops the attempt in flight, or else destroys the request.
-    void release(RequestState& request);
+    void cancel_or_erase(RequestState& request);
     // Releases what is held for a request without an attempt in flight, and destroys it.
-    void forget(RequestState& request);
+    void release_and_erase(RequestState& request);
     // Moves own requests off an endpoint that is slow or silent, within the retry budget.
     void migrate_off(Millis now, const EndpointState& endpoint);
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -135,17 +135,17 @@
         request.closed = false;
     in_flight_requests_.end_attempt(request);
     record_possible_run(request, endpoint, ended);
-    if (no_kv_cache) in_flight_requests_.set_lease_held(request, false);
+    if (no_kv_cache) in_flight_requests_.set_kv_lease(request, false);
     if (prefill_done) {
         request.prefill_endpoint = ended.endpoint;
-        in_flight_requests_.set_lease_held(request, true);
+        in_flight_requests_.set_kv_lease(request, true);
     }
     if (ended.request_closed) request.closed = true;
-    if (request.closed) return dispatcher_.forget(request);
+    if (request.closed) return dispatcher_.release_and_erase(request);
     if (!prefill_done && !no_kv_cache) request.failed_endpoints.push_back(ended.endpoint);
     // Guards against leaked leases: a prefill whose end was lost, or whose endpoint is only partitioned, may
     // have left a KV cache that this gateway does not know of.
-    if (!request.lease_held) actions_.emit(ReleaseLease{request.arrival.request});
+    if (!request.has_kv_lease) actions_.emit(ReleaseLease{request.arrival.request});
     dispatcher_.dispatch_next_stage(now_, request);
 }
 
@@ -157,7 +157,7 @@
         outlier_detector_.record_first_token(*endpoint, *request);
         in_flight_requests_.begin_stream(now_, *request, *endpoint);
     }
-    in_flight_requests_.set_lease_held(*request, false);
+    in_flight_requests_.set_kv_lease(*request, false);
     retry_budget_.on_first_token(now_);
     request->closed = true;
 }
@@ -166,7 +166,7 @@
     RequestState* request = in_flight_requests_.find(disconnected.request);
     if (!request) return;
     request->closed = true;
-    dispatcher_.release(*request);
+    dispatcher_.cancel_or_erase(*request);
 }
 
 void Router::Impl::on(const EndpointUpdate& update) {
@@ -190,7 +190,7 @@
 
 void Router::Impl::on(const LeaseReleased& released) {
     if (RequestState* request = in_flight_requests_.find(released.request))
-        in_flight_requests_.set_lease_held(*request, false);
+        in_flight_requests_.set_kv_lease(*request, false);
 }
 
 // The Router, not its host, knows which requests may have run and so cannot be rejected.
@@ -222,7 +222,7 @@
     if (request.possible_run || never_ran(ended.result) || ended.result == AttemptResult::prefill_done)
         return;
     const bool only_prefills = endpoint && endpoint->role == Role::prefill;
-    if (!only_prefills) request.possible_run = {ended.endpoint, request.attempt.first_sent_at};
+    if (!only_prefills) request.possible_run = {ended.endpoint, request.attempt.original_sent_at};
 }
 
 void Router::Impl::record_stage_end(const RequestState& request, bool done) {
--- a/src/router/slow_start.cpp
+++ b/src/router/slow_start.cpp
@@ -9,22 +9,23 @@
 // Guards against a warming endpoint that all gateways together overload. Each sends it a fraction of what its
 // warm peers get from this same gateway, so that the sum stays below the limit. A budget below one send is
 // taken as a probability, drawn once for each request and endpoint. Where this gateway has ejected many
-// peers, so may have all others: less is sent then.
-bool SlowStart::within_warming_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
-                                      const FleetStats& fleet_stats) const {
+// peers, so may have all others: less is recent_sends then.
+bool SlowStart::within_slow_start_budget(Millis now, const EndpointState& endpoint,
+                                         const RequestState& request, const FleetStats& fleet_stats) const {
     const Millis warming_for = now - endpoint.warming_since;
     const auto& recent = endpoint.sends.recent;
     const auto in_window = std::upper_bound(recent.begin(), recent.end(), now - settings_.overload_window);
-    const auto sent = static_cast<double>(recent.end() - in_window);
+    const auto recent_sends = static_cast<double>(recent.end() - in_window);
     const double progress = warming_for / settings_.slow_start_duration;
     const double capacity = settings_.initial_capacity + (1 - settings_.initial_capacity) * progress;
-    const double share =
+    const double budget_factor =
         std::min(capacity, kSlowStartBudgetFraction * settings_.overload_factor * settings_.initial_capacity);
     const double baseline_sends = fleet_stats.baseline_rate(endpoint.role) * settings_.overload_window;
     if (settings_.gateways <= kMaxGatewaysAtHighSampleRate)
-        return sent + 1 <= std::max(1.0, share * baseline_sends);
-    const double draw = stats::hash_fraction(seed_ + request.serial, endpoint.info.id);
-    return sent + draw < share * std::max(fleet_stats.available_fraction(endpoint.role), baseline_sends);
+        return recent_sends + 1 <= std::max(1.0, budget_factor * baseline_sends);
+    const double request_fraction = stats::hash_fraction(seed_ + request.serial, endpoint.info.id);
+    return recent_sends + request_fraction <
+           budget_factor * std::max(fleet_stats.available_fraction(endpoint.role), baseline_sends);
 }
 
 void SlowStart::record_send(Millis now, EndpointState& endpoint) const {
--- a/src/router/slow_start.h
+++ b/src/router/slow_start.h
@@ -19,7 +19,7 @@
     // is not used up.
     bool within_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
                        const FleetStats& fleet_stats) const {
-        return !is_warming(now, endpoint) || within_warming_budget(now, endpoint, request, fleet_stats);
+        return !is_warming(now, endpoint) || within_slow_start_budget(now, endpoint, request, fleet_stats);
     }
     void record_send(Millis now, EndpointState& endpoint) const;
 
@@ -27,8 +27,8 @@
     bool is_warming(Millis now, const EndpointState& endpoint) const {
         return now - endpoint.warming_since < settings_.slow_start_duration;
     }
-    bool within_warming_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
-                               const FleetStats& fleet_stats) const;
+    bool within_slow_start_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
+                                  const FleetStats& fleet_stats) const;
 
     const Settings& settings_;
     const std::uint64_t seed_;
--- a/src/router/wait_estimator.cpp
+++ b/src/router/wait_estimator.cpp
@@ -19,18 +19,19 @@
       in_flight_requests_(in_flight_requests) {}
 
 Millis WaitEstimator::expected_wait(Millis now, const RequestState& request) {
-    const double ahead = in_flight_requests_.count_before_stream();
+    const double requests_ahead = in_flight_requests_.count_not_streaming();
     const double queued_kilotokens = shortest_prefill_queue(now, request);
-    if (queued_kilotokens + ahead <= 0) return 0;  // no queue, however long its own work takes
+    if (queued_kilotokens + requests_ahead <= 0) return 0;  // no queue, however long its own work takes
     const double decode_endpoints = eligible_decode_endpoints(now, request);
     const Millis decode_wait = completion_times_.typical(Stage::decode_queued, request);
     // The queue is the same for a long prompt as for a typical one.
     const double own_kilotokens =
         std::min(uncached_kilotokens(request), fleet_stats_.typical_uncached_kilotokens());
-    const Millis prefill_wait = request.lease_held ? 0
-                                                   : completion_times_.typical(Stage::prefill, request) *
-                                                         (queued_kilotokens + own_kilotokens);
-    return std::max(prefill_wait + decode_wait, decode_wait * (1 + ahead / std::max(1.0, decode_endpoints)));
+    const Millis prefill_wait = request.has_kv_lease ? 0
+                                                     : completion_times_.typical(Stage::prefill, request) *
+                                                           (queued_kilotokens + own_kilotokens);
+    return std::max(prefill_wait + decode_wait,
+                    decode_wait * (1 + requests_ahead / std::max(1.0, decode_endpoints)));
 }
 
 // In thousands of tokens; 0 if no endpoint is eligible.
--- a/tests/router/decode_selector_test.cpp
+++ b/tests/router/decode_selector_test.cpp
@@ -26,7 +26,7 @@
     for (const EndpointId prefill_endpoint : {1u, 2u}) {
         RequestState& request = fleet.add_request("r" + std::to_string(prefill_endpoint));
         request.prefill_endpoint = prefill_endpoint;
-        request.lease_held = true;
+        request.has_kv_lease = true;
         for (int i = 0; i < 10; ++i)
             EXPECT_EQ(chosen_id(fleet.decode_selector.choose(0, request)), prefill_endpoint + 10);
     }
--- a/tests/router/endpoint_registry_test.cpp
+++ b/tests/router/endpoint_registry_test.cpp
@@ -26,9 +26,9 @@
     EXPECT_EQ(fleet.registry.with_role(Role::prefill).size(), 1u);
     ASSERT_NE(fleet.registry.find(2), nullptr);
     EXPECT_EQ(fleet.endpoint(2).info.status, EndpointStatus::removed);
-    fleet.registry.forget_removed(60000);
+    fleet.registry.erase_removed(60000);
     EXPECT_NE(fleet.registry.find(2), nullptr);
-    fleet.registry.forget_removed(60001);
+    fleet.registry.erase_removed(60001);
     EXPECT_EQ(fleet.registry.find(2), nullptr);
 }
 
@@ -36,7 +36,7 @@
     RouterComponents fleet;
     fleet.send_request("r", 2, router::Stage::prefill);
     fleet.registry.apply(100, full_list({prefill_endpoint(1), decode_endpoint(11)}));
-    fleet.registry.forget_removed(100000);
+    fleet.registry.erase_removed(100000);
     EXPECT_NE(fleet.registry.find(2), nullptr);
 }
 
@@ -75,7 +75,7 @@
     EXPECT_FALSE(fleet.registry.apply_load_report(5, fleet.endpoint(1), report));
     report.memory_utilization = 0.5;
     EXPECT_TRUE(fleet.registry.apply_load_report(5, fleet.endpoint(1), report));
-    EXPECT_EQ(fleet.endpoint(1).load.tokens_held_by_others, 49000);
+    EXPECT_EQ(fleet.endpoint(1).load.tokens_used_by_others, 49000);
 }
 
 TEST(EndpointRegistry, ALargeFleetIsSearchedByAWindowAndThenAsAWhole) {
@@ -92,7 +92,7 @@
         scopes.push_back(scope);
         return nullptr;
     };
-    fleet.registry.choose_widening(SearchScope::window, find_nothing);
+    fleet.registry.choose_with_fallback(SearchScope::window, find_nothing);
     EXPECT_EQ(scopes, (std::vector<SearchScope>{SearchScope::window, SearchScope::all}));
 }
 
--- a/tests/router/health_monitor_test.cpp
+++ b/tests/router/health_monitor_test.cpp
@@ -77,9 +77,9 @@
     monitor.start(0);
     RequestState& request = fleet.send_request("r", 1, Stage::prefill, 0);
     monitor.detect_stall(2 * kInterval);
-    EXPECT_FALSE(request.attempt.stalled_meanwhile) << "overdue by one interval";
+    EXPECT_FALSE(request.attempt.spans_gateway_stall) << "overdue by one interval";
     monitor.detect_stall(3000);
-    EXPECT_TRUE(request.attempt.stalled_meanwhile);
+    EXPECT_TRUE(request.attempt.spans_gateway_stall);
     EXPECT_EQ(request.attempt.sent_at, 3000 - kInterval);
 }
 
--- a/tests/router/request_dispatcher_test.cpp
+++ b/tests/router/request_dispatcher_test.cpp
@@ -53,7 +53,7 @@
     EXPECT_EQ(all<StartAttempt>()[0].endpoint, 1u);
     fleet.in_flight_requests.end_attempt(request);
     request.prefill_endpoint = 1;
-    fleet.in_flight_requests.set_lease_held(request, true);
+    fleet.in_flight_requests.set_kv_lease(request, true);
     dispatcher.dispatch_next_stage(10, request);
     ASSERT_EQ(all<StartAttempt>().size(), 2u);
     EXPECT_EQ(all<StartAttempt>()[1].endpoint, 11u) << "in the cell of the prefill endpoint";
@@ -83,7 +83,7 @@
 TEST_F(RequestDispatcherTest, ForgettingARequestReleasesItsLeases) {
     RequestState& request = fleet.send_request("r", 11, Stage::decode_queued);
     fleet.in_flight_requests.end_attempt(request);
-    dispatcher.forget(request);
+    dispatcher.release_and_erase(request);
     EXPECT_EQ(all<ReleaseLease>().size(), 1u);
     EXPECT_EQ(fleet.in_flight_requests.find("r"), nullptr);
 }
