--- a/src/router/abandoned_prefills.h
+++ b/src/router/abandoned_prefills.h
@@ -1,4 +1,4 @@
-// Memory that cancelled and timed-out prefills may still use at their endpoints.
+// Accounting of the KV-cache memory that cancelled and timed-out prefills may still use at their endpoints.
 #pragma once
 
 #include <set>
@@ -10,16 +10,17 @@
 
 namespace gorsenotch::router {
 
-// Owns the set of endpoints that have abandoned prefills, and is the only one to change
-// EndpointLoad::abandoned_prefills and their share of reserved_tokens.
+// Owns the set of endpoints that have abandoned prefills. Only this class modifies
+// EndpointLoad::abandoned_prefills and the tokens that they contribute to EndpointLoad::reserved_tokens.
 class AbandonedPrefills {
 public:
     // `registry` must outlive this object.
     explicit AbandonedPrefills(EndpointRegistry& registry) : registry_(registry) {}
 
-    // Counts the prompt's tokens for as long again as the prefill has run. Ignores an attempt of another
-    // stage.
+    // Keeps the tokens of the prompt reserved for as long as the prefill has already run. Has no effect for
+    // an attempt in another stage.
     void add(Millis now, EndpointState& endpoint, const RequestState& request);
+    // Removes the abandoned prefills whose time has passed by `now`.
     void expire(Millis now);
 
 private:
