--- a/src/router/action_list.h
+++ b/src/router/action_list.h
@@ -1,4 +1,4 @@
-// The actions that the handling of one event returns.
+// Collects the actions that result from the event being handled.
 #pragma once
 
 #include <utility>
@@ -8,10 +8,10 @@
 
 namespace gorsenotch::router {
 
-// Appends to the vector of the event being handled, which the caller of Router::handle() owns.
+// Appends actions to the vector that the caller of Router::handle() owns.
 class ActionList {
 public:
-    // `actions` must outlive the handling of the event.
+    // Directs the actions of the next event to `actions`, which must outlive the handling of that event.
     void begin_event(std::vector<Action>& actions) { actions_ = &actions; }
     void emit(Action action) { actions_->push_back(std::move(action)); }
 
