--- a/src/router/attempt_timeout.cpp
+++ b/src/router/attempt_timeout.cpp
@@ -6,8 +6,8 @@
 
 namespace gorsenotch::router {
 
-// Guards against silence: a request at a dead endpoint must still meet its objective at another one. Grows
-// with the present durations, so that overload does not turn into timeouts.
+// The timeout is short enough for a request at an unresponsive endpoint to meet its latency objective at
+// another one. It grows with the observed durations, so that overload does not cause timeouts.
 Millis AttemptTimeout::compute(Millis now, const RequestState& request) const {
     const Millis time_left = request.arrival.deadline - now;
     if (request.attempt_count >= settings_.max_attempts) return time_left;
@@ -17,8 +17,8 @@
         return std::min(time_left, std::max(kMeanTimeoutFactor * completion_times_.expected(stage, request),
                                             kMeanTimeoutObjectiveFraction * objective));
     }
-    // A prefill that times out is done again elsewhere, so early timeouts double an overload. Does harm where
-    // a prefill endpoint is silent: its prefills are late, the first one of each gateway.
+    // A prefill that times out is repeated elsewhere, so early timeouts would double the load under overload.
+    // Drawback: at an unresponsive prefill endpoint, the first prefill of each gateway is late.
     const bool use_longer_minimum = stage == Stage::prefill && fleet_stats_.no_load_signal();
     const Millis quantile_timeout =
         kTimeoutLowQuantileFactor * completion_times_.low_quantile(stage) * stage_work(request, stage);
--- a/src/router/attempt_timeout.h
+++ b/src/router/attempt_timeout.h
@@ -1,4 +1,4 @@
-// The timeout of an attempt.
+// Computes the timeout of an attempt.
 #pragma once
 
 #include "gorsenotch/settings.h"
@@ -8,7 +8,7 @@
 
 namespace gorsenotch::router {
 
-// Owns no state.
+// Stateless: derives timeouts from the observed durations and the latency objectives.
 class AttemptTimeout {
 public:
     // All references must outlive this object.
@@ -16,7 +16,7 @@
                    const CompletionTimes& completion_times)
         : settings_(settings), fleet_stats_(fleet_stats), completion_times_(completion_times) {}
 
-    // The timeout of the request's attempt, which has just begun.
+    // Returns the timeout of the request's attempt, which has just begun.
     Millis compute(Millis now, const RequestState& request) const;
 
 private:
