--- a/src/router/completion_times.cpp
+++ b/src/router/completion_times.cpp
@@ -7,8 +7,8 @@
 
 namespace gorsenotch::router {
 
-// Priors: a prefill of 1,000 tokens takes what the latency objective allows for them, a wait for the first
-// token a twelfth of the objective, a stream 100 tokens at half the wanted pace.
+// Priors: the latency objective per 1,000 tokens for a prefill of 1,000 tokens, a twelfth of the latency
+// objective for the wait for the first token, and 100 tokens at half the inter-token objective for a stream.
 CompletionTimes::CompletionTimes(const Settings& settings)
     : low_quantile_{stats::QuantileEstimate(kLowQuantile, kQuantileStep, 1),
                     stats::QuantileEstimate(kLowQuantile, kQuantileStep, 1)} {
@@ -38,9 +38,9 @@
     return mean(stage, request) * request.attempt.work_units;
 }
 
-// Guards against attempts that hang at a few endpoints and lengthen the mean, but not the low quantile. Where
-// no endpoint responds the mean is used. May do harm where durations differ much: the estimate is too short
-// for the longer ones.
+// Attempts that hang at a few endpoints raise the mean but not the low quantile, which therefore bounds the
+// result. The mean is used while nothing completes. Drawback: where durations vary widely, the estimate is
+// too short for the longer ones.
 Millis CompletionTimes::typical(Stage stage, const RequestState& request) const {
     const stats::CompletionTime& completion_time = estimate(stage, request);
     if (completion_time.completed() < 1) return completion_time.value();
@@ -60,7 +60,7 @@
     const Stage stage = request.attempt.stage;
     stats::QuantileEstimate& quantile = low_quantile_[static_cast<std::size_t>(stage)];
     const double time_per_unit = (now - request.attempt.sent_at) / stage_work(request, stage);
-    // A failed stage shows only that it would have taken longer.
+    // The duration of a failed stage is only a lower bound.
     if (done || time_per_unit > quantile.value()) quantile.add(time_per_unit);
 }
 
--- a/src/router/completion_times.h
+++ b/src/router/completion_times.h
@@ -1,4 +1,4 @@
-// How long the stages of requests take at present, over all endpoints.
+// Estimates the current durations of the stages of requests, over all endpoints.
 #pragma once
 
 #include <array>
@@ -10,24 +10,26 @@
 
 namespace gorsenotch::router {
 
-// Owns the estimates of mean durations (by stage and class; prefills of all classes together) and of low
-// quantiles (prefill and wait for the first token). A mean is per unit of AttemptState::work_units, a
-// quantile per unit of stage_work().
+// Owns the estimates of mean durations, by stage and class with one estimate for the prefills of all classes,
+// and of low quantiles for the stages prefill and decode_queued. A mean is the duration per unit of
+// AttemptState::work_units, a quantile the duration per unit of stage_work().
 class CompletionTimes {
 public:
     explicit CompletionTimes(const Settings& settings);
 
+    // Mean duration per unit of work.
     Millis mean(Stage stage, const RequestState& request) const;
-    // The mean for the work of the request's attempt in this stage.
+    // Mean duration for the work of the request's attempt in this stage.
     Millis expected(Stage stage, const RequestState& request) const;
-    // The duration at endpoints that respond, resistant to attempts that hang.
+    // Typical duration at responsive endpoints. Robust against attempts that hang.
     Millis typical(Stage stage, const RequestState& request) const;
-    // Not of Stage::streaming.
+    // Not available for Stage::streaming.
     Millis low_quantile(Stage stage) const { return low_quantile_[static_cast<std::size_t>(stage)].value(); }
 
+    // Adds time spent in the stage, per unit of work.
     void add_time(Stage stage, const RequestState& request, Millis time);
     void add_completion(Stage stage, const RequestState& request);
-    // Records the end of the attempt's stage, not of Stage::streaming: `done` if it succeeded.
+    // Records the end of the attempt's stage, which is not Stage::streaming. `done`: the stage succeeded.
     void record_stage_end(Millis now, const RequestState& request, bool done);
     void decay(Millis elapsed);
 
