--- a/src/router/decode_selector.cpp
+++ b/src/router/decode_selector.cpp
@@ -79,17 +79,18 @@
     return std::min_element(ranking.begin(), ranking.end(), precedes)->endpoint;
 }
 
-// A window seldom contains the endpoints of the preferred cell, to which a KV cache moves at the least cost.
+// A window rarely contains the endpoints of the preferred cell, where the KV-cache transfer is cheapest.
 void DecodeSelector::add_cell_endpoints(std::uint64_t cell) {
     for (EndpointState* endpoint : registry_.decode_capable_in(cell)) {
         if (std::find(window_.begin(), window_.end(), endpoint) == window_.end()) window_.push_back(endpoint);
     }
 }
 
-// The cell whose decode endpoints are preferred for a KV cache at this prefill endpoint: its own, as far as
-// its share of the decode endpoints covers its prefills; otherwise one with spare_decode_share decode
-// endpoints, those of the same zone counting double. Guards against few decode endpoints that get all the
-// work of many prefill endpoints nearby. May do harm where links between cells are slow.
+// Returns the cell whose decode endpoints are preferred for a KV cache at this prefill endpoint. This is its
+// own cell, in as many cases as the cell's share of the decode endpoints covers its prefills. Otherwise a
+// cell with spare decode endpoints is drawn at random, where those in the same zone count double. Prevents
+// overload of the few decode endpoints in a cell with many prefill endpoints. Drawback: KV-cache
+// transfers between cells, which are slow where the links are.
 std::uint64_t DecodeSelector::choose_decode_cell(const EndpointState& prefill_endpoint) {
     const std::uint64_t own_cell = prefill_endpoint.info.cell;
     const Cell& own = fleet_stats_.cell(own_cell);
--- a/src/router/decode_selector.h
+++ b/src/router/decode_selector.h
@@ -1,4 +1,4 @@
-// Chooses the decode endpoint of a request.
+// Selects the decode endpoint of a request.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 
 namespace gorsenotch::router {
 
-// Owns no state but memory that it reuses. Draws from the Router's one random generator, in an order that is
-// part of its behaviour.
+// Has no state other than a reusable buffer. Shares the Router's random number generator: the order in which
+// numbers are drawn affects all later selections.
 class DecodeSelector {
 public:
     // All references must outlive this object.
@@ -23,8 +23,9 @@
                    const Eligibility& eligibility, const PrefixAffinity& prefix_affinity,
                    const InFlightRequests& in_flight_requests, stats::UniformRandom& random);
 
-    // The eligible endpoint with the fewest requests queued, nullptr for none. Of those with about the fewest
-    // one in the preferred cell of the KV cache, then with the fewest streams, then by chance.
+    // Returns the eligible endpoint with the shortest queue, nullptr if none is eligible. Endpoints whose
+    // queues are longer by at most one rank equal: of these, one in the preferred cell for the KV cache is
+    // selected, then one with the fewest streams, then a random one.
     EndpointState* choose(Millis now, const RequestState& request, SearchScope scope = SearchScope::window);
 
 private:
