--- a/src/router/eligibility.cpp
+++ b/src/router/eligibility.cpp
@@ -19,12 +19,14 @@
                               Strictness strictness) const {
     if (endpoint.info.status != EndpointStatus::healthy) return false;
     if (!slow_start_.within_budget(now, endpoint, request, fleet_stats_)) return false;
-    // Guards against a retry that reaches an endpoint which does not drop it as a duplicate: outside the
-    // dedup scope, or after the dedup window has closed while the connection opened. Applies to prefills too.
+    // A keyed retry must not reach an endpoint that would not recognize it as a duplicate: one outside the
+    // dedup scope, or any endpoint if the dedup window may end while the connection is established. Applies
+    // to prefills too.
     if (now + settings_.connect_timeout >= retry_deadline(request)) return false;
     if (!within_dedup_scope(endpoint, request)) return false;
     if (strictness == Strictness::relaxed) return true;
-    // Guards against attempts spent on an endpoint that failed the request, and that looks idle for it.
+    // An endpoint that fails requests quickly has a low load and would be selected again for the same
+    // request.
     const auto& failed = request.failed_endpoints;
     if (std::find(failed.begin(), failed.end(), endpoint.info.id) != failed.end()) return false;
     return outlier_detector_.admits(now, endpoint, request);
--- a/src/router/eligibility.h
+++ b/src/router/eligibility.h
@@ -1,4 +1,4 @@
-// Which endpoints may get a request: the conditions that every choice of an endpoint must meet.
+// Decides which endpoints may get a request. Every selection of an endpoint applies these conditions.
 #pragma once
 
 #include "gorsenotch/settings.h"
@@ -10,13 +10,13 @@
 
 namespace gorsenotch::router {
 
-// How much an endpoint must promise to be chosen.
+// Which conditions an endpoint must meet.
 enum class Strictness {
-    strict,   // only endpoints that are expected to serve the request
-    relaxed,  // all that may get it, where no other is left
+    strict,   // all: the endpoint is expected to serve the request
+    relaxed,  // only those required for correctness; used where no endpoint meets all
 };
 
-// Owns no state.
+// Stateless.
 class Eligibility {
 public:
     // All references must outlive this object.
@@ -25,9 +25,9 @@
 
     bool is_eligible(Millis now, const EndpointState& endpoint, const RequestState& request,
                      Strictness strictness) const;
-    // When the last byte of a further attempt may be sent at the latest; kNever for no limit.
+    // Returns the time by which the last byte of a retry must be sent; kNever if there is no limit.
     Millis retry_deadline(const RequestState& request) const;
-    // Whether the endpoint's memory is not nearly full, as far as is known.
+    // Whether the KV cache of the endpoint has room. True for an endpoint that has not reported its load.
     static bool has_capacity(const EndpointState& endpoint) {
         return endpoint.load.memory_utilization < kFullMemoryFraction;
     }
