--- a/src/router/endpoint_registry.cpp
+++ b/src/router/endpoint_registry.cpp
@@ -26,7 +26,8 @@
     decode_capable_by_cell_.clear();
 }
 
-// Guards against a restarted process judged by its predecessor, and its empty memory taken for capacity.
+// A restarted process must not be judged by the health of its predecessor, and its empty memory must not be
+// mistaken for spare capacity: its load is unknown and its slow start begins.
 void EndpointRegistry::reset_after_restart(Millis now, EndpointState& endpoint,
                                            const Endpoint& listed) const {
     endpoint.health.ejected = false;
@@ -37,7 +38,8 @@
     endpoint.load.tokens_used_by_others = 0;
     endpoint.load.last_report_at = -kNever;
     endpoint.load.memory_utilization = -1;
-    // A start in the future, where a clock is wrong, counts as now: it would get no requests until then.
+    // A start time in the future, from a wrong clock, counts as now. Otherwise the endpoint would get no
+    // requests until then.
     if (listed.started_at > 0)
         endpoint.warming_since = std::max(endpoint.warming_since, std::min(now, listed.started_at));
 }
--- a/src/router/endpoint_registry.h
+++ b/src/router/endpoint_registry.h
@@ -1,4 +1,4 @@
-// The endpoints that service discovery lists, indexed for choices.
+// Registry of the endpoints listed by service discovery, indexed for endpoint selection.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
 
 using EndpointRing = stats::HashRing<EndpointState>;
 
-// The endpoints that a choice considers: a window of a large fleet, or all.
+// The endpoints that a selection considers: a window of a large fleet, or all endpoints.
 enum class SearchScope { window, all };
 
-// Owns the EndpointState of each endpoint and the hash rings of the healthy ones. It alone adds, updates and
-// removes endpoints; records.h names who changes the parts of an EndpointState. Pointers to an EndpointState
-// are valid until erase_removed().
+// Owns the EndpointState of each endpoint and the hash rings of the healthy ones. Only this class adds,
+// updates and removes endpoints; records.h documents which class modifies each part of an EndpointState.
+// Pointers to an EndpointState are valid until erase_removed().
 class EndpointRegistry {
 public:
     // `settings` must outlive this object.
@@ -27,13 +27,13 @@
 
     // Applies an update that is not Kind::failed.
     void apply(Millis now, const EndpointUpdate& update);
-    // Returns whether the report has a value.
+    // Returns whether the report contains a memory utilization.
     bool apply_load_report(Millis now, EndpointState& endpoint, const LoadReport& report) const;
-    // Forgets endpoints that were removed long ago and have no attempt in flight. Guards against memory that
-    // grows with each endpoint ever listed.
+    // Erases endpoints that were removed more than kRemovedEndpointRetentionMs ago and have no attempt in
+    // flight. Without it memory use would grow with every endpoint ever listed.
     void erase_removed(Millis now);
 
-    // nullptr if unknown.
+    // Returns nullptr for an unknown endpoint.
     EndpointState* find(EndpointId id) {
         const auto found = endpoints_.find(id);
         return found == endpoints_.end() ? nullptr : &found->second;
@@ -48,18 +48,18 @@
     // Healthy endpoints of the roles decode and mixed.
     const EndpointRing& decode_capable() const { return decode_capable_; }
     const std::vector<EndpointState*>& decode_capable_in(std::uint64_t cell) const;
-    // Tokens of KV cache in the endpoint.
+    // KV cache size of the endpoint, in tokens.
     double memory_capacity(const EndpointState& endpoint) const;
 
-    // The endpoints of a ring that a choice considers, in `window` if not all. A window starts at the ring
-    // position of `key`, so that gateways with the same list get the same one. Guards against a cost of each
-    // request that grows with the fleet. May do harm where few endpoints of a window are eligible, hence
-    // choose_with_fallback().
+    // Returns the endpoints of a ring that a selection considers; uses `window` as storage if not all. A
+    // window starts at the ring position of `key`, so that gateways with the same list use the same window.
+    // This keeps the cost of a request independent of the fleet size. Drawback: few endpoints of a window may
+    // be eligible, see choose_with_fallback().
     static const std::vector<EndpointState*>& candidates(const EndpointRing& ring, std::uint64_t key,
                                                          SearchScope scope,
                                                          std::vector<EndpointState*>& window);
 
-    // Makes a choice in `scope` and, where that finds nothing in a large fleet, among all endpoints.
+    // Selects an endpoint in `scope`. If a large fleet yields none, repeats the selection over all endpoints.
     // `choose` takes a SearchScope and returns an EndpointState* or nullptr.
     template <class Choose>
     EndpointState* choose_with_fallback(SearchScope scope, Choose choose) const {
