--- a/src/router/fleet_stats.cpp
+++ b/src/router/fleet_stats.cpp
@@ -19,7 +19,7 @@
 }
 
 void FleetStats::record_arrival(const RequestState& request) {
-    // The mean of the first arrivals, then a moving average.
+    // The mean of the first arrivals, then an exponential moving average.
     const double weight = static_cast<double>(std::min(request.serial, kTypicalPromptArrivals));
     typical_prompt_tokens_ += (request.arrival.prompt_tokens - typical_prompt_tokens_) / weight;
     typical_uncached_kilotokens_ += (uncached_kilotokens(request) - typical_uncached_kilotokens_) / weight;
@@ -35,7 +35,7 @@
     if (!prefill_endpoint || !endpoint) return;
     if (!is_prefill && prefill_endpoint->info.cell == endpoint->info.cell) return;
     Cell& cell = cells_[prefill_endpoint->info.cell];
-    // Without a load signal an abandoned stage counts as a complete objective.
+    // Without a load signal, a stage that did not succeed counts as a full latency objective.
     cell.objective_fraction_sum +=
         done || !no_load_signal()
             ? std::min(1.0, (now - attempt.sent_at) / latency_objective(settings_, request))
@@ -43,8 +43,8 @@
     cell.prefills += is_prefill;
 }
 
-// Guards against a cost of an idle gateway that grows with the fleet. May do harm by baseline rates that are
-// outdated by some ticks.
+// In a large fleet the statistics are refreshed only every few ticks, so that the CPU time of an idle gateway
+// does not grow with the fleet. Drawback: the baseline rates are a few ticks old.
 bool FleetStats::refresh_if_due(Millis now, const EndpointRegistry& registry) {
     if (now < refresh_due_at_) return false;
     refresh(now, registry, now - refreshed_at_);
@@ -86,8 +86,8 @@
     return costs;
 }
 
-// Counts endpoints by role, and by cell in its shares, which are normalized later. By the list, not by
-// health, so that gateways agree on the shares.
+// Counts the endpoints by role, and by cell in the shares of the cell, which are normalized later. The shares
+// count all listed endpoints whatever their health, so that all gateways compute the same shares.
 FleetStats::RoleCounts FleetStats::count_endpoints(Millis now, const EndpointRegistry& registry) {
     RoleCounts counts;
     for (const auto& [id, endpoint] : registry.endpoints()) {
@@ -116,21 +116,21 @@
     }
 }
 
-// A cell's weight rises with its decode endpoints and falls with the part of their objectives that prefills
-// there took recently. Guards against overloaded cells and zones.
+// The weight of a cell increases with its number of decode endpoints and decreases with the fraction of the
+// latency objective that its prefills took recently. Prevents overload of single cells and zones.
 void FleetStats::update_cell_weights(const RoleCounts& counts, CostsByZone& costs) {
     const double prefill_endpoints = counts.listed[Role::prefill];
     const double decode_endpoints = counts.listed[Role::decode] + counts.listed[Role::mixed];
     const double mean_cost =
         costs.total.prefills > 0 ? costs.total.objective_fraction_sum / costs.total.prefills : 0;
-    // A cell without prefills is assumed to be as its zone, and a zone without any to be fast: otherwise a
-    // gateway whose own zone is overloaded never tries another one.
+    // A cell without samples gets the cost of its zone, and a zone without samples is assumed to be fast.
+    // Otherwise a gateway in an overloaded zone would never try another zone.
     const double assumed_cost = kCellPriorPrefills * std::min(mean_cost, kUnknownZoneObjectiveFraction);
     double total_share = 0;
     for (auto& [id, cell] : cells_) {
         cell.decode_share /= std::max(1.0, decode_endpoints);
         if (cell.prefill_share <= 0) continue;
-        const PrefillCost& zone = costs.zones[cell.zone];  // none yet in a new zone
+        const PrefillCost& zone = costs.zones[cell.zone];  // empty for a new zone
         const double zone_cost =
             (zone.objective_fraction_sum + assumed_cost) / (zone.prefills + kCellPriorPrefills);
         const double cell_cost = (cell.objective_fraction_sum + kCellPriorPrefills * zone_cost) /
