--- a/src/router/health_monitor.cpp
+++ b/src/router/health_monitor.cpp
@@ -16,10 +16,10 @@
     if (services_.settings.discovery == Discovery::poll) poll_endpoints(now);
 }
 
-// Guards against endpoints blamed for a stall of this process: a tick overdue by more than its interval shows
-// that nothing was received for as long, so that time does not count as the age of attempts. Covers a stopped
-// process, a busy core and a long turn of the event loop. May do harm when an endpoint slows down during the
-// stall: its attempts are judged too favourably, once.
+// A stall of this process must not count against endpoints. If a tick is overdue by more than its interval,
+// no events were processed in that time, so it is excluded from the age of attempts. Covers a stopped
+// process, a busy core and a long iteration of the event loop. Drawback: attempts at an endpoint that slows
+// down during the stall look too young, once.
 void HealthMonitor::detect_stall(Millis now) {
     const Millis stalled_for = now - next_tick_;
     if (stalled_for <= interval_) return;
@@ -29,9 +29,9 @@
     services_.in_flight_requests.on_stall(now, stalled_for);
 }
 
-// A sequential test of each endpoint against its peers: attempts in flight are evidence of slowness as they
-// age, each completion is evidence against it. Covers silence, slow machines and stalled streams alike. May
-// do harm when some long answers meet at one endpoint: it is then ejected for a while without need.
+// A sequential test compares each endpoint with its peers: the age of attempts in flight is evidence of
+// slowness, each completion is evidence against it. Covers unresponsive endpoints, slow machines and stalled
+// streams. Drawback: several long answers at one endpoint can eject it temporarily without cause.
 void HealthMonitor::on_health_tick(Millis now) {
     schedule_tick(now);
     const Settings& settings = services_.settings;
--- a/src/router/health_monitor.h
+++ b/src/router/health_monitor.h
@@ -1,4 +1,4 @@
-// The periodic work of a Router: evidence of slow endpoints, refresh and decay of statistics, polls of the
+// Periodic work of a Router: detection of slow endpoints, refresh and decay of statistics, polling of the
 // endpoint list, and detection of stalls of its own process.
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace gorsenotch::router {
 
-// The components that a HealthMonitor drives. All must outlive it.
+// The components that a HealthMonitor uses. All must outlive it.
 struct HealthServices {
     const Settings& settings;
     EndpointRegistry& registry;
@@ -29,17 +29,18 @@
     ActionList& actions;
 };
 
-// Owns the times of the health ticks and of the latest poll.
+// Owns the schedule of the health ticks and of the polls.
 class HealthMonitor {
 public:
     explicit HealthMonitor(const HealthServices& services);
 
-    // Before the first event: sets the first tick, and requests the endpoint list if it is polled.
+    // Called before the first event. Schedules the first tick, and polls the endpoint list if it is not
+    // pushed.
     void start(Millis now);
-    // Before each event: notices that this process stalled, as its tick is overdue.
+    // Called before each event. Detects a stall of this process by an overdue tick.
     void detect_stall(Millis now);
     void on_health_tick(Millis now);
-    // Polls again soon, after a poll has failed.
+    // Schedules the next poll soon after a failed one.
     void on_poll_failed(Millis now);
 
 private:
