--- a/src/router/in_flight_requests.cpp
+++ b/src/router/in_flight_requests.cpp
@@ -18,7 +18,7 @@
 void InFlightRequests::erase(RequestState& request) {
     set_kv_lease(request, false);
     id_by_serial_.erase(request.serial);
-    by_id_.erase(RequestId(request.arrival.request));  // a copy: the key is destroyed meanwhile
+    by_id_.erase(RequestId(request.arrival.request));  // copied, as the key is destroyed with the request
 }
 
 RequestState* InFlightRequests::find(const RequestId& id) {
@@ -43,7 +43,7 @@
     attempt.endpoint = endpoint.info.id;
     attempt.sent_at = now;
     attempt.original_sent_at = now;
-    attempt.work_units = endpoint.load.in_flight[Stage::decode_queued];  // this one included
+    attempt.work_units = endpoint.load.in_flight[Stage::decode_queued];  // includes this attempt
     if (stage == Stage::prefill) {
         endpoint.load.reserved_tokens += request.arrival.prompt_tokens;
         endpoint.load.queued_kilotokens += uncached_kilotokens(request);
--- a/src/router/in_flight_requests.h
+++ b/src/router/in_flight_requests.h
@@ -1,4 +1,4 @@
-// The requests that a Router works on, and the load that they put on endpoints.
+// The requests in progress and the load that they cause at endpoints.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,9 @@
 
 namespace gorsenotch::router {
 
-// Owns the RequestState of each request. It alone changes the own load in EndpointState::load (except for
-// abandoned prefills), together with the stage and the lease of the request that causes it.
+// Owns the RequestState of each request. Only this class modifies this gateway's own load in
+// EndpointState::load, except for abandoned prefills, together with the stage and the KV lease of the request
+// that causes it.
 class InFlightRequests {
 public:
     using ById = std::map<RequestId, RequestState>;
@@ -21,27 +22,29 @@
     InFlightRequests(const Settings& settings, EndpointRegistry& registry)
         : settings_(settings), registry_(registry) {}
 
-    // Only for a request that is not known.
+    // Precondition: the request is not known.
     RequestState& add(Millis now, const Arrival& arrival);
-    // Releases the lease's share of the endpoint's load and destroys the request.
+    // Subtracts the KV lease from the endpoint's load and destroys the request.
     void erase(RequestState& request);
-    // nullptr if unknown.
+    // Both return nullptr for an unknown request.
     RequestState* find(const RequestId& id);
     RequestState* find_by_serial(std::uint64_t serial);
     ById& by_id() { return by_id_; }
 
-    // An attempt is sent to the endpoint.
+    // Records that an attempt is sent to the endpoint.
     void begin_attempt(Millis now, RequestState& request, EndpointState& endpoint, Stage stage) const;
+    // Records the first token of the request's attempt.
     void begin_stream(Millis now, RequestState& request, EndpointState& endpoint) const;
     void end_attempt(RequestState& request) const;
-    // Records whether the prefill endpoint holds the request's KV cache.
+    // Records whether the request has a KV lease at its prefill endpoint.
     void set_kv_lease(RequestState& request, bool has_lease) const;
 
-    // Own streams at the endpoint that have produced few tokens, at the wanted pace.
+    // Number of own streams at the endpoint that have produced fewer than kYoungStreamTokens tokens, assuming
+    // the inter-token objective.
     int count_young_streams(Millis now, const EndpointState& endpoint) const;
-    // Attempts at known endpoints that are not streaming yet.
+    // Number of attempts at known endpoints that are not streaming yet.
     double count_not_streaming() const;
-    // Takes a stall of this gateway out of the age of all attempts in flight.
+    // Excludes a stall of this gateway from the age of all attempts in flight.
     void on_stall(Millis now, Millis stalled_for);
 
 private:
