--- a/src/router/load_shedder.cpp
+++ b/src/router/load_shedder.cpp
@@ -17,12 +17,14 @@
     for (const TenantSettings& tenant : settings.tenants) quotas_.push_back({quota_burst(tenant), 0});
 }
 
-// The closer the expected wait is to the latency objective, the higher the value a request needs.
+// The longer the expected wait relative to the latency objective, the higher the value that a request needs
+// to be admitted.
 bool LoadShedder::should_shed(Millis now, const RequestState& request) {
     double value = class_of(settings_, request).priority_weight / max_priority_weight_;
     if (!consume_quota(now, request)) value *= settings_.over_quota_weight;
     if (request.arrival.resumed) return false;
-    // The time of its own prefill is no queue. Guards against long prompts rejected whatever the load.
+    // The time of the request's own prefill is not queueing. If it counted, long prompts would be shed at any
+    // load.
     const double own_kilotokens = uncached_kilotokens(request);
     const Millis ms_per_kilotoken = std::min(completion_times_.low_quantile(Stage::prefill),
                                              completion_times_.mean(Stage::prefill, request));
@@ -32,14 +34,15 @@
     const Millis queue_wait =
         wait_estimator_.expected_wait(now, request) -
         ms_per_kilotoken * std::min(own_kilotokens, fleet_stats_.typical_uncached_kilotokens());
-    // Guards against a gateway that used one overloaded endpoint and rejects requests while others are idle:
-    // at a low sample rate its estimate may be twice the truth. May do harm by late answers where all are
-    // overloaded.
+    // At a low sample rate, the estimate of a gateway that has used one overloaded endpoint may be twice the
+    // actual wait; without tolerance it would reject requests while other endpoints are idle. Drawback: late
+    // answers where all endpoints are overloaded.
     const double tolerance = fleet_stats_.no_load_signal() ? kNoLoadSignalWaitFactor : 1;
     return queue_wait > tolerance * allowed_wait * (kMinShedThreshold + kShedThresholdRange * value);
 }
 
-// Whether the request is within its tenant's quota, or its tenant has none.
+// Takes a token from the tenant's bucket. Returns whether the request is within the quota of its tenant; true
+// for a tenant without quota.
 bool LoadShedder::consume_quota(Millis now, const RequestState& request) {
     const auto tenant = static_cast<std::size_t>(request.arrival.tenant);
     if (request.arrival.tenant < 0 || tenant >= quotas_.size()) return true;
--- a/src/router/load_shedder.h
+++ b/src/router/load_shedder.h
@@ -1,5 +1,5 @@
-// Rejects requests on arrival under overload: those beyond their tenant's quota and of low priority weight
-// first.
+// Load shedding: rejects requests on arrival under overload, starting with those of low priority weight and
+// those beyond the quota of their tenant.
 #pragma once
 
 #include <vector>
@@ -19,7 +19,8 @@
     LoadShedder(const Settings& settings, const FleetStats& fleet_stats,
                 const CompletionTimes& completion_times, WaitEstimator& wait_estimator);
 
-    // Whether to reject the request, which has just arrived. Takes it from its tenant's quota in any case.
+    // Whether to reject the request, which has just arrived. Counts it against its tenant's quota in either
+    // case.
     bool should_shed(Millis now, const RequestState& request);
 
 private:
