--- a/src/router/outlier_detector.cpp
+++ b/src/router/outlier_detector.cpp
@@ -27,7 +27,7 @@
                                      const AttemptEnded& ended) {
     EndpointHealth& health = endpoint.health;
     const AttemptState& attempt = request.attempt;
-    // Such an attempt is no trial of the ejected endpoint.
+    // An attempt sent before the ejection does not count as a trial request.
     const bool sent_before_ejection = health.ejected && attempt.sent_at < health.ejected_at;
     switch (ended.result) {
         case AttemptResult::served:
@@ -43,8 +43,8 @@
             if (attempt.cancelled) return;
             [[fallthrough]];
         case AttemptResult::reset:
-            // Guards against endpoints ejected for streams that break or are corrupted on the network, which
-            // happens to any. If the endpoint died, the next connection fails.
+            // An interrupted or corrupted stream may be the network's fault and does not count against the
+            // endpoint. If the endpoint is down, the next connection attempt fails.
             if (attempt.stage == Stage::streaming) return;
             [[fallthrough]];
         case AttemptResult::error:
@@ -79,9 +79,9 @@
     }
 }
 
-// Guards against an endpoint ejected, and then taken for restarted, for one failed connection: if it is down
-// the next one fails too. Covers connections reset while they open. May do harm by one more attempt, or one
-// more connect timeout, at an endpoint that is down.
+// A single failed connection does not eject an endpoint, as its return would count as a restart and begin a
+// slow start. If the endpoint is down, the next connection fails too. Covers connections that are reset while
+// being established. Drawback: one more attempt, or one more connect timeout, at an endpoint that is down.
 void OutlierDetector::record_unreachable(Millis now, EndpointState& endpoint, const RequestState& request,
                                          bool sent_before_ejection) {
     EndpointHealth& health = endpoint.health;
@@ -99,7 +99,7 @@
     if (sent_before_ejection) return;
     health.error_rate += kErrorRateSmoothingFactor * (result == AttemptResult::reset ? kResetWeight : 1) *
                          (1 - health.error_rate);
-    // With few samples no second failure comes in time to confirm the first.
+    // At a low sample rate a single failure ejects, as a second one would come too late to confirm it.
     const bool failing = health.error_rate > kErrorRateThreshold || fleet_stats_.low_sample_rate();
     if (health.ejected || (failing && within_max_ejection_fraction(endpoint, Stage::prefill)))
         eject(now, endpoint);
@@ -110,7 +110,7 @@
     record_completion(endpoint, request, Stage::decode_queued);
 }
 
-// A completed stage is evidence against slowness.
+// A completed stage is evidence against slowness of the endpoint.
 void OutlierDetector::record_completion(EndpointState& endpoint, const RequestState& request, Stage stage) {
     double& evidence = endpoint.health.slowness_evidence[stage];
     evidence = std::max(0.0, evidence - std::log(kSlowFactor));
@@ -123,7 +123,7 @@
     const Stage stage = attempt.stage;
     const Millis expected = completion_times_.expected(stage, request);
     const Millis age = now - (stage == Stage::streaming ? attempt.stream_started_at : attempt.sent_at);
-    // A stream much older than expected shows a long answer, no longer a slow endpoint.
+    // A stream that is much older than expected indicates a long answer rather than a slow endpoint.
     if (age < 3 * expected || stage != Stage::streaming) {
         double& evidence = endpoint.health.slowness_evidence[stage];
         evidence = std::min(2 * kSlownessThreshold, evidence + elapsed / expected * (1 - 1 / kSlowFactor));
@@ -150,8 +150,8 @@
 
 void OutlierDetector::eject(Millis now, EndpointState& endpoint) {
     EndpointHealth& health = endpoint.health;
-    // A trial of an unreachable endpoint costs little, one of a slow endpoint a late answer; with many
-    // gateways the trials add up.
+    // A failed trial request at an unreachable endpoint costs little, one at a slow endpoint causes a late
+    // answer. With many gateways the trial requests add up, so the backoff is longer at a low sample rate.
     const bool low_sample_rate = fleet_stats_.low_sample_rate();
     const Millis max_backoff = (health.was_unreachable && !low_sample_rate ? 2 : 8) * min_latency_objective_;
     const Millis min_backoff = low_sample_rate ? max_backoff : min_latency_objective_;
@@ -164,7 +164,8 @@
     health.slowness_evidence = {};
 }
 
-// Overload makes all endpoints slow: only a minority of a role may be ejected for slowness or failures.
+// Overload slows down all endpoints, so at most about half of the endpoints of a role may be ejected for
+// slowness or failures.
 bool OutlierDetector::within_max_ejection_fraction(const EndpointState& endpoint, Stage stage) const {
     int peers = 0;
     int outliers = 0;
