--- a/src/router/prefill_selector.cpp
+++ b/src/router/prefill_selector.cpp
@@ -41,7 +41,7 @@
     const std::vector<EndpointState*> within_margin = within_load_margin(request, eligible);
     const std::uint64_t key = prefix_affinity_.affinity_key(request);
     if (!key) return choose_least_loaded(eligible, within_margin);
-    // A window is a sample of the fleet.
+    // The window is a sample: extrapolate to the fleet.
     const std::size_t usable =
         candidates.empty() ? eligible.size() : eligible.size() * ring.size() / candidates.size();
     return prefix_affinity_.choose(request, key, within_margin, usable);
@@ -65,8 +65,9 @@
     return std::min_element(ranking.begin(), ranking.end(), precedes)->endpoint;
 }
 
-// Endpoints of the role prefill, and mixed ones that have capacity if the decode endpoint that would be
-// chosen has none, as a mixed one decodes too; all mixed ones if none of the role prefill is eligible.
+// Returns the eligible endpoints of the role prefill. If the decode endpoint that would be selected has no
+// capacity, mixed endpoints with capacity are added, as they can also decode. If no endpoint of the role
+// prefill is eligible, returns all eligible mixed endpoints.
 std::vector<EndpointState*> PrefillSelector::eligible_endpoints(
     Millis now, const RequestState& request, SearchScope scope,
     const std::vector<EndpointState*>& candidates) {
@@ -92,8 +93,8 @@
     return eligible;
 }
 
-// The endpoint_weight of its memory that each endpoint uses, by own requests and, as far as reported, by
-// others; without a recent report the mean of the others.
+// Computes the fraction of each endpoint's memory in use, by this gateway's requests and, as reported, by
+// those of other gateways. An endpoint without a recent report gets the mean of the reported fractions.
 std::vector<PrefillSelector::LoadedEndpoint> PrefillSelector::compute_loads(
     Millis now, const std::vector<EndpointState*>& eligible) const {
     const auto is_recent = [now](const EndpointState& endpoint) {
@@ -117,7 +118,7 @@
     return loaded;
 }
 
-// The endpoints within a margin of the lowest_load load, in the own zone or outside.
+// Returns the endpoints whose load is within a margin of the lowest load, filtered by zone.
 std::vector<EndpointState*> PrefillSelector::within_load_margin(
     const RequestState& request, const std::vector<LoadedEndpoint>& eligible) const {
     double sum = 0;
@@ -126,12 +127,12 @@
         sum += candidate.load;
         lowest_load = std::min(lowest_load, candidate.load);
     }
-    // At a low sample rate few loads are known, and the lowest_load of these must not session_fraction all
-    // prompts from where their prefixes are cached.
+    // At a low sample rate few loads are known. The margin is then relative to the mean, as the lowest known
+    // load would attract all prompts away from the endpoints that cache their prefixes.
     if (fleet_stats_.low_sample_rate()) lowest_load = sum / static_cast<double>(eligible.size());
-    // A prompt is processed in full at an endpoint that does not cache its prefix, so the margin grows with
-    // what the cache saves. Otherwise the first overload spreads the prefixes, each prefill takes longer and
-    // the overload persists.
+    // The margin grows with the work that the prefix cache saves, as an endpoint that does not cache the
+    // prefix processes the prompt in full. With a fixed margin an overload would spread the prefixes over
+    // more endpoints, which makes prefills longer and sustains the overload.
     const double margin_prompts =
         std::clamp(request.arrival.prompt_tokens / (1000 * uncached_kilotokens(request)),
                    kMinLoadMarginPrompts, kMaxLoadMarginPrompts);
@@ -142,8 +143,8 @@
     for (const auto& [load, endpoint] : eligible) {
         if (load > lowest_load + margin_prompts * typical_prompt_load) continue;
         within_margin.push_back(endpoint);
-        // The margin for the own zone is narrower: it may have few endpoints, which its gateways would
-        // overload.
+        // The margin for preferring the own zone is narrower: the zone may have few endpoints, which its
+        // gateways would overload.
         own_zone_has_capacity |= endpoint->info.zone == settings_.own_zone &&
                                  load <= lowest_load + kMinLoadMarginPrompts * typical_prompt_load;
     }
@@ -151,9 +152,9 @@
     return within_margin;
 }
 
-// Keeps the endpoints of the own zone, or only the others. At a low sample rate a zone keeps only as many
-// sessions as its endpoint_weight of the endpoints covers, assuming the same load in each zone. Guards
-// against overload in a zone with few endpoints while others are idle.
+// Keeps either the endpoints of the own zone or those of the other zones. At a low sample rate, the own zone
+// keeps only as many sessions as its share of the endpoints covers, assuming the same load in each zone.
+// Prevents overload of a zone with few endpoints while endpoints of other zones are idle.
 void PrefillSelector::filter_by_zone(const RequestState& request, const std::vector<LoadedEndpoint>& eligible,
                                      std::vector<EndpointState*>& within_margin) const {
     const int exponent = fleet_stats_.no_load_signal() ? kNoLoadSignalZoneExponent : kZoneExponent;
--- a/src/router/prefill_selector.h
+++ b/src/router/prefill_selector.h
@@ -1,4 +1,4 @@
-// Chooses the prefill endpoint of a request.
+// Selects the prefill endpoint of a request.
 #pragma once
 
 #include <vector>
@@ -13,8 +13,8 @@
 
 namespace gorsenotch::router {
 
-// Owns no state but memory that it reuses. Draws from the Router's one random generator, in an order that is
-// part of its behaviour.
+// Has no state other than reusable buffers. Shares the Router's random number generator: the order in which
+// numbers are drawn affects all later selections.
 class PrefillSelector {
 public:
     // All references must outlive this object.
@@ -22,12 +22,13 @@
                     const Eligibility& eligibility, const PrefixAffinity& prefix_affinity,
                     DecodeSelector& decode_selector, stats::UniformRandom& random);
 
-    // The eligible endpoint that the prompt's prefix is cached at, unless it is loaded more than others; the
-    // least loaded one for a prompt without prefix and session. nullptr if none is eligible.
+    // Returns the eligible endpoint at which the prefix of the prompt is cached, unless its load exceeds that
+    // of others by more than a margin. For a prompt without shared prefix and session, returns the least
+    // loaded endpoint. Returns nullptr if no endpoint is eligible.
     EndpointState* choose(Millis now, const RequestState& request);
 
 private:
-    // An eligible endpoint with the share of its memory in use.
+    // An eligible endpoint and the fraction of its memory in use.
     struct LoadedEndpoint {
         double load;
         EndpointState* endpoint;
