--- a/src/router/prefix_affinity.cpp
+++ b/src/router/prefix_affinity.cpp
@@ -39,8 +39,8 @@
     return has_session_affinity(request) ? request.arrival.session : request.arrival.shared_prefix;
 }
 
-// At a low sample rate the session, if most of the prompt is its own: no queue of this gateway would show an
-// overload at the endpoints of a popular prefix.
+// At a low sample rate, prompts that mostly belong to their session have session affinity instead of prefix
+// affinity: the queues of this gateway would not reflect an overload of the endpoints of a popular prefix.
 bool PrefixAffinity::has_session_affinity(const RequestState& request) const {
     const Arrival& arrival = request.arrival;
     if (!arrival.shared_prefix) return true;
@@ -53,7 +53,8 @@
     return key ? key : seed_ + request.serial;
 }
 
-// By the endpoint list alone, as the next request of a session may come by another gateway.
+// The result depends only on the endpoint list, as another gateway may handle the next request of the
+// session.
 EndpointState* PrefixAffinity::choose(const RequestState& request, std::uint64_t key,
                                       const std::vector<EndpointState*>& candidates,
                                       std::size_t usable) const {
@@ -66,7 +67,7 @@
         has_session_affinity(request)
             ? 1
             : std::min(ranking.size(), affinity_replicas(request.arrival.shared_prefix, usable));
-    // A session keeps its rank among the replicas.
+    // A session always uses the same rank among the replicas.
     const double session_fraction = stats::hash_fraction(request.arrival.session, kReplicaRankSalt);
     const auto rank = static_cast<std::ptrdiff_t>(session_fraction * static_cast<double>(replicas));
     const auto chosen = ranking.begin() + rank;
@@ -74,9 +75,10 @@
     return chosen->endpoint;
 }
 
-// The number of endpoints that cache a prefix. Guards against a popular prefix that overloads its endpoint,
-// which no queue of this gateway shows at a low sample rate: no endpoint carries more of one prefix than a
-// multiple of the mean load. May do harm by prefixes processed once at each replica.
+// Returns the number of endpoints that cache a prefix. A popular prefix would overload a single endpoint, and
+// at a low sample rate the queues of this gateway would not reflect that. The load of one prefix per endpoint
+// is therefore limited to a multiple of the mean load. Drawback: the prefix is processed once at each
+// replica.
 std::size_t PrefixAffinity::affinity_replicas(std::uint64_t prefix, std::size_t endpoints) const {
     if (!fleet_stats_.low_sample_rate()) return 1;
     const auto tracked = arrivals_by_prefix_.find(prefix);
--- a/src/router/prefix_affinity.h
+++ b/src/router/prefix_affinity.h
@@ -1,5 +1,5 @@
-// Which prefill endpoints a prompt prefix is cached at: prompts with the same prefix, or of the same session,
-// go to the same endpoints.
+// Prefix affinity: sends prompts with the same prefix, or of the same session, to the same prefill endpoints,
+// at which the prefix is then cached.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace gorsenotch::router {
 
-// Owns the decaying counts of arrivals by shared prefix.
+// Owns the decaying arrival counts by shared prefix.
 class PrefixAffinity {
 public:
     // `fleet_stats` must outlive this object. `seed` is the Router's.
@@ -23,13 +23,13 @@
     void record_arrival(const RequestState& request);
     void decay(Millis elapsed);
 
-    // The shared prefix or the session that the request's prefills are cached by; 0 for neither.
+    // The id of the shared prefix or session that determines the endpoint; 0 for neither.
     std::uint64_t affinity_key(const RequestState& request) const;
-    // Where the window of endpoints that a choice considers starts on the hash ring.
+    // Keys of the ring positions at which the windows of candidate endpoints start.
     std::uint64_t prefill_window_key(const RequestState& request) const;
     std::uint64_t decode_window_key(const RequestState& request) const { return seed_ + request.serial; }
-    // Chooses among `candidates`, of which there is at least one, by weighted rendezvous hashing of a key
-    // other than 0. `usable` is the number of endpoints that are eligible in the fleet.
+    // Selects one of `candidates`, which must not be empty, by weighted rendezvous hashing of `key`, which
+    // must not be 0. `usable` is the number of eligible endpoints in the fleet.
     EndpointState* choose(const RequestState& request, std::uint64_t key,
                           const std::vector<EndpointState*>& candidates, std::size_t usable) const;
 
