--- a/src/router/request_dispatcher.cpp
+++ b/src/router/request_dispatcher.cpp
@@ -13,7 +13,7 @@
         return finish_with(now, request, EndCause::attempts_exhausted);
     if (request.possible_run && class_of(settings, request).idempotency == Idempotency::unsafe)
         return finish_with(now, request, EndCause::may_have_run);
-    // Each attempt beyond one prefill and one decode is a retry.
+    // Every attempt beyond one prefill and one decode is a retry.
     if (request.attempt_count > (request.has_kv_lease ? 1 : 0)) {
         if (!services_.retry_budget.available()) return finish_with(now, request, EndCause::retry_budget);
         services_.retry_budget.spend();
@@ -30,8 +30,9 @@
     start_attempt(now, request, *decode_endpoint, Stage::decode_queued);
 }
 
-// Guards against decode endpoints busy with late answers, which are worth little: a prefilled request that
-// would miss its objective is ended while others wait. May do harm where late answers are worth much.
+// Late answers have little value, so while other requests wait, a prefilled request that would miss its
+// latency objective is ended instead of occupying a decode endpoint. Drawback: rejects requests whose late
+// answers would be valuable.
 bool RequestDispatcher::would_be_late(Millis now, const RequestState& request,
                                       const EndpointState& decode_endpoint) const {
     const int queued = decode_endpoint.load.in_flight[Stage::decode_queued];
@@ -67,7 +68,7 @@
     cancel_or_erase(request);
 }
 
-// An attempt in flight may run, a prefill too.
+// An attempt in flight may run, even if it is a prefill.
 bool RequestDispatcher::is_safe_to_retry(const RequestState& request) const {
     const ClassSettings& class_settings = class_of(services_.settings, request);
     if (!request.possible_run && !request.attempt.in_flight) return true;
@@ -106,8 +107,8 @@
         AttemptState& attempt = request.attempt;
         if (!attempt.in_flight || attempt.cancelled || attempt.endpoint != endpoint.info.id) continue;
         if (!services_.retry_budget.available()) continue;
-        // A prefill at a slow endpoint is restarted only while it can meet its objective, as its work is
-        // lost; one at a silent endpoint always.
+        // A migrated prefill loses its work. At a slow endpoint it is migrated only while it can still meet
+        // its latency objective, at an unresponsive endpoint always.
         const Millis latest = kMigratableObjectiveFraction * latency_objective(settings, request);
         if (attempt.stage == Stage::prefill && endpoint.health.last_success >= attempt.sent_at &&
             now - attempt.sent_at > latest)
--- a/src/router/request_dispatcher.h
+++ b/src/router/request_dispatcher.h
@@ -1,4 +1,4 @@
-// The course of a request: sends its attempts, retries it, and gives it its final answer.
+// The lifecycle of a request: starts its attempts, retries it, and gives its final answer.
 #pragma once
 
 #include "gorsenotch/actions.h"
@@ -31,21 +31,22 @@
     ActionList& actions;
 };
 
-// Owns no state.
+// Stateless: the state of a request is in its RequestState.
 class RequestDispatcher {
 public:
     explicit RequestDispatcher(const DispatchServices& services) : services_(services) {}
 
-    // Sends a request without an attempt in flight to its next stage, or ends it. The request may be
-    // destroyed.
+    // Starts the next stage of a request without an attempt in flight, or ends the request. May destroy the
+    // request.
     void dispatch_next_stage(Millis now, RequestState& request);
-    // Gives the request its final answer, unless none is due. The request may be destroyed.
+    // Gives the final answer of the request, unless none is due. May destroy the request.
     void finish_with(Millis now, RequestState& request, EndCause cause);
-    // No answer is due any more: stops the attempt in flight, or else destroys the request.
+    // Called when no answer is due any more. Cancels the attempt in flight where that is permitted, or
+    // destroys the request if there is none.
     void cancel_or_erase(RequestState& request);
-    // Releases what is held for a request without an attempt in flight, and destroys it.
+    // Releases the KV lease of a request without an attempt in flight and destroys the request.
     void release_and_erase(RequestState& request);
-    // Moves own requests off an endpoint that is slow or silent, within the retry budget.
+    // Migrates this gateway's requests off a slow or unresponsive endpoint, within the retry budget.
     void migrate_off(Millis now, const EndpointState& endpoint);
 
 private:
