--- a/src/router/retry_budget.cpp
+++ b/src/router/retry_budget.cpp
@@ -4,7 +4,7 @@
 
 namespace gorsenotch::router {
 
-// With many gateways the sum of their budgets counts, so each starts with less.
+// The budgets of all gateways add up, so with many gateways each one starts with less.
 RetryBudget::RetryBudget(int gateways)
     : initial_retries_(std::clamp(kInitialRetriesOfAllGateways / gateways, kMinInitialRetryBudget,
                                   kMaxInitialRetryBudget)),
--- a/src/router/retry_budget.h
+++ b/src/router/retry_budget.h
@@ -1,4 +1,5 @@
-// Limits retries to a fraction of the successful requests, so that failures cannot cause a retry storm.
+// Retry budget: limits retries to a fraction of the successful requests, so that failures cannot cause a
+// retry storm.
 #pragma once
 
 #include "gorsenotch/settings.h"
@@ -7,7 +8,7 @@
 
 namespace gorsenotch::router {
 
-// Owns the number of retries left and the rate of arrivals that caps it. Retries are earned by first tokens.
+// Owns the number of retries left and the arrival rate that limits it. Each first token adds to the budget.
 class RetryBudget {
 public:
     explicit RetryBudget(int gateways);
@@ -15,7 +16,7 @@
     void on_arrival(Millis now) { arrival_rate_.add(now); }
     void on_first_token(Millis now);
     bool available() const { return retries_left_ >= 1; }
-    // Takes one retry. Only while one is available().
+    // Consumes one retry. Precondition: available().
     void spend() { retries_left_ -= 1; }
 
 private:
