--- a/src/router/settings_validation.h
+++ b/src/router/settings_validation.h
@@ -5,7 +5,7 @@
 
 namespace gorsenotch::router {
 
-// Throws std::invalid_argument naming the first setting that cannot be used.
+// Throws std::invalid_argument, which names the first invalid setting.
 void validate_settings(const Settings& settings);
 
 }  // namespace gorsenotch::router
