--- a/src/router/slow_start.cpp
+++ b/src/router/slow_start.cpp
@@ -6,10 +6,10 @@
 
 namespace gorsenotch::router {
 
-// Guards against a warming endpoint that all gateways together overload. Each sends it a fraction of what its
-// warm peers get from this same gateway, so that the sum stays below the limit. A budget below one send is
-// taken as a probability, drawn once for each request and endpoint. Where this gateway has ejected many
-// peers, so may have all others: less is recent_sends then.
+// Keeps all gateways together from overloading a warming endpoint. Each gateway sends it a fraction of what
+// it sends to the warm peers, so that the sum stays below the limit. A budget of less than one request is
+// treated as a probability, drawn once per request and endpoint. If this gateway has ejected many peers, the
+// other gateways may have done so too, so the budget is reduced.
 bool SlowStart::within_slow_start_budget(Millis now, const EndpointState& endpoint,
                                          const RequestState& request, const FleetStats& fleet_stats) const {
     const Millis warming_for = now - endpoint.warming_since;
--- a/src/router/slow_start.h
+++ b/src/router/slow_start.h
@@ -1,4 +1,4 @@
-// Protects an endpoint that has just started from overload, while its caches are cold.
+// Slow start: protects a newly started endpoint, whose caches are cold, from overload.
 #pragma once
 
 #include <cstdint>
@@ -9,18 +9,19 @@
 
 namespace gorsenotch::router {
 
-// Has no state of its own; the only one to change EndpointState::sends.
+// Stateless. Only this class modifies EndpointState::sends.
 class SlowStart {
 public:
     // `settings` must outlive this object. `seed` is the Router's.
     SlowStart(const Settings& settings, std::uint64_t seed) : settings_(settings), seed_(seed) {}
 
     // Whether the endpoint may get the request: it is warm, or this gateway's share of its slow-start budget
-    // is not used up.
+    // is not exhausted.
     bool within_budget(Millis now, const EndpointState& endpoint, const RequestState& request,
                        const FleetStats& fleet_stats) const {
         return !is_warming(now, endpoint) || within_slow_start_budget(now, endpoint, request, fleet_stats);
     }
+    // Records that an attempt is sent to the endpoint.
     void record_send(Millis now, EndpointState& endpoint) const;
 
 private:
