--- a/src/router/wait_estimator.cpp
+++ b/src/router/wait_estimator.cpp
@@ -21,10 +21,12 @@
 Millis WaitEstimator::expected_wait(Millis now, const RequestState& request) {
     const double requests_ahead = in_flight_requests_.count_not_streaming();
     const double queued_kilotokens = shortest_prefill_queue(now, request);
-    if (queued_kilotokens + requests_ahead <= 0) return 0;  // no queue, however long its own work takes
+    if (queued_kilotokens + requests_ahead <= 0)
+        return 0;  // nothing is queued; the request's own work is not a wait
     const double decode_endpoints = eligible_decode_endpoints(now, request);
     const Millis decode_wait = completion_times_.typical(Stage::decode_queued, request);
-    // The queue is the same for a long prompt as for a typical one.
+    // The queue is the same for a long prompt as for a typical one, so the own part is limited to a typical
+    // prompt.
     const double own_kilotokens =
         std::min(uncached_kilotokens(request), fleet_stats_.typical_uncached_kilotokens());
     const Millis prefill_wait = request.has_kv_lease ? 0
@@ -34,7 +36,7 @@
                     decode_wait * (1 + requests_ahead / std::max(1.0, decode_endpoints)));
 }
 
-// In thousands of tokens; 0 if no endpoint is eligible.
+// Returns the length in thousands of tokens; 0 if no endpoint is eligible.
 double WaitEstimator::shortest_prefill_queue(Millis now, const RequestState& request) {
     std::optional<double> shortest;
     const std::uint64_t key = prefix_affinity_.prefill_window_key(request);
@@ -58,7 +60,7 @@
     double eligible = 0;
     for (const EndpointState* endpoint : candidates)
         eligible += eligibility_.is_eligible(now, *endpoint, request, Strictness::strict);
-    // A window is a sample of the fleet.
+    // The window is a sample: extrapolate to the fleet.
     return eligible * (static_cast<double>(ring.size()) / static_cast<double>(candidates.size()));
 }
 
--- a/src/router/wait_estimator.h
+++ b/src/router/wait_estimator.h
@@ -1,4 +1,4 @@
-// The time to first token that a new request can expect.
+// Estimates the time to first token of a new request.
 #pragma once
 
 #include <vector>
@@ -13,7 +13,7 @@
 
 namespace gorsenotch::router {
 
-// Owns no state but memory that it reuses.
+// Has no state other than a reusable buffer.
 class WaitEstimator {
 public:
     // All references must outlive this object.
@@ -21,8 +21,9 @@
                   const CompletionTimes& completion_times, const Eligibility& eligibility,
                   const PrefixAffinity& prefix_affinity, const InFlightRequests& in_flight_requests);
 
-    // The wait behind the shortest own prefill queue, then behind all own requests that do not stream yet.
-    // Those in prefill are included, as they will join the others.
+    // Returns the expected wait in the shortest prefill queue of this gateway and then behind all its
+    // requests that are not streaming yet. Requests in prefill are included, as they join the decode queues
+    // next.
     Millis expected_wait(Millis now, const RequestState& request);
 
 private:
