--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -1,5 +1,5 @@
-// Creates the components of a Router and dispatches events to them. Its interface:
-// include/gorsenotch/router.h, with settings.h, events.h and actions.h beside it.
+// Creates the components of a Router and dispatches events to them. The public interface is in
+// include/gorsenotch/: router.h, settings.h, events.h and actions.h.
 #include "gorsenotch/router.h"
 
 #include <algorithm>
@@ -32,8 +32,8 @@
 
 using namespace router;
 
-// Owns all components and the time of the event being handled. The components refer to each other, so an Impl
-// is neither copied nor moved.
+// Owns all components and the time of the event being handled. The components hold references to each other,
+// so an Impl can be neither copied nor moved.
 class Router::Impl {
 public:
     Impl(const Settings& settings, std::uint64_t seed) : settings_(validated(settings)), seed_(seed) {}
@@ -57,7 +57,7 @@
     void on(const Arrival& arrival);
     void on(const AttemptEnded& ended);
     void on(const FirstToken& first_token);
-    void on(const ReservationReply&) {}  // the Router reserves no slots
+    void on(const ReservationReply&) {}  // the Router never reserves slots
     void on(const ClientDisconnected& disconnected);
     void on(const EndpointUpdate& update);
     void on(const HealthCheckResult& result);
@@ -129,7 +129,8 @@
     const bool no_kv_cache = ended.result == AttemptResult::rejected && ended.detail == 1;
     if (request.attempt.stage != Stage::streaming) record_stage_end(request, prefill_done);
     if (endpoint) record_attempt_end(*endpoint, request, ended);
-    // A stream whose client disconnected as it began, and that needs an answer after all.
+    // The client disconnected as its stream began, but the host reports the request as still open: it needs a
+    // final answer.
     if (!ended.request_closed && request.attempt.stage == Stage::streaming && request.closed &&
         !request.answered)
         request.closed = false;
@@ -143,8 +144,8 @@
     if (ended.request_closed) request.closed = true;
     if (request.closed) return dispatcher_.release_and_erase(request);
     if (!prefill_done && !no_kv_cache) request.failed_endpoints.push_back(ended.endpoint);
-    // Guards against leaked leases: a prefill whose end was lost, or whose endpoint is only partitioned, may
-    // have left a KV cache that this gateway does not know of.
+    // Prevents leaked KV leases: a prefill whose result was lost, or whose endpoint is partitioned from this
+    // gateway, may have left a KV cache that this gateway does not know of.
     if (!request.has_kv_lease) actions_.emit(ReleaseLease{request.arrival.request});
     dispatcher_.dispatch_next_stage(now_, request);
 }
@@ -193,7 +194,8 @@
         in_flight_requests_.set_kv_lease(*request, false);
 }
 
-// The Router, not its host, knows which requests may have run and so cannot be rejected.
+// Answered here because only the Router, not its host, knows which requests may have run and must fail
+// instead of being rejected.
 void Router::Impl::on(const Shutdown&) {
     std::vector<RequestId> unanswered;
     for (const auto& [id, request] : in_flight_requests_.by_id()) {
@@ -203,7 +205,7 @@
         dispatcher_.finish_with(now_, *in_flight_requests_.find(id), EndCause::shutdown);
 }
 
-// The request, if the attempt is its latest and in flight.
+// Returns the request if the attempt is its latest one and in flight, else nullptr.
 RequestState* Router::Impl::find_in_flight(const RequestId& id, int attempt) {
     RequestState* request = in_flight_requests_.find(id);
     if (!request || !request->attempt.in_flight || attempt != request->attempt_count - 1) return nullptr;
