--- a/src/stats/estimators.h
+++ b/src/stats/estimators.h
@@ -1,12 +1,12 @@
-// Online estimators of rates and durations. Spans, quantiles and steps are parameters; no constant is tuned
-// here. Times are milliseconds on the caller's clock. Not thread-safe.
+// Online estimators of rates and durations. All constants are parameters of the constructors. Times are in
+// milliseconds on the caller's clock. Not thread-safe.
 #pragma once
 
 #include <cmath>
 
 namespace gorsenotch::stats {
 
-// A rate of events, per ms, that decays exponentially over `time_constant` ms.
+// An event rate, per ms, with exponential decay. `time_constant` is in ms.
 class DecayingRate {
 public:
     explicit DecayingRate(double time_constant) : time_constant_(time_constant) {}
@@ -22,19 +22,20 @@
     double updated_at_ = 0;
 };
 
-// Mean duration of one kind of work: time spent on it over completions, both decaying. Work in progress
-// counts too, so that the short pieces which end first do not bias a new estimate. Decays to a slower
-// estimate of the same form, and that one to a prior.
+// Mean duration of one kind of work: the time spent on it divided by the number of completions, both
+// decaying. The time of work in progress counts too, so that short pieces, which complete first, do not bias
+// a new estimate. Without samples the value converges to a slower estimate of the same form, and that one to
+// the prior.
 class CompletionTime {
 public:
-    // `prior_completions`: the number of completions that the prior counts for.
+    // `prior_completions`: weight of the prior, in completions.
     CompletionTime(double prior, double prior_completions)
         : prior_(prior), prior_completions_(prior_completions) {}
     double prior() const { return prior_; }
     double value() const {
         return (spent_ + prior_completions_ * slow_value()) / (completed_ + prior_completions_);
     }
-    // Recent completions, decaying.
+    // Decaying number of recent completions.
     double completed() const { return completed_; }
     void add_time(double time) {
         spent_ += time;
@@ -44,7 +45,7 @@
         ++completed_;
         ++slow_completed_;
     }
-    // `decay_factor` and `slow_decay_factor`: the fractions kept of the fast and of the slow_value estimate.
+    // `decay_factor` and `slow_decay_factor`: factors for the samples of the fast and of the slow estimate.
     void decay(double decay_factor, double slow_decay_factor) {
         spent_ *= decay_factor;
         completed_ *= decay_factor;
@@ -65,8 +66,8 @@
     double slow_completed_ = 0;
 };
 
-// A quantile of positive values, by multiplicative steps: up by `step` times the quantile for a value above
-// it, down by `step` times the rest for one below.
+// Tracks a quantile of positive values by multiplicative steps. On a logarithmic scale, a sample above the
+// estimate raises it by `step * quantile`; any other sample lowers it by `step * (1 - quantile)`.
 class QuantileEstimate {
 public:
     QuantileEstimate(double quantile, double step, double start)
--- a/src/stats/hash_ring.h
+++ b/src/stats/hash_ring.h
@@ -1,5 +1,6 @@
-// A consistent-hash ring of items that can also be listed by ascending id. Processes with the same items find
-// the same ones for a key. Ownership: the caller owns the items and erases each one before destroying it.
+// A consistent-hash ring of items, which can also be listed by ascending id. Processes with the same item ids
+// get the same window for a key. The ring does not own the items: the caller must erase an item before
+// destroying it.
 #pragma once
 
 #include <algorithm>
@@ -22,6 +23,7 @@
     std::size_t size() const { return items_.size(); }
     const std::vector<Item*>& by_id() const { return items_; }
 
+    // Has no effect if the id is already present.
     void insert(std::uint64_t id, Item* item) {
         const auto at = std::lower_bound(ids_.begin(), ids_.end(), id);
         if (at != ids_.end() && *at == id) return;
@@ -38,7 +40,7 @@
         items_.erase(items_.begin() + (at - ids_.begin()));
         ids_.erase(at);
     }
-    // Appends up to `limit` items to `out`, from the ring position of `key` on.
+    // Appends up to `limit` items to `out`, in ring order, starting at the position of `key`.
     void window(std::uint64_t key, std::size_t limit, std::vector<Item*>& out) const {
         const auto first = static_cast<std::size_t>(
             std::lower_bound(ring_.begin(), ring_.end(), hash_fraction(key, kKeySalt), precedes) -
@@ -49,7 +51,7 @@
 
 private:
     struct RingEntry {
-        double position;  // from 0 up to, but not, 1
+        double position;  // in [0, 1)
         Item* item;
     };
     static bool precedes(const RingEntry& entry, double position) { return entry.position < position; }
--- a/src/stats/uniform_random.h
+++ b/src/stats/uniform_random.h
@@ -1,4 +1,4 @@
-// A seeded source of uniform random numbers. Not thread-safe.
+// A seeded generator of uniformly distributed random numbers. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 class UniformRandom {
 public:
     explicit UniformRandom(std::uint64_t seed) : generator_(seed) {}
-    // The next number, from 0 up to, but not, 1.
+    // Returns the next number, in [0, 1).
     double next() { return unit_interval(generator_()); }
 
 private:
