--- a/src/router/settings_validation.cpp
+++ b/src/router/settings_validation.cpp
@@ -23,15 +23,15 @@
 }  // namespace
 
 void validate_settings(const Settings& settings) {
-    require(!settings.classes.empty(), "classes: at least one is needed");
-    require(!settings.kinds.empty(), "kinds: each needs a role");
+    require(!settings.classes.empty(), "classes: expected at least one, got none");
+    require(!settings.kinds.empty(), "kinds: expected at least one, got none");
     validate_kinds(settings);
     for (const ClassSettings& class_settings : settings.classes) {
-        require(class_settings.latency_objective > 0, "classes: aim must be above 0");
+        require(class_settings.latency_objective > 0, "classes: latency_objective must be above 0");
         require(class_settings.deadline > 0, "classes: deadline must be above 0");
     }
-    require(settings.gateways > 0, "gateways: at least one");
-    require(settings.max_attempts > 0, "max_attempts: at least one");
+    require(settings.gateways > 0, "gateways: expected at least 1");
+    require(settings.max_attempts > 0, "max_attempts: expected at least 1");
 }
 
 }  // namespace gorsenotch::router
--- a/tests/router/router_settings_test.cpp
+++ b/tests/router/router_settings_test.cpp
@@ -1,4 +1,4 @@
-// The Router refuses settings that it cannot work by, and names them.
+// The constructor of the Router rejects invalid settings with an error that names the setting.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -9,8 +9,8 @@
 namespace gorsenotch::test {
 namespace {
 
-TEST(RouterSettingsTest, UnusableSettingsAreRejectedByName) {
-    const auto rejection_of = [](const Settings& settings) -> std::string {
+TEST(RouterSettingsTest, InvalidSettingsAreRejectedByName) {
+    const auto error_of = [](const Settings& settings) -> std::string {
         try {
             Router router(settings, 1);
         } catch (const std::invalid_argument& error) {
@@ -20,14 +20,14 @@
     };
     Settings settings = test_settings();
     settings.classes.clear();
-    EXPECT_NE(rejection_of(settings).find("classes"), std::string::npos);
+    EXPECT_NE(error_of(settings).find("classes"), std::string::npos);
     settings = test_settings();
     settings.kinds = {{Role::prefill, 1000}};
-    EXPECT_NE(rejection_of(settings).find("kinds"), std::string::npos);
+    EXPECT_NE(error_of(settings).find("kinds"), std::string::npos);
     settings = test_settings();
     settings.classes[1].latency_objective = 0;
-    EXPECT_NE(rejection_of(settings).find("aim"), std::string::npos);
-    EXPECT_EQ(rejection_of(test_settings()), "");
+    EXPECT_NE(error_of(settings).find("latency_objective"), std::string::npos);
+    EXPECT_EQ(error_of(test_settings()), "");
 }
 
 }  // namespace
--- a/tests/router/settings_validation_test.cpp
+++ b/tests/router/settings_validation_test.cpp
@@ -18,19 +18,19 @@
     return "";
 }
 
-TEST(SettingsValidation, AcceptsCompleteSettings) { EXPECT_EQ(error_of(test_settings()), ""); }
+TEST(SettingsValidation, AcceptsValidSettings) { EXPECT_EQ(error_of(test_settings()), ""); }
 
-TEST(SettingsValidation, NamesTheFirstSettingAtFault) {
+TEST(SettingsValidation, NamesTheFirstInvalidSetting) {
     Settings settings = test_settings();
     settings.max_attempts = 0;
-    EXPECT_EQ(error_of(settings), "gorsenotch settings: max_attempts: at least one");
+    EXPECT_EQ(error_of(settings), "gorsenotch settings: max_attempts: expected at least 1");
     settings.classes[1].deadline = 0;
     EXPECT_EQ(error_of(settings), "gorsenotch settings: classes: deadline must be above 0");
     settings.classes.clear();
-    EXPECT_EQ(error_of(settings), "gorsenotch settings: classes: at least one is needed");
+    EXPECT_EQ(error_of(settings), "gorsenotch settings: classes: expected at least one, got none");
 }
 
-TEST(SettingsValidation, NeedsPrefillUnlessDecodeEndpointsPrefillLocally) {
+TEST(SettingsValidation, RequiresAPrefillKindUnlessDecodeEndpointsPrefillLocally) {
     Settings settings = test_settings();
     settings.kinds = {{Role::decode, 100000}};
     EXPECT_NE(error_of(settings), "");
