--- a/tests/router/router_harness.cpp
+++ b/tests/router/router_harness.cpp
@@ -4,8 +4,8 @@
 
 namespace gorsenotch::test {
 
-void RouterInvariantChecker::Request::drop_lease() {
-    has_kv_state = false;
+void RouterInvariantChecker::Request::clear_lease() {
+    has_kv_cache = false;
     has_reserved_slot = false;
 }
 
@@ -14,8 +14,8 @@
                                           [](const Attempt& attempt) { return attempt.pending; }));
 }
 
-void RouterInvariantChecker::add_violation(Millis now, const std::string& what) {
-    violations.push_back(std::to_string(now) + ": " + what);
+void RouterInvariantChecker::add_violation(Millis now, const std::string& description) {
+    violations.push_back(std::to_string(now) + ": " + description);
 }
 
 const ClassSettings& RouterInvariantChecker::class_settings(const Request& request) const {
@@ -23,7 +23,7 @@
 }
 
 Role RouterInvariantChecker::role(EndpointId endpoint) const {
-    return settings_.kinds[static_cast<std::size_t>(endpoints_.at(endpoint).entry.kind)].role;
+    return settings_.kinds[static_cast<std::size_t>(endpoints_.at(endpoint).listed.kind)].role;
 }
 
 // ---- events ---------------------------------------------------------------------------------------------
@@ -31,8 +31,9 @@
 void RouterInvariantChecker::on_event(Millis now, const Event& event) {
     if (const auto* arrival = std::get_if<Arrival>(&event)) {
         requests_[arrival->request].arrival = *arrival;
-    } else if (const auto* gone = std::get_if<ClientDisconnected>(&event)) {
-        if (const auto it = requests_.find(gone->request); it != requests_.end()) it->second.ended = true;
+    } else if (const auto* disconnected = std::get_if<ClientDisconnected>(&event)) {
+        if (const auto it = requests_.find(disconnected->request); it != requests_.end())
+            it->second.ended = true;
     } else if (const auto* first_token = std::get_if<FirstToken>(&event)) {
         on_first_token(*first_token);
     } else if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
@@ -47,7 +48,7 @@
 void RouterInvariantChecker::on_first_token(const FirstToken& first_token) {
     Request& request = requests_.at(first_token.request);
     request.ended = true;
-    request.drop_lease();
+    request.clear_lease();
 }
 
 void RouterInvariantChecker::on_attempt_ended(Millis now, const AttemptEnded& ended) {
@@ -57,11 +58,12 @@
         ended.result == AttemptResult::unreachable || ended.result == AttemptResult::not_sent;
     attempt.pending = false;
     attempt.proven_not_run = attempt.is_prefill || ended.result == AttemptResult::rejected || never_sent;
-    if (ended.result == AttemptResult::prefill_done) request.has_kv_state = true;
-    if (ended.result == AttemptResult::rejected && ended.detail == 1) request.has_kv_state = false;
-    if (ended.result == AttemptResult::served) request.drop_lease();
+    if (ended.result == AttemptResult::prefill_done) request.has_kv_cache = true;
+    if (ended.result == AttemptResult::rejected && ended.detail == 1) request.has_kv_cache = false;
+    if (ended.result == AttemptResult::served) request.clear_lease();
     if (ended.request_closed) request.ended = true;
-    // One whose connection did not come up was never pending, as far as the endpoint can tell.
+    // An attempt whose connection was not established is unknown to the endpoint and does not extend the
+    // lease.
     if (!never_sent) request.lease_since = now;
     check_lease_limit(now, ended.request, request);
 }
@@ -69,11 +71,11 @@
 void RouterInvariantChecker::on_endpoint_update(Millis now, const EndpointUpdate& update) {
     if (update.kind == EndpointUpdate::Kind::failed) return;
     if (update.kind != EndpointUpdate::Kind::incremental) {
-        for (auto& [id, known] : endpoints_) known.entry.status = EndpointStatus::removed;
+        for (auto& [id, known] : endpoints_) known.listed.status = EndpointStatus::removed;
     }
-    for (const auto& entry : update.endpoints) endpoints_[entry.id].entry = entry;
+    for (const auto& listed : update.endpoints) endpoints_[listed.id].listed = listed;
     for (auto& [id, known] : endpoints_) {
-        if (known.entry.status == EndpointStatus::healthy) {
+        if (known.listed.status == EndpointStatus::healthy) {
             known.unavailable_since.reset();
         } else if (!known.unavailable_since) {
             known.unavailable_since = now;
@@ -82,7 +84,7 @@
 }
 
 void RouterInvariantChecker::release_lease(const RequestId& id) {
-    if (const auto it = requests_.find(id); it != requests_.end()) it->second.drop_lease();
+    if (const auto it = requests_.find(id); it != requests_.end()) it->second.clear_lease();
 }
 
 // ---- actions --------------------------------------------------------------------------------------------
@@ -99,62 +101,64 @@
     } else if (const auto* reject = std::get_if<Reject>(&action)) {
         end_request(now, reject->request, true);
     } else if (std::get_if<StopAttempt>(&action)) {
-        if (!settings_.cancellation) add_violation(now, "attempt cancelled where that is forbidden");
+        if (!settings_.cancellation)
+            add_violation(now, "attempt cancelled although cancellation is disabled");
     } else if (std::get_if<HealthCheck>(&action)) {
-        if (!settings_.health_checks) add_violation(now, "health check where that is forbidden");
+        if (!settings_.health_checks) add_violation(now, "health check although health checks are disabled");
     }
 }
 
 void RouterInvariantChecker::on_start_attempt(Millis now, const StartAttempt& start) {
     const auto it = requests_.find(start.request);
-    if (it == requests_.end()) return add_violation(now, "lost: attempt for an unknown request");
+    if (it == requests_.end()) return add_violation(now, "attempt for an unknown request");
     Request& request = it->second;
-    if (request.ended) add_violation(now, "lost: attempt after the end");
-    record_send(now, start.endpoint);
+    if (request.ended) add_violation(now, "attempt started after the request ended");
+    record_endpoint_use(now, start.endpoint);
     if (!endpoints_.count(start.endpoint)) return;
     if (request.pending_attempts() > 0 && !settings_.hedging)
-        add_violation(now, "twice: two attempts pending");
-    check_resend(now, request, endpoints_.at(start.endpoint).entry);
+        add_violation(now, "second concurrent attempt although hedging is disabled");
+    check_resend(now, request, endpoints_.at(start.endpoint).listed);
     Attempt attempt;
     attempt.endpoint = start.endpoint;
-    attempt.sent = now;
+    attempt.sent_at = now;
     attempt.is_prefill = role(start.endpoint) == Role::prefill;
     request.attempts.push_back(attempt);
     check_slow_start_budget(now, start.endpoint);
 }
 
-// May a request be sent to `target` after its earlier attempts? Judged by what its class allows a retry.
+// Checks that the idempotency of the class permits sending the request to `target` after its earlier
+// attempts.
 void RouterInvariantChecker::check_resend(Millis now, const Request& request, const Endpoint& target) {
-    const ClassSettings& rules = class_settings(request);
+    const ClassSettings& class_rules = class_settings(request);
     for (const Attempt& attempt : request.attempts) {
         if (attempt.proven_not_run) continue;
-        if (rules.idempotency == Idempotency::unsafe)
-            add_violation(now, "twice: an unsafe request sent again");
-        if (rules.idempotency != Idempotency::with_key) continue;
-        const Endpoint& earlier = endpoints_.at(attempt.endpoint).entry;
-        if (now - attempt.sent > rules.dedup_window)
-            add_violation(now, "twice: sent again after the dedup window");
-        if (rules.dedup_scope == DedupScope::zone && earlier.zone != target.zone)
-            add_violation(now, "twice: sent to another zone");
-        if (rules.dedup_scope == DedupScope::cell && earlier.cell != target.cell)
-            add_violation(now, "twice: sent to another cell");
+        if (class_rules.idempotency == Idempotency::unsafe)
+            add_violation(now, "unsafe request sent again although it may have run");
+        if (class_rules.idempotency != Idempotency::with_key) continue;
+        const Endpoint& earlier = endpoints_.at(attempt.endpoint).listed;
+        if (now - attempt.sent_at > class_rules.dedup_window)
+            add_violation(now, "keyed request sent again after its dedup window");
+        if (class_rules.dedup_scope == DedupScope::zone && earlier.zone != target.zone)
+            add_violation(now, "keyed request sent again to a zone outside its dedup scope");
+        if (class_rules.dedup_scope == DedupScope::cell && earlier.cell != target.cell)
+            add_violation(now, "keyed request sent again to a cell outside its dedup scope");
     }
 }
 
 void RouterInvariantChecker::check_slow_start_budget(Millis now, EndpointId endpoint) {
-    const double budget = settings_.overload_factor * settings_.initial_capacity * warm_requests_per_s *
+    const double budget = settings_.overload_factor * settings_.initial_capacity * warm_capacity_per_s *
                           settings_.overload_window / 1000;
     if (static_cast<double>(endpoints_.at(endpoint).recent_sends.size()) > budget)
-        add_violation(now, "slow start: a warming endpoint got more than its budget");
+        add_violation(now, "warming endpoint got more requests than its slow-start budget");
 }
 
-void RouterInvariantChecker::record_send(Millis now, EndpointId endpoint) {
-    if (!endpoints_.count(endpoint)) return add_violation(now, "unknown endpoint");
+void RouterInvariantChecker::record_endpoint_use(Millis now, EndpointId endpoint) {
+    if (!endpoints_.count(endpoint)) return add_violation(now, "attempt or slot at an unknown endpoint");
     KnownEndpoint& known = endpoints_[endpoint];
     if (known.unavailable_since && now > *known.unavailable_since + settings_.drain_grace)
-        add_violation(now, "drain: sent to an endpoint that has left the list");
-    const bool is_warming = settings_.slow_start_duration > 0 && known.entry.started_at > 0 &&
-                            now - known.entry.started_at < settings_.slow_start_duration;
+        add_violation(now, "draining or removed endpoint used after drain_grace");
+    const bool is_warming = settings_.slow_start_duration > 0 && known.listed.started_at > 0 &&
+                            now - known.listed.started_at < settings_.slow_start_duration;
     if (!is_warming) return;
     known.recent_sends.push_back(now);
     while (known.recent_sends.front() <= now - settings_.overload_window) known.recent_sends.pop_front();
@@ -162,53 +166,54 @@
 
 void RouterInvariantChecker::on_reserve_slot(Millis now, const ReserveSlot& reserve) {
     Request& request = requests_.at(reserve.request);
-    if (!settings_.slot_reservation) add_violation(now, "slot reserved where that is forbidden");
+    if (!settings_.slot_reservation)
+        add_violation(now, "slot reserved although slot reservation is disabled");
     request.has_reserved_slot = true;
     request.lease_since = now;
-    record_send(now, reserve.endpoint);
+    record_endpoint_use(now, reserve.endpoint);
 }
 
-void RouterInvariantChecker::end_request(Millis now, const RequestId& id, bool is_reject) {
+void RouterInvariantChecker::end_request(Millis now, const RequestId& id, bool is_rejection) {
     const auto it = requests_.find(id);
-    if (it == requests_.end()) return add_violation(now, "lost: answer for an unknown request");
+    if (it == requests_.end()) return add_violation(now, "final answer for an unknown request");
     Request& request = it->second;
-    if (request.ended) return add_violation(now, "lost: a second final answer");
+    if (request.ended) return add_violation(now, "second final answer");
     request.ended = true;
     const Millis deadline = request.arrival.deadline;
     if (now > deadline + settings_.answer_slack && deadline > 0)
-        add_violation(now, "lost: answered too late");
-    const ClassSettings& rules = class_settings(request);
-    if (!is_reject || rules.idempotency == Idempotency::idempotent) return;
+        add_violation(now, "final answer later than deadline + answer_slack");
+    const ClassSettings& class_rules = class_settings(request);
+    if (!is_rejection || class_rules.idempotency == Idempotency::idempotent) return;
     for (const Attempt& attempt : request.attempts) {
         if (attempt.proven_not_run || (attempt.is_prefill && !attempt.pending)) continue;
-        if (rules.idempotency == Idempotency::unsafe)
-            add_violation(now, "twice: an unsafe request rejected that may have run");
-        if (rules.idempotency == Idempotency::with_key && rules.dedup_scope != DedupScope::all)
-            add_violation(now, "twice: a keyed request rejected that may have run");
+        if (class_rules.idempotency == Idempotency::unsafe)
+            add_violation(now, "unsafe request rejected although it may have run");
+        if (class_rules.idempotency == Idempotency::with_key && class_rules.dedup_scope != DedupScope::all)
+            add_violation(now, "keyed request of limited dedup scope rejected although it may have run");
     }
 }
 
-// ---- time -----------------------------------------------------------------------------------------------
+// ---- time limits ----------------------------------------------------------------------------------------
 
 void RouterInvariantChecker::check_lease_limit(Millis now, const RequestId& id, const Request& request) {
     if (request.holds_lease() && now > request.lease_since + settings_.lease_release_timeout)
-        add_violation(now, "lease: state or slot not released for " + id);
+        add_violation(now, "KV lease or slot not released within lease_release_timeout: request " + id);
 }
 
 void RouterInvariantChecker::on_time(Millis now) {
     for (auto& [id, request] : requests_) {
         if (!request.ended && now > request.arrival.deadline + settings_.answer_slack) {
-            add_violation(now, "lost: no answer in time for " + id);
+            add_violation(now, "no final answer by deadline + answer_slack: request " + id);
             request.ended = true;
         }
         if (request.pending_attempts() > 0) continue;
-        const std::size_t before = violations.size();
+        const std::size_t previous_count = violations.size();
         check_lease_limit(now, id, request);
-        if (violations.size() > before) request.drop_lease();
+        if (violations.size() > previous_count) request.clear_lease();
     }
 }
 
-// ---- the driver -----------------------------------------------------------------------------------------
+// ---- harness --------------------------------------------------------------------------------------------
 
 const std::vector<Action>& RouterHarness::handle(Millis now, const Event& event) {
     checker.on_time(now);
@@ -224,18 +229,18 @@
 }
 
 void RouterHarness::advance_to(Millis now) {
-    std::vector<Action> gathered;
+    std::vector<Action> all_actions;
     while (!timers.empty() && timers.begin()->first <= now) {
         const auto [at, timer] = *timers.begin();
         timers.erase(timers.begin());
         handle(at, TimerFired{timer});
-        gathered.insert(gathered.end(), actions.begin(), actions.end());
+        all_actions.insert(all_actions.end(), actions.begin(), actions.end());
     }
     checker.on_time(now);
-    actions = std::move(gathered);
+    actions = std::move(all_actions);
 }
 
-// ---- values ---------------------------------------------------------------------------------------------
+// ---- test data ------------------------------------------------------------------------------------------
 
 Settings test_settings() {
     ClassSettings important;
