--- a/tests/consumer/logic_header.cpp
+++ b/tests/consumer/logic_header.cpp
@@ -1,4 +1,4 @@
-// The header of the former interface still gives the whole of it.
+// The umbrella header of earlier releases still provides the complete interface.
 #include <gorsenotch/logic.h>
 
 #include <type_traits>
