--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,5 +1,5 @@
-// A gateway in miniature, against the installed library: one prefill endpoint, one decode endpoint, one
-// request.
+// A minimal gateway built against the installed library: runs one request through one prefill and one decode
+// endpoint.
 #include <gorsenotch/router.h>
 
 #include <iostream>
@@ -16,7 +16,7 @@
 Settings consumer_settings() {
     ClassSettings chat;
     chat.latency_objective = 1000;    // ms to the first token
-    chat.deadline = 5000;             // ms until the client leaves
+    chat.deadline = 5000;             // ms that the client waits
     chat.inter_token_objective = 60;  // ms between tokens
     Settings settings;
     settings.classes = {chat};
