--- a/tests/router/abandoned_prefills_test.cpp
+++ b/tests/router/abandoned_prefills_test.cpp
@@ -10,7 +10,7 @@
 using router::RequestState;
 using router::Stage;
 
-TEST(AbandonedPrefills, CountForAsLongAgainAsTheyHaveRun) {
+TEST(AbandonedPrefills, StayReservedForAsLongAsTheyHaveRun) {
     RouterComponents fleet;
     RequestState& request = fleet.send_request("r", 1, Stage::prefill, 100);
     fleet.abandoned_prefills.add(400, fleet.endpoint(1), request);
