--- a/tests/router/attempt_timeout_test.cpp
+++ b/tests/router/attempt_timeout_test.cpp
@@ -36,7 +36,7 @@
     EXPECT_EQ(fleet.attempt_timeout.compute(100, request), 4900);
 }
 
-TEST(AttemptTimeout, AtALowSampleRateAPrefillWaitsLongerWithoutALoadSignal) {
+TEST(AttemptTimeout, AtALowSampleRateAPrefillHasALongerTimeoutWithoutALoadSignal) {
     RouterComponents fleet(with_gateways(60));
     const RequestState& request = fleet.send_request("r", 1, Stage::prefill);
     EXPECT_EQ(fleet.attempt_timeout.compute(0, request), 2500);
