--- a/tests/router/completion_times_test.cpp
+++ b/tests/router/completion_times_test.cpp
@@ -19,7 +19,7 @@
     EXPECT_EQ(fleet.completion_times.mean(Stage::streaming, request), 3000) << "50 times 60 ms";
 }
 
-TEST(CompletionTimes, ExpectationGrowsWithTheWorkQueued) {
+TEST(CompletionTimes, TheExpectedDurationGrowsWithTheQueuedWork) {
     RouterComponents fleet;
     RequestState& request = fleet.add_request("r");
     request.attempt.work_units = 4;
@@ -32,7 +32,7 @@
     const RequestState& request = fleet.add_request("r");
     times.add_time(Stage::decode_queued, request, 10000);
     EXPECT_EQ(times.typical(Stage::decode_queued, request), times.mean(Stage::decode_queued, request))
-        << "no completion yet";
+        << "the mean is used before the first completion";
     times.add_completion(Stage::decode_queued, request);
     EXPECT_LT(times.typical(Stage::decode_queued, request), times.mean(Stage::decode_queued, request) / 10);
 }
