--- a/tests/router/eligibility_test.cpp
+++ b/tests/router/eligibility_test.cpp
@@ -10,7 +10,7 @@
 using router::RequestState;
 using router::Strictness;
 
-Settings keyed(DedupScope scope) {
+Settings keyed_settings(DedupScope scope) {
     Settings settings = test_settings();
     settings.classes[0].idempotency = Idempotency::with_key;
     settings.classes[0].dedup_scope = scope;
@@ -41,19 +41,20 @@
 }
 
 TEST(Eligibility, AKeyedRetryStaysWithinItsDedupScope) {
-    RouterComponents fleet(keyed(DedupScope::zone));
+    RouterComponents fleet(keyed_settings(DedupScope::zone));
     RequestState& request = fleet.add_request("r");
     request.possible_run = {11, 0};
     EXPECT_TRUE(is_eligible(fleet, 10, 1, request, Strictness::relaxed));
     EXPECT_FALSE(is_eligible(fleet, 10, 12, request, Strictness::relaxed));
     request.possible_run = {99, 0};
-    EXPECT_FALSE(is_eligible(fleet, 10, 11, request, Strictness::relaxed)) << "its zone is unknown";
+    EXPECT_FALSE(is_eligible(fleet, 10, 11, request, Strictness::relaxed))
+        << "the zone of an unknown endpoint is unknown";
 }
 
 TEST(Eligibility, AKeyedRetryMustArriveWithinItsDedupWindow) {
-    RouterComponents fleet(keyed(DedupScope::all));
+    RouterComponents fleet(keyed_settings(DedupScope::all));
     RequestState& request = fleet.add_request("r");
-    EXPECT_EQ(fleet.eligibility.retry_deadline(request), router::kNever) << "it has not run";
+    EXPECT_EQ(fleet.eligibility.retry_deadline(request), router::kNever) << "no attempt may have run";
     request.possible_run = {11, 500};
     EXPECT_EQ(fleet.eligibility.retry_deadline(request), 500 + 2000 - 50);
     EXPECT_TRUE(is_eligible(fleet, 2349, 12, request, Strictness::relaxed));
