--- a/tests/router/endpoint_registry_test.cpp
+++ b/tests/router/endpoint_registry_test.cpp
@@ -20,7 +20,7 @@
     EXPECT_TRUE(fleet.registry.decode_capable_in(7).empty());
 }
 
-TEST(EndpointRegistry, AFullUpdateRemovesUnlistedEndpointsFromChoicesAndForgetsThemLater) {
+TEST(EndpointRegistry, AFullUpdateRemovesUnlistedEndpointsAndErasesThemAfterTheRetentionTime) {
     RouterComponents fleet;
     fleet.registry.apply(100, full_list({prefill_endpoint(1), decode_endpoint(11)}));
     EXPECT_EQ(fleet.registry.with_role(Role::prefill).size(), 1u);
@@ -32,7 +32,7 @@
     EXPECT_EQ(fleet.registry.find(2), nullptr);
 }
 
-TEST(EndpointRegistry, DoesNotForgetAnEndpointWithAnAttemptInFlight) {
+TEST(EndpointRegistry, KeepsARemovedEndpointWithAnAttemptInFlight) {
     RouterComponents fleet;
     fleet.send_request("r", 2, router::Stage::prefill);
     fleet.registry.apply(100, full_list({prefill_endpoint(1), decode_endpoint(11)}));
@@ -68,7 +68,7 @@
     EXPECT_EQ(fleet.registry.find(3), nullptr);
 }
 
-TEST(EndpointRegistry, AReportBeyondTheOwnLoadIsHeldByOthers) {
+TEST(EndpointRegistry, ReportedLoadBeyondTheOwnLoadIsAttributedToOthers) {
     RouterComponents fleet;
     fleet.send_request("r", 1, router::Stage::prefill);
     LoadReport report;
@@ -78,7 +78,7 @@
     EXPECT_EQ(fleet.endpoint(1).load.tokens_used_by_others, 49000);
 }
 
-TEST(EndpointRegistry, ALargeFleetIsSearchedByAWindowAndThenAsAWhole) {
+TEST(EndpointRegistry, ALargeFleetIsSearchedByWindowAndThenInFull) {
     RouterComponents fleet;
     std::vector<Endpoint> listed;
     for (EndpointId id = 1; id <= 200; ++id) listed.push_back(prefill_endpoint(id));
@@ -88,11 +88,11 @@
     EXPECT_EQ(EndpointRegistry::candidates(ring, 7, SearchScope::window, window).size(), 96u);
     EXPECT_EQ(EndpointRegistry::candidates(ring, 7, SearchScope::all, window).size(), 200u);
     std::vector<SearchScope> scopes;
-    const auto find_nothing = [&](SearchScope scope) -> EndpointState* {
+    const auto select_none = [&](SearchScope scope) -> EndpointState* {
         scopes.push_back(scope);
         return nullptr;
     };
-    fleet.registry.choose_with_fallback(SearchScope::window, find_nothing);
+    fleet.registry.choose_with_fallback(SearchScope::window, select_none);
     EXPECT_EQ(scopes, (std::vector<SearchScope>{SearchScope::window, SearchScope::all}));
 }
 
