--- a/tests/router/fleet_stats_test.cpp
+++ b/tests/router/fleet_stats_test.cpp
@@ -22,7 +22,7 @@
     EXPECT_EQ(fleet.fleet_stats.cell(1).zone, 1);
 }
 
-TEST(FleetStats, AnUnknownCellReadsAsADefaultOneAndIsNotAdded) {
+TEST(FleetStats, AnUnknownCellYieldsADefaultCellAndIsNotAdded) {
     const RouterComponents fleet;
     EXPECT_EQ(fleet.fleet_stats.cell(99).weight, 1);
     EXPECT_EQ(fleet.fleet_stats.cells().count(99), 0u);
@@ -67,8 +67,8 @@
         const std::string number = std::to_string(i);
         const auto& slow = fleet.send_request("slow" + number, 1, Stage::prefill, 0);
         fleet.fleet_stats.record_stage_end(900, fleet.registry, slow, true);
-        const auto& quick = fleet.send_request("quick" + number, 2, Stage::prefill, 0);
-        fleet.fleet_stats.record_stage_end(50, fleet.registry, quick, true);
+        const auto& fast = fleet.send_request("quick" + number, 2, Stage::prefill, 0);
+        fleet.fleet_stats.record_stage_end(50, fleet.registry, fast, true);
     }
     fleet.fleet_stats.refresh_if_due(1000, fleet.registry);
     EXPECT_LT(fleet.fleet_stats.cell(0).weight, fleet.fleet_stats.cell(1).weight);
