--- a/tests/router/health_monitor_test.cpp
+++ b/tests/router/health_monitor_test.cpp
@@ -10,9 +10,9 @@
 using router::RequestState;
 using router::Stage;
 
-constexpr Millis kInterval = 50;  // a twentieth of the shortest latency objective
+constexpr Millis kTickIntervalMs = 50;  // 1/20 of the shortest latency objective
 
-Settings polling() {
+Settings polling_settings() {
     Settings settings = test_settings();
     settings.discovery = Discovery::poll;
     settings.poll_interval = 4000;
@@ -30,13 +30,13 @@
         return found;
     }
     void tick_until(Millis end) {
-        for (; now + kInterval <= end; now += kInterval) {
-            monitor.detect_stall(now + kInterval);
-            monitor.on_health_tick(now + kInterval);
+        for (; now + kTickIntervalMs <= end; now += kTickIntervalMs) {
+            monitor.detect_stall(now + kTickIntervalMs);
+            monitor.on_health_tick(now + kTickIntervalMs);
         }
     }
 
-    RouterComponents fleet{polling()};
+    RouterComponents fleet{polling_settings()};
     std::vector<Action> emitted;
     router::ActionList actions;
     router::RetryBudget retry_budget{fleet.settings.gateways};
@@ -53,7 +53,7 @@
 TEST_F(HealthMonitorTest, EachTickSetsTheNextOne) {
     monitor.start(0);
     ASSERT_EQ(count<SetTimer>(), 1u);
-    EXPECT_EQ(std::get<SetTimer>(emitted[0]).at, kInterval);
+    EXPECT_EQ(std::get<SetTimer>(emitted[0]).at, kTickIntervalMs);
     EXPECT_EQ(std::get<SetTimer>(emitted[0]).timer, router::kHealthTickTimerId);
     tick_until(500);
     EXPECT_EQ(count<SetTimer>(), 11u);
@@ -76,20 +76,20 @@
 TEST_F(HealthMonitorTest, AnOverdueTickIsAStallThatDoesNotAgeAttempts) {
     monitor.start(0);
     RequestState& request = fleet.send_request("r", 1, Stage::prefill, 0);
-    monitor.detect_stall(2 * kInterval);
-    EXPECT_FALSE(request.attempt.spans_gateway_stall) << "overdue by one interval";
+    monitor.detect_stall(2 * kTickIntervalMs);
+    EXPECT_FALSE(request.attempt.spans_gateway_stall) << "overdue by only one interval";
     monitor.detect_stall(3000);
     EXPECT_TRUE(request.attempt.spans_gateway_stall);
-    EXPECT_EQ(request.attempt.sent_at, 3000 - kInterval);
+    EXPECT_EQ(request.attempt.sent_at, 3000 - kTickIntervalMs);
 }
 
-TEST_F(HealthMonitorTest, EjectsASilentEndpointAndMigratesItsRequests) {
+TEST_F(HealthMonitorTest, EjectsAnUnresponsiveEndpointAndMigratesItsRequests) {
     monitor.start(0);
-    fleet.send_request("silent", 11, Stage::decode_queued);
-    const RequestState& of_peer = fleet.send_request("quick", 12, Stage::decode_queued);
+    fleet.send_request("unresponsive", 11, Stage::decode_queued);
+    const RequestState& peer_request = fleet.send_request("fast", 12, Stage::decode_queued);
     for (int i = 0; i < 60 && !fleet.endpoint(11).health.ejected; ++i) {
-        fleet.outlier_detector.record_first_token(fleet.endpoint(12), of_peer);
-        tick_until(now + kInterval);
+        fleet.outlier_detector.record_first_token(fleet.endpoint(12), peer_request);
+        tick_until(now + kTickIntervalMs);
     }
     EXPECT_TRUE(fleet.endpoint(11).health.ejected);
     EXPECT_FALSE(fleet.endpoint(12).health.ejected);
