--- a/tests/router/hung_endpoint_test.cpp
+++ b/tests/router/hung_endpoint_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that accept attempts and never answer, beside others that answer at once.
+// Load shedding while some endpoints accept attempts but never respond and all others respond immediately.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -11,7 +11,7 @@
 namespace gorsenotch::test {
 namespace {
 
-// Drives one Router: executes its attempts on simulated endpoints that answer after fixed times, or never.
+// Runs a Router against simulated endpoints that respond after fixed times, or never.
 class SimulatedEndpoints {
 public:
     SimulatedEndpoints(const Settings& settings, const std::vector<Endpoint>& fleet) : harness_(settings) {
@@ -19,8 +19,8 @@
     }
     std::function<bool(EndpointId, Millis now)> hangs;
 
-    void run(Millis from, Millis until, Millis between) {
-        for (Millis at = from; at < until; at += between) {
+    void run(Millis from, Millis until, Millis arrival_interval) {
+        for (Millis at = from; at < until; at += arrival_interval) {
             schedule(at, [this, at] { arrive(at); });
         }
         while (!events_.empty() && events_.begin()->first <= until) {
@@ -37,15 +37,15 @@
 
 private:
     // The latest attempt of a request.
-    struct Pending {
+    struct PendingAttempt {
         int attempt = -1;
         EndpointId endpoint = 0;
         bool ended = true;
         bool is_streaming = false;
     };
-    static constexpr Millis kPrefillTime = 20;
-    static constexpr Millis kFirstTokenTime = 60;
-    static constexpr Millis kStreamTime = 300;
+    static constexpr Millis kPrefillTimeMs = 20;
+    static constexpr Millis kFirstTokenTimeMs = 60;
+    static constexpr Millis kStreamTimeMs = 300;
     static constexpr EndpointId kFirstDecodeEndpoint = 10;
 
     void schedule(Millis at, std::function<void()> event) { events_.emplace(at, std::move(event)); }
@@ -57,65 +57,70 @@
         harness_.handle(now, event);
         execute_actions(now);
     }
-    // Executes the actions of the latest event; what they cause is scheduled for later.
+    // Executes the actions of the latest event. The events that they cause are scheduled, not handled
+    // recursively.
     void execute_actions(Millis now) {
         const std::vector<Action> actions = std::exchange(harness_.actions, {});
         for (const Action& action : actions) {
             if (const auto* attempt = std::get_if<StartAttempt>(&action)) start_attempt(now, *attempt);
             if (const auto* stop = std::get_if<StopAttempt>(&action)) {
-                if (!latest_[stop->request].is_streaming) end(now, stop->request, AttemptResult::cancelled);
+                if (!latest_attempts_[stop->request].is_streaming)
+                    end_attempt(now, stop->request, AttemptResult::cancelled);
             }
             if (const auto* migrate = std::get_if<MigrateStream>(&action))
-                end(now, migrate->request, AttemptResult::cancelled, true);
+                end_attempt(now, migrate->request, AttemptResult::cancelled, true);
             if (const auto* reject = std::get_if<Reject>(&action))
                 shed += reject->cause == EndCause::shed_load;
         }
     }
     void start_attempt(Millis now, const StartAttempt& start) {
-        Pending& pending = latest_[start.request];
-        pending = {pending.attempt + 1, start.endpoint, false, false};
-        const int number = pending.attempt;
-        const auto is_current = [this, id = start.request, number] {
-            return !latest_[id].ended && latest_[id].attempt == number;
+        PendingAttempt& pending_attempt = latest_attempts_[start.request];
+        pending_attempt = {pending_attempt.attempt + 1, start.endpoint, false, false};
+        const int number = pending_attempt.attempt;
+        const auto is_latest_attempt = [this, id = start.request, number] {
+            return !latest_attempts_[id].ended && latest_attempts_[id].attempt == number;
         };
         if (start.timeout > 0) {
-            schedule(now + start.timeout, [this, id = start.request, is_current] {
-                if (is_current() && !latest_[id].is_streaming) end(now_, id, AttemptResult::timed_out);
+            schedule(now + start.timeout, [this, id = start.request, is_latest_attempt] {
+                if (is_latest_attempt() && !latest_attempts_[id].is_streaming)
+                    end_attempt(now_, id, AttemptResult::timed_out);
             });
         }
         if (hangs(start.endpoint, now)) return;
         const bool is_prefill = start.endpoint < kFirstDecodeEndpoint;
-        schedule(now + (is_prefill ? kPrefillTime : kFirstTokenTime),
-                 [this, id = start.request, endpoint = start.endpoint, number, is_prefill, is_current] {
-                     if (!is_current()) return;
-                     if (is_prefill) return end(now_, id, AttemptResult::prefill_done);
-                     latest_[id].is_streaming = true;
-                     handle(now_, FirstToken{id, number, endpoint, kFirstTokenTime});
-                     schedule(now_ + kStreamTime, [this, id, is_current] {
-                         if (is_current()) end(now_, id, AttemptResult::served, true);
-                     });
-                 });
+        schedule(
+            now + (is_prefill ? kPrefillTimeMs : kFirstTokenTimeMs),
+            [this, id = start.request, endpoint = start.endpoint, number, is_prefill, is_latest_attempt] {
+                if (!is_latest_attempt()) return;
+                if (is_prefill) return end_attempt(now_, id, AttemptResult::prefill_done);
+                latest_attempts_[id].is_streaming = true;
+                handle(now_, FirstToken{id, number, endpoint, kFirstTokenTimeMs});
+                schedule(now_ + kStreamTimeMs, [this, id, is_latest_attempt] {
+                    if (is_latest_attempt()) end_attempt(now_, id, AttemptResult::served, true);
+                });
+            });
     }
-    void end(Millis now, const RequestId& id, AttemptResult result, bool closed = false) {
-        Pending& pending = latest_[id];
-        if (pending.ended) return;
-        pending.ended = true;
-        // Delivered in a turn of its own, as the gateway does.
-        schedule(now, [this, id, number = pending.attempt, endpoint = pending.endpoint, result, closed] {
-            handle(now_, attempt_ended(id, number, endpoint, result, closed));
+    void end_attempt(Millis now, const RequestId& id, AttemptResult result, bool request_closed = false) {
+        PendingAttempt& pending_attempt = latest_attempts_[id];
+        if (pending_attempt.ended) return;
+        pending_attempt.ended = true;
+        // Delivered as a separate event loop iteration, as in the gateway.
+        schedule(now, [this, id, number = pending_attempt.attempt, endpoint = pending_attempt.endpoint,
+                       result, request_closed] {
+            handle(now_, attempt_ended(id, number, endpoint, result, request_closed));
         });
     }
 
     RouterHarness harness_;
     Millis now_ = 0;
     std::multimap<Millis, std::function<void()>> events_;
-    std::map<RequestId, Pending> latest_;
+    std::map<RequestId, PendingAttempt> latest_attempts_;
 };
 
-// Guards against arrivals shed because attempts hang at a part of the endpoints while the others answer at
-// once: the pending attempts raise the mean time, from which the wait of every request was estimated. Half of
-// the decode endpoints and a third of the prefill endpoints hang here, and the sample rate is low, so that
-// they are detected late.
+// Guards against arrivals that are shed because attempts hang at some endpoints while the others respond
+// immediately. The pending attempts raise the mean duration, from which the wait of every request was
+// estimated. Half of the decode endpoints and a third of the prefill endpoints hang, and the sample rate is
+// low, so that they are detected late.
 TEST(HungEndpointTest, ArrivalsAreNotShedForAttemptsThatHangElsewhere) {
     for (const int gateways : {2, 6, 12}) {
         Settings settings = test_settings();
@@ -125,18 +130,19 @@
         for (EndpointId id = 1; id <= 6; ++id) fleet.push_back(prefill_endpoint(id));
         for (EndpointId id = 11; id <= 18; ++id) fleet.push_back(decode_endpoint(id));
         SimulatedEndpoints endpoints(settings, fleet);
-        constexpr Millis kHangsFrom = 10000;
-        constexpr Millis kUntil = 30000;
-        constexpr Millis kBetween = 600;
+        constexpr Millis kHangsFromMs = 10000;
+        constexpr Millis kEndMs = 30000;
+        constexpr Millis kArrivalIntervalMs = 600;
         endpoints.hangs = [](EndpointId id, Millis now) {
-            return now >= kHangsFrom && (id <= 2 || id >= 15);
+            return now >= kHangsFromMs && (id <= 2 || id >= 15);
         };
-        endpoints.run(10, kHangsFrom, kBetween);
+        endpoints.run(10, kHangsFromMs, kArrivalIntervalMs);
         EXPECT_EQ(endpoints.shed, 0);
-        const int before = endpoints.arrived;
-        endpoints.run(kHangsFrom, kUntil, kBetween);
-        EXPECT_LE(endpoints.shed, (endpoints.arrived - before) / 20)
-            << gateways << " gateways: of " << endpoints.arrived - before << " that arrived meanwhile";
+        const int arrived_before = endpoints.arrived;
+        endpoints.run(kHangsFromMs, kEndMs, kArrivalIntervalMs);
+        EXPECT_LE(endpoints.shed, (endpoints.arrived - arrived_before) / 20)
+            << gateways << " gateways: of " << endpoints.arrived - arrived_before
+            << " arrivals while endpoints hang";
         EXPECT_EQ(endpoints.violations(), std::vector<std::string>{});
     }
 }
