--- a/tests/router/in_flight_requests_test.cpp
+++ b/tests/router/in_flight_requests_test.cpp
@@ -47,7 +47,7 @@
     EXPECT_EQ(fleet.in_flight_requests.count_not_streaming(), 0);
     EXPECT_EQ(fleet.endpoint(11).load.in_flight[Stage::decode_queued], 0);
     EXPECT_EQ(fleet.endpoint(11).load.in_flight[Stage::streaming], 1);
-    EXPECT_EQ(request.attempt.work_units, 2) << "200 tokens at 60 ms";
+    EXPECT_EQ(request.attempt.work_units, 2) << "predicted: 200 tokens at 60 ms";
 }
 
 TEST(InFlightRequests, AStreamIsYoungFor500Tokens) {
@@ -67,7 +67,7 @@
     EXPECT_EQ(request.attempt.original_sent_at, 100);
     EXPECT_TRUE(request.attempt.spans_gateway_stall);
     fleet.in_flight_requests.on_stall(6000, 9000);
-    EXPECT_EQ(request.attempt.sent_at, 6000) << "not in the future";
+    EXPECT_EQ(request.attempt.sent_at, 6000) << "limited to the present";
 }
 
 }  // namespace
