--- a/tests/router/invariants_test.cpp
+++ b/tests/router/invariants_test.cpp
@@ -1,5 +1,5 @@
-// The checker finds a planted violation of each invariant, and the Router commits none under random legal
-// events.
+// The checker detects an injected violation of each invariant, and the Router violates none under random
+// valid events.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -18,7 +18,8 @@
         checker.on_action(1, StartAttempt{"a", 1, 0});
         checker.on_event(2, attempt_ended("a", 0, 1, AttemptResult::prefill_done));
     }
-    // Sends a request again whose first attempt, at endpoint 11, may have run.
+    // The number of violations when a request whose first attempt, at endpoint 11, may have run is sent
+    // again.
     static std::size_t violations_of_resend(const Settings& settings, EndpointId second) {
         RouterInvariantChecker other(settings);
         other.on_event(0, full_list({decode_endpoint(11), decode_endpoint(12, 1)}));
@@ -86,7 +87,7 @@
     Endpoint cold = prefill_endpoint(2);
     cold.started_at = 1;
     checker.on_event(2, EndpointUpdate{EndpointUpdate::Kind::incremental, {cold}});
-    // 2.5 x 0.3 x 42 a second x 2 s = 63 are allowed.
+    // Budget: 2.5 x 0.3 x 42 requests per second x 2 s = 63 requests.
     for (int i = 0; i < 64; ++i) {
         EXPECT_EQ(checker.violations.size(), 0u);
         const RequestId id = "r" + std::to_string(i);
@@ -114,8 +115,8 @@
     EXPECT_EQ(other.violations.size(), 1u);
 }
 
-// One run of a Router under random but legal events: every result of an attempt, deaths of this gateway, list
-// changes of every kind, and results of attempts whose request has already ended.
+// A run of a Router under random valid events: every attempt result, restarts of this gateway, endpoint
+// updates of every kind, and results of attempts whose request has already ended.
 class RandomRun {
 public:
     explicit RandomRun(std::uint64_t seed) : seed_(seed), random_(seed) {
@@ -131,7 +132,7 @@
             if (::testing::Test::HasFatalFailure()) return;
         }
         end_all_attempts();
-        advance(20000);  // whatever is still open meets its deadline
+        advance(20000);  // open requests reach their deadlines
         ASSERT_EQ(harness_->checker.violations, std::vector<std::string>{}) << "seed " << seed_;
     }
 
@@ -147,7 +148,7 @@
         Millis sent = 0;
     };
 
-    // A number from 0 to count - 1.
+    // A random number from 0 to count - 1.
     int pick(int count) { return static_cast<int>(random_() % static_cast<std::uint64_t>(count)); }
 
     void choose_settings() {
@@ -246,7 +247,7 @@
         handle(request);
     }
 
-    // A pending attempt gets its first token, or ends.
+    // A random pending attempt produces its first token or ends.
     void progress_attempt() {
         const auto index = static_cast<std::size_t>(pick(static_cast<int>(pending_.size())));
         const PendingAttempt attempt = pending_[index];
@@ -272,7 +273,7 @@
         const AttemptResult result = kResults[pick(attempt.is_prefill ? kPrefillResults : kDecodeResults)];
         AttemptEnded ended =
             attempt_ended(attempt.id, attempt.attempt, attempt.endpoint, result, ended_[attempt.id]);
-        // A connection that does not come up is known within the connect timeout.
+        // A connection that is not established is reported within the connect timeout.
         const bool never_sent =
             ended.result == AttemptResult::unreachable || ended.result == AttemptResult::not_sent;
         if (never_sent && now_ > attempt.sent + settings_.connect_timeout) {
@@ -313,7 +314,7 @@
         handle(update);
     }
 
-    // The gateway dies and comes back with its cached list.
+    // The gateway restarts with its cached endpoint list.
     void restart_gateway(int step) {
         ASSERT_EQ(harness_->checker.violations, std::vector<std::string>{}) << "seed " << seed_;
         pending_.clear();
