--- a/tests/router/large_fleet_test.cpp
+++ b/tests/router/large_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Rules that show only with many gateways, each of which sees few requests: sums over all Routers, and
-// choices that a gateway cannot make from its own queues. Where a rule applies to few gateways too, it is
+// Behaviour with many gateways, each of which handles few requests: totals over all Routers, and decisions
+// for which the queues of a single gateway are not sufficient. Rules that also apply to few gateways are
 // tested with both.
 #include <gtest/gtest.h>
 
@@ -16,7 +16,8 @@
 
 constexpr EndpointId kFirstDecodeEndpoint = 100;
 
-// Gateways in front of one fleet. Each attempt succeeds at once, except where `fails` returns true.
+// Several gateways that share a fleet of endpoints. Every attempt succeeds immediately unless `fails` returns
+// true for its endpoint and class.
 class Fleet {
 public:
     Fleet(int gateways, std::vector<Endpoint> endpoints) : endpoints_(std::move(endpoints)) {
@@ -34,7 +35,7 @@
         for (auto& router : routers_)
             router->handle(now, EndpointUpdate{EndpointUpdate::Kind::incremental, {endpoint}});
     }
-    // One request through one gateway; false if it got no answer.
+    // Runs a request through a gateway. Returns whether it was served.
     bool serve(int gateway, Millis now, std::uint64_t session, int cls = 0) {
         RouterHarness& harness = *routers_[static_cast<std::size_t>(gateway)];
         harness.advance_to(now);
@@ -44,9 +45,9 @@
         request.cls = cls;
         harness.handle(now, request);
         for (int attempt = 0;; ++attempt) {
-            const auto sends = harness.actions_of<StartAttempt>();
-            if (sends.size() != 1) return false;
-            const EndpointId at = sends[0].endpoint;
+            const auto attempts = harness.actions_of<StartAttempt>();
+            if (attempts.size() != 1) return false;
+            const EndpointId at = attempts[0].endpoint;
             ++sent[at];
             sent_at[at].push_back(now);
             const bool is_prefill = at < kFirstDecodeEndpoint;
@@ -82,8 +83,8 @@
     std::uint64_t serial_ = 0;
 };
 
-// `n` prefill endpoints, ids from 1, and as many decode endpoints, ids from 101.
-std::vector<Endpoint> pairs(int n) {
+// `n` prefill endpoints with ids from 1 and `n` decode endpoints with ids from 101.
+std::vector<Endpoint> prefill_decode_pairs(int n) {
     std::vector<Endpoint> endpoints;
     for (int i = 1; i <= n; ++i) {
         endpoints.push_back(prefill_endpoint(static_cast<EndpointId>(i)));
@@ -94,21 +95,22 @@
 
 struct Traffic {
     int gateways;
-    bool skewed;        // a tenth of the gateways get over four times the mean
-    bool herd = false;  // seven in ten gateways restart just after the warming endpoint
-    int of(int request) const {
+    bool skewed;                // a tenth of the gateways get more than four times the mean load
+    bool mass_restart = false;  // 70% of the gateways restart just after the warming endpoint
+    int gateway_of(int request) const {
         if (skewed && request % 3 == 0) return request / 3 % std::max(1, gateways / 10);
         return request % gateways;
     }
 };
 class SlowStartOfManyGatewaysTest : public ::testing::TestWithParam<Traffic> {};
 
-// Guards against a warming endpoint overloaded by many gateways, each of which keeps to a budget of its own.
+// Guards against a warming endpoint that is overloaded by many gateways, each of which stays within its own
+// budget.
 TEST_P(SlowStartOfManyGatewaysTest, StaysWithinTheBudgetAndStillGetsWork) {
     const int gateways = GetParam().gateways;
-    Fleet fleet(gateways, pairs(10));
-    // 120 requests a second over eleven prefill endpoints in the end: 10.9 each, at 60% of the capacity of a
-    // warm one.
+    Fleet fleet(gateways, prefill_decode_pairs(10));
+    // 120 requests per second over finally eleven prefill endpoints: 10.9 each, which is 60% of the capacity
+    // of a warm endpoint.
     const double capacity = 120 / 11.0 / 0.6;
     const double per_ms = 0.12;
     const auto& settings = fleet.settings;
@@ -116,35 +118,36 @@
     const Millis warm = started + settings.slow_start_duration;
     const Millis end = warm + 5000;
     int next = 0;
-    bool cold = false;
+    bool is_listed = false;
     for (Millis now = 10; now < end; now += 1 / per_ms) {
-        if (now >= started && !cold) {
+        if (now >= started && !is_listed) {
             Endpoint endpoint = prefill_endpoint(50);
             endpoint.started_at = started;
             fleet.add(endpoint, now);
-            cold = true;
-            for (int i = 0; GetParam().herd && i < gateways; ++i) {
+            is_listed = true;
+            for (int i = 0; GetParam().mass_restart && i < gateways; ++i) {
                 if (i % 10 < 7) fleet.restart(i, now);
             }
         }
         ++next;
         if (gateways > 2 && next % 40 == 0) fleet.restart(next / 40 % gateways, now);
-        fleet.serve(GetParam().of(next), now, static_cast<std::uint64_t>(next));
+        fleet.serve(GetParam().gateway_of(next), now, static_cast<std::uint64_t>(next));
     }
     const auto& at = fleet.sent_at[50];
-    std::size_t first = 0;
+    std::size_t window_start = 0;
     std::size_t in_warm_up = 0;
     for (std::size_t i = 0; i < at.size(); ++i) {
-        while (at[first] <= at[i] - settings.overload_window) ++first;
-        // The budget of the initial capacity, though the capacity has grown since.
-        EXPECT_LE(static_cast<double>(i - first + 1), settings.overload_factor * settings.initial_capacity *
-                                                          capacity * settings.overload_window / 1000)
+        while (at[window_start] <= at[i] - settings.overload_window) ++window_start;
+        // The limit is the budget of the initial capacity, although the capacity grows during the slow start.
+        EXPECT_LE(
+            static_cast<double>(i - window_start + 1),
+            settings.overload_factor * settings.initial_capacity * capacity * settings.overload_window / 1000)
             << "at " << at[i];
         if (at[i] > warm) break;
         ++in_warm_up;
     }
-    EXPECT_GT(in_warm_up, 20u);                  // of 109 that a warm one would get
-    EXPECT_GT(at.size() - in_warm_up, 54u / 2);  // its share recovers
+    EXPECT_GT(in_warm_up, 20u);                  // a warm endpoint would get 109
+    EXPECT_GT(at.size() - in_warm_up, 54u / 2);  // it gets at least half of its share after the slow start
     EXPECT_EQ(fleet.violations(), std::vector<std::string>{});
 }
 INSTANTIATE_TEST_SUITE_P(Gateways, SlowStartOfManyGatewaysTest,
@@ -153,54 +156,58 @@
                                            Traffic{300, true}, Traffic{25, true, true},
                                            Traffic{300, true, true}));
 
-// The budget of an endpoint in slow start holds in a fleet of any size, at any traffic, and while gateways
-// restart and forget what they have sent: at most N + 3 x sqrt(N) + 3 requests in the window, N being what
-// the settings allow.
-struct Size {
+// The slow-start budget is kept with any number of gateways, at any request rate, and while gateways restart
+// and lose their record of sent requests: at most N + 3 x sqrt(N) + 3 requests in the overload window, where
+// N is the number that the settings allow.
+struct FleetSize {
     int gateways;
-    double per_second;     // requests, in sum
-    Millis restart_every;  // between the restarts of two gateways; 0: none
+    double per_second;     // requests, over all gateways
+    Millis restart_every;  // time between gateway restarts; 0: no restarts
 };
-class SlowStartAtAnySizeTest : public ::testing::TestWithParam<Size> {};
+class SlowStartAtAnySizeTest : public ::testing::TestWithParam<FleetSize> {};
 
 TEST_P(SlowStartAtAnySizeTest, KeepsTheBudget) {
-    const Size& size = GetParam();
-    Fleet fleet(size.gateways, pairs(10));
+    const FleetSize& fleet_size = GetParam();
+    Fleet fleet(fleet_size.gateways, prefill_decode_pairs(10));
     const auto& settings = fleet.settings;
-    const double capacity = size.per_second / 11.0 / 0.6;
+    const double capacity = fleet_size.per_second / 11.0 / 0.6;
     const Millis started = 8000;
     const Millis warm = started + settings.slow_start_duration;
-    Endpoint cold = prefill_endpoint(50);
-    cold.started_at = started;
+    Endpoint warming_endpoint = prefill_endpoint(50);
+    warming_endpoint.started_at = started;
     bool listed = false;
     int next = 0;
     int restarts = 0;
-    for (Millis now = 10; now < warm; now += 1000 / size.per_second) {
-        if (now >= started && !std::exchange(listed, true)) fleet.add(cold, now);
-        if (size.restart_every > 0 && now > started && now > started + size.restart_every * restarts)
-            fleet.restart(restarts++ % size.gateways, now);
+    for (Millis now = 10; now < warm; now += 1000 / fleet_size.per_second) {
+        if (now >= started && !std::exchange(listed, true)) fleet.add(warming_endpoint, now);
+        if (fleet_size.restart_every > 0 && now > started &&
+            now > started + fleet_size.restart_every * restarts)
+            fleet.restart(restarts++ % fleet_size.gateways, now);
         ++next;
-        fleet.serve(next % size.gateways, now, static_cast<std::uint64_t>(next));
+        fleet.serve(next % fleet_size.gateways, now, static_cast<std::uint64_t>(next));
     }
     const auto& at = fleet.sent_at[50];
-    std::size_t first = 0;
+    std::size_t window_start = 0;
     for (std::size_t i = 0; i < at.size(); ++i) {
-        while (at[first] <= at[i] - settings.overload_window) ++first;
+        while (at[window_start] <= at[i] - settings.overload_window) ++window_start;
         const double share = settings.initial_capacity + (1 - settings.initial_capacity) * (at[i] - started) /
                                                              settings.slow_start_duration;
         const double budget = settings.overload_factor * share * capacity * settings.overload_window / 1000;
-        EXPECT_LE(static_cast<double>(i - first + 1), budget + 3 * std::sqrt(budget) + 3) << "at " << at[i];
+        EXPECT_LE(static_cast<double>(i - window_start + 1), budget + 3 * std::sqrt(budget) + 3)
+            << "at " << at[i];
     }
     EXPECT_EQ(fleet.violations(), std::vector<std::string>{});
 }
 INSTANTIATE_TEST_SUITE_P(Sizes, SlowStartAtAnySizeTest,
-                         ::testing::Values(Size{1, 4, 0}, Size{1, 4, 300}, Size{2, 5, 300}, Size{3, 6, 200},
-                                           Size{4, 3, 150}, Size{4, 30, 100}, Size{4, 120, 50},
-                                           Size{5, 10, 100}, Size{12, 20, 50}, Size{60, 60, 20},
-                                           Size{300, 120, 10}, Size{900, 120, 5}, Size{900, 20, 10}));
+                         ::testing::Values(FleetSize{1, 4, 0}, FleetSize{1, 4, 300}, FleetSize{2, 5, 300},
+                                           FleetSize{3, 6, 200}, FleetSize{4, 3, 150}, FleetSize{4, 30, 100},
+                                           FleetSize{4, 120, 50}, FleetSize{5, 10, 100},
+                                           FleetSize{12, 20, 50}, FleetSize{60, 60, 20},
+                                           FleetSize{300, 120, 10}, FleetSize{900, 120, 5},
+                                           FleetSize{900, 20, 10}));
 
-// Guards against the few decode endpoints of a cell full of prefill endpoints getting all that is prefilled
-// there.
+// Guards against overload of the few decode endpoints in a cell with many prefill endpoints: they must not
+// get all requests that are prefilled there.
 TEST(ManyGatewaysTest, DecodesAreSpreadOverTheCells) {
     Fleet fleet(100, {prefill_endpoint(1, 0), prefill_endpoint(2, 0), prefill_endpoint(3, 0),
                       prefill_endpoint(4, 1), decode_endpoint(101, 0), decode_endpoint(102, 1),
@@ -208,28 +215,29 @@
     for (int i = 0; i < 400; ++i) {
         ASSERT_TRUE(fleet.serve(i % 100, 10 + 10.0 * i, static_cast<std::uint64_t>(i) + 1));
     }
-    EXPECT_LT(fleet.sent[101], 160);  // an even share is 100; all prefills of its cell would be 240 or more
+    EXPECT_LT(fleet.sent[101], 160);  // an equal share is 100; all prefills of its cell would be 240 or more
     EXPECT_GT(fleet.sent[101], 60);
 }
 
-// Guards against the prefill endpoints of a zone with few of them being overloaded while others idle.
+// Guards against overload of a zone with few prefill endpoints while endpoints of other zones are idle.
 TEST(ManyGatewaysTest, ZoneWithFewPrefillEndpointsSpillsOver) {
     Fleet fleet(
         100, {prefill_endpoint(1, 0), prefill_endpoint(2, 1), prefill_endpoint(3, 1), prefill_endpoint(4, 1),
               prefill_endpoint(5, 1), decode_endpoint(101, 0), decode_endpoint(102, 1),
               decode_endpoint(103, 1), decode_endpoint(104, 1), decode_endpoint(105, 1)});
     for (int i = 0; i < 400; ++i) fleet.serve(i % 100, 10 + 10.0 * i, static_cast<std::uint64_t>(i) + 1);
-    EXPECT_LT(fleet.sent[1], 220);  // all in the own zone would be 400; a fifth, for two zones, is 160
-    EXPECT_GT(fleet.sent[1], 100);  // and the own zone is still preferred
+    EXPECT_LT(fleet.sent[1],
+              220);  // 400 if all stayed in the own zone; 160 at a fifth of the endpoints and two zones
+    EXPECT_GT(fleet.sent[1], 100);  // the own zone is still preferred
 }
 
-// Guards against prefills that are cancelled after 0.4 of the latency objective and repeated elsewhere: the
-// queue stays as long, and a third of the attempts time out.
-TEST(ManyGatewaysTest, PrefillIsNotCancelledWhileItsAnswerIsStillWanted) {
+// Guards against prefills that time out after 0.4 of the latency objective and are repeated elsewhere. This
+// does not shorten the queues, and a third of the attempts time out.
+TEST(ManyGatewaysTest, PrefillTimeoutIsLongAtALowSampleRateWithoutALoadSignal) {
     Settings settings = test_settings();
     settings.gateways = 100;
     RouterHarness harness(settings);
-    harness.handle(0, full_list(pairs(6)));
+    harness.handle(0, full_list(prefill_decode_pairs(6)));
     harness.handle(10, arrival("a", 10));
     ASSERT_EQ(harness.actions_of<StartAttempt>().size(), 1u);
     const StartAttempt prefill = harness.actions_of<StartAttempt>()[0];
@@ -237,8 +245,8 @@
     harness.handle(30, attempt_ended("a", 0, prefill.endpoint, AttemptResult::prefill_done));
     ASSERT_EQ(harness.actions_of<StartAttempt>().size(), 1u);
     EXPECT_LT(harness.actions_of<StartAttempt>()[0].timeout, settings.classes[0].latency_objective)
-        << "a decode attempt that waits is cheap to repeat, and is retried soon";
-    // Where endpoints report their load the next choice is an informed one, and a prefill is retried sooner.
+        << "a waiting decode attempt is cheap to repeat and has a short timeout";
+    // With load reports the next selection is better informed, so a prefill is retried sooner.
     AttemptEnded decoded =
         attempt_ended("a", 1, harness.actions_of<StartAttempt>()[0].endpoint, AttemptResult::served, true);
     decoded.report.memory_utilization = 0.3;
@@ -249,13 +257,13 @@
     EXPECT_LT(harness.actions_of<StartAttempt>()[0].timeout, 2 * settings.classes[0].latency_objective);
 }
 
-// Guards against gateways that never try the other zone while their own is overloaded, as endpoints without
-// any sample count as no better than those of their own.
+// Guards against gateways in an overloaded zone that never try the other zone, because endpoints without
+// samples were assumed to be as slow as those of the own zone.
 TEST(ManyGatewaysTest, OverloadedZoneSpillsOver) {
     Settings settings = test_settings();
     settings.gateways = 100;
-    int away = 0;
-    int first = 0;
+    int late_in_other_zone = 0;
+    int early_in_other_zone = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         RouterHarness harness(settings, seed);
         std::vector<Endpoint> endpoints;
@@ -271,10 +279,10 @@
             Arrival request = arrival(id, now);
             request.session = seed * 100 + static_cast<std::uint64_t>(i);
             harness.handle(now, request);
-            const auto sends = harness.actions_of<StartAttempt>();
-            if (sends.size() != 1) continue;
-            const EndpointId at = sends[0].endpoint;
-            (i < 3 ? first : away) += i < 3 || i >= 20 ? at > 3 : 0;
+            const auto attempts = harness.actions_of<StartAttempt>();
+            if (attempts.size() != 1) continue;
+            const EndpointId at = attempts[0].endpoint;
+            (i < 3 ? early_in_other_zone : late_in_other_zone) += i < 3 || i >= 20 ? at > 3 : 0;
             const Millis took = at > 3 ? 30 : 1.2 * settings.classes[0].latency_objective;
             harness.advance_to(now + took);
             harness.handle(now + took, attempt_ended(id, 0, at, AttemptResult::prefill_done));
@@ -285,18 +293,18 @@
             }
         }
     }
-    EXPECT_LT(first, 10) << "of 60: the own zone comes first";
-    EXPECT_GT(away, 100) << "of 200";
+    EXPECT_LT(early_in_other_zone, 10) << "of 60: the own zone is preferred at first";
+    EXPECT_GT(late_in_other_zone, 100) << "of 200";
 }
 
-// Guards against load shedding for a long time after one overloaded prefill endpoint, while others idle: a
-// gateway with one pending prefill and no other sample rejects only when that prefill is very late.
-TEST(ManyGatewaysTest, OneLatePrefillShedsNobodySoon) {
+// Guards against prolonged load shedding because of one overloaded prefill endpoint while others are idle. A
+// gateway with one pending prefill and no other sample rejects requests only when that prefill is very late.
+TEST(ManyGatewaysTest, OneLatePrefillDoesNotCauseEarlyLoadShedding) {
     Settings settings = test_settings();
     settings.gateways = 100;
     const auto rejects_after = [&](Millis age) {
         RouterHarness harness(settings);
-        harness.handle(0, full_list(pairs(6)));
+        harness.handle(0, full_list(prefill_decode_pairs(6)));
         harness.handle(10, arrival("a", 10));
         harness.advance_to(10 + age);
         harness.handle(10 + age, arrival("b", 10 + age));
@@ -304,11 +312,12 @@
     };
     EXPECT_FALSE(rejects_after(0.5 * settings.classes[0].latency_objective));
     EXPECT_FALSE(rejects_after(1.2 * settings.classes[0].latency_objective));
-    EXPECT_TRUE(rejects_after(4 * settings.classes[0].latency_objective)) << "and then it does";
+    EXPECT_TRUE(rejects_after(4 * settings.classes[0].latency_objective))
+        << "a very late prefill indicates overload";
 }
 
 TEST(ManyGatewaysTest, SessionKeepsItsPrefillEndpointAtAllGateways) {
-    Fleet fleet(100, pairs(12));
+    Fleet fleet(100, prefill_decode_pairs(12));
     for (std::uint64_t session = 1; session <= 20; ++session) {
         fleet.sent.clear();
         for (int turn = 0; turn < 5; ++turn) {
@@ -321,8 +330,9 @@
     }
 }
 
-// Guards against a hot shared prefix overloading the one endpoint it is bound to while others idle, as no
-// gateway sees enough of it to notice. One class and few shared prefixes.
+// Guards against a popular shared prefix that overloads the one endpoint it is assigned to while others are
+// idle. No single gateway handles enough requests of the prefix to detect this. Uses one class and few shared
+// prefixes.
 TEST(ManyGatewaysTest, HotPrefixIsSpreadAndRarePrefixHasOneEndpoint) {
     Settings settings = test_settings();
     settings.gateways = 100;
@@ -332,7 +342,7 @@
     int hot_sum = 0;
     for (std::uint64_t gateway = 1; gateway <= 30; ++gateway) {
         RouterHarness harness(settings, gateway);
-        harness.handle(0, full_list(pairs(20)));
+        harness.handle(0, full_list(prefill_decode_pairs(20)));
         for (std::uint64_t i = 0; i < 80; ++i) {
             const Millis now = 10 + 600.0 * static_cast<double>(i);
             harness.advance_to(now);
@@ -342,9 +352,9 @@
             request.shared_prefix = i % 5 < 2 ? hot : 100 + (gateway * 7 + i) % 40;
             request.shared_prefix_tokens = 2600;
             harness.handle(now, request);
-            const auto sends = harness.actions_of<StartAttempt>();
-            ASSERT_EQ(sends.size(), 1u);
-            const EndpointId at = sends[0].endpoint;
+            const auto attempts = harness.actions_of<StartAttempt>();
+            ASSERT_EQ(attempts.size(), 1u);
+            const EndpointId at = attempts[0].endpoint;
             if (i >= 40 && request.shared_prefix == hot) {
                 ++hot_prefills[at];
                 ++hot_sum;
@@ -357,8 +367,8 @@
         }
     }
     for (const auto& [id, n] : hot_prefills) EXPECT_LT(n, 0.35 * hot_sum) << "endpoint " << id;
-    EXPECT_LE(hot_prefills.size(), 8u) << "the gateways agree on its endpoints";
-    double preferred = 0;
+    EXPECT_LE(hot_prefills.size(), 8u) << "all gateways use the same few endpoints";
+    double at_preferred_endpoint = 0;
     double all = 0;
     for (const auto& [prefix, prefills] : rare_prefills) {
         int most = 0;
@@ -366,16 +376,16 @@
             most = std::max(most, count);
             all += count;
         }
-        preferred += most;
+        at_preferred_endpoint += most;
     }
-    EXPECT_GT(preferred / all, 0.7);
+    EXPECT_GT(at_preferred_endpoint / all, 0.7);
 }
 
-// Guards against a request that uses up its attempts at one failing endpoint, which looks idle to a gateway
-// that has nothing else there.
-TEST(ManyGatewaysTest, RequestLeavesTheEndpointThatFailedIt) {
+// Guards against a request that spends all its attempts at one failing endpoint, which appears idle to a
+// gateway without other requests there.
+TEST(ManyGatewaysTest, RequestIsRetriedAtOtherEndpoints) {
     for (const int gateways : {2, 100}) {
-        Fleet fleet(gateways, pairs(6));
+        Fleet fleet(gateways, prefill_decode_pairs(6));
         fleet.fails = [](EndpointId at, int) { return at == 3 || at == 103; };
         for (int gateway = 0; gateway < gateways; ++gateway) {
             for (int i = 0; i < 4; ++i) {
@@ -390,67 +400,70 @@
     }
 }
 
-// An endpoint that fails one class is ejected for that class on one failure; the other classes return to it
-// after its ejection.
+// An endpoint that fails one class is ejected for that class after a single failure. Other classes use it
+// again after its ejection.
 TEST(ManyGatewaysTest, ClassIsEjectedOnItsOwnFailures) {
     Fleet fleet(100, {prefill_endpoint(1), prefill_endpoint(2), prefill_endpoint(3), decode_endpoint(101)});
     fleet.fails = [](EndpointId at, int cls) { return at == 1 && cls == 0; };
     std::uint64_t session = 0;
-    // Sends one request through each of the gateways; returns those whose request met endpoint 1.
-    const auto meet = [&](const std::vector<int>& gateways, Millis now, int cls) {
-        std::vector<int> met;
+    // Sends one request through each of the gateways. Returns those whose request was sent to endpoint 1.
+    const auto send_through_gateways = [&](const std::vector<int>& gateways, Millis now, int cls) {
+        std::vector<int> gateways_that_sent;
         for (const int gateway : gateways) {
             const int before = fleet.sent[1];
             fleet.serve(gateway, now, ++session, cls);
-            if (fleet.sent[1] > before) met.push_back(gateway);
+            if (fleet.sent[1] > before) gateways_that_sent.push_back(gateway);
         }
-        return met;
+        return gateways_that_sent;
     };
     std::vector<int> all(100);
     std::iota(all.begin(), all.end(), 0);
-    const std::vector<int> hurt = meet(all, 10, 0);
-    ASSERT_GT(hurt.size(), 15u);
-    EXPECT_EQ(meet(hurt, 9100, 0).size(), 0u);   // the endpoint's ejection is over, the class's is not
-    EXPECT_GT(meet(hurt, 12000, 1).size(), 3u);  // the other class is not ejected
-    EXPECT_EQ(meet(hurt, 15000, 0).size(), 0u);
-    EXPECT_GT(meet(hurt, 31000, 0).size(), 3u);  // the class tries it again
+    const std::vector<int> failed_gateways = send_through_gateways(all, 10, 0);
+    ASSERT_GT(failed_gateways.size(), 15u);
+    EXPECT_EQ(send_through_gateways(failed_gateways, 9100, 0).size(),
+              0u);  // the endpoint's ejection has ended, that of the class has not
+    EXPECT_GT(send_through_gateways(failed_gateways, 12000, 1).size(), 3u);  // the other class is not ejected
+    EXPECT_EQ(send_through_gateways(failed_gateways, 15000, 0).size(), 0u);
+    EXPECT_GT(send_through_gateways(failed_gateways, 31000, 0).size(),
+              3u);  // the ejection of the class has ended
 }
 
-// Guards against retry storms of gateways that have just started: their retry budgets add up.
+// Guards against retry storms after the start of many gateways, whose initial retry budgets add up.
 TEST(ManyGatewaysTest, RetryBudgetOfManyGatewaysIsSmall) {
     struct Case {
         int gateways;
-        int most_retries;
+        int max_retries;
     };
-    for (const auto& [gateways, most_retries] : {Case{2, 20}, Case{200, 4}}) {
-        Fleet fleet(gateways, pairs(8));
+    for (const auto& [gateways, max_retries] : {Case{2, 20}, Case{200, 4}}) {
+        Fleet fleet(gateways, prefill_decode_pairs(8));
         fleet.fails = [](EndpointId, int) { return true; };
-        int sends = 0;
+        int attempts = 0;
         for (int i = 0; i < 20; ++i) fleet.serve(0, 10, static_cast<std::uint64_t>(i) + 1);
-        for (const auto& [id, sent] : fleet.sent) sends += sent;
-        EXPECT_LE(sends, 20 + most_retries);
-        EXPECT_GT(sends, 2);
+        for (const auto& [id, sent] : fleet.sent) attempts += sent;
+        EXPECT_LE(attempts, 20 + max_retries);
+        EXPECT_GT(attempts, 2);
     }
 }
 
 TEST(ManyGatewaysTest, EmptyAndMinimalFleetsAnswer) {
     Fleet empty(200, {});
     EXPECT_FALSE(empty.serve(0, 10, 1));
-    Fleet one(200, {prefill_endpoint(1), decode_endpoint(101)});
-    EXPECT_TRUE(one.serve(0, 10, 1));
+    Fleet minimal(200, {prefill_endpoint(1), decode_endpoint(101)});
+    EXPECT_TRUE(minimal.serve(0, 10, 1));
     Fleet no_decode(200, {prefill_endpoint(1), prefill_endpoint(2)});
     EXPECT_FALSE(no_decode.serve(0, 10, 1));
-    Fleet foreign(200, {prefill_endpoint(1, 1), decode_endpoint(101, 1)});  // nothing in the own zone
-    EXPECT_TRUE(foreign.serve(0, 10, 1));
-    for (Fleet* fleet : {&empty, &one, &no_decode, &foreign}) {
+    Fleet other_zone_only(200,
+                          {prefill_endpoint(1, 1), decode_endpoint(101, 1)});  // no endpoint in the own zone
+    EXPECT_TRUE(other_zone_only.serve(0, 10, 1));
+    for (Fleet* fleet : {&empty, &minimal, &no_decode, &other_zone_only}) {
         EXPECT_EQ(fleet->violations(), std::vector<std::string>{});
     }
 }
 
-// Half the fleet restarts at once: the sum at each warming endpoint keeps its budget, and every request is
-// served.
+// Half of the prefill endpoints restart at once: the requests of all gateways to each of them stay within its
+// slow-start budget, and every request is served.
 TEST(ManyGatewaysTest, RestartOfHalfTheFleetKeepsTheSlowStartBudget) {
-    Fleet fleet(100, pairs(8));
+    Fleet fleet(100, prefill_decode_pairs(8));
     std::uint64_t session = 0;
     for (Millis now = 10; now < 4000; now += 10) {
         ++session;
@@ -471,7 +484,7 @@
     }
     EXPECT_EQ(served, arrived);
     for (EndpointId id = 1; id <= 4; ++id) {
-        // 12.5 a second each before, at 60% of what they can do; two seconds.
+        // Each served 12.5 requests per second before, which is 60% of its capacity; the window is 2 s.
         EXPECT_LE(fleet.sent[id], 2.5 * 0.3 * 12.5 / 0.6 * 2);
     }
     EXPECT_GT(fleet.sent[1] + fleet.sent[2] + fleet.sent[3] + fleet.sent[4], 10);
