--- a/tests/router/load_shedder_test.cpp
+++ b/tests/router/load_shedder_test.cpp
@@ -18,13 +18,13 @@
     return settings;
 }
 
-// Queues requests at the decode endpoints, so that a new one must wait.
+// Queues requests at the decode endpoints, so that a new request has to wait.
 void queue_at_decode_endpoints(RouterComponents& fleet, int requests) {
     for (int i = 0; i < requests; ++i)
         fleet.send_request("queued" + std::to_string(i), i % 2 ? 11 : 12, Stage::decode_queued);
 }
 
-TEST(LoadShedder, AdmitsARequestThatNeedNotWait) {
+TEST(LoadShedder, AdmitsARequestWithoutExpectedWait) {
     RouterComponents fleet;
     EXPECT_FALSE(fleet.load_shedder.should_shed(0, fleet.add_request("r")));
 }
@@ -53,10 +53,11 @@
     RouterComponents fleet(with_tenant_quota());
     queue_at_decode_endpoints(fleet, 14);
     RequestState& request = fleet.add_request("r");
-    EXPECT_FALSE(fleet.load_shedder.should_shed(0, request)) << "two at once are within the quota";
+    EXPECT_FALSE(fleet.load_shedder.should_shed(0, request)) << "a burst of two is within the quota";
     EXPECT_FALSE(fleet.load_shedder.should_shed(0, request));
     EXPECT_TRUE(fleet.load_shedder.should_shed(0, request));
-    EXPECT_FALSE(fleet.load_shedder.should_shed(1000, request)) << "one a second is earned back";
+    EXPECT_FALSE(fleet.load_shedder.should_shed(1000, request))
+        << "the bucket refills at one request per second";
 }
 
 }  // namespace
