--- a/tests/router/outlier_detector_test.cpp
+++ b/tests/router/outlier_detector_test.cpp
@@ -12,7 +12,7 @@
 
 class OutlierDetectorTest : public ::testing::Test {
 protected:
-    // Sends one more request to the endpoint and records how it ended.
+    // Sends a new request to the endpoint and records its result.
     void send_and_record(EndpointId to, AttemptResult result, Millis now) {
         RequestState& request =
             fleet.send_request("r" + std::to_string(++requests), to, Stage::decode_queued, now);
@@ -36,7 +36,7 @@
     EXPECT_FALSE(health(11).ejected);
     send_and_record(11, AttemptResult::unreachable, 200);
     EXPECT_TRUE(health(11).ejected);
-    EXPECT_TRUE(fleet.outlier_detector.any_decode_reachable(201)) << "endpoint 12";
+    EXPECT_TRUE(fleet.outlier_detector.any_decode_reachable(201)) << "endpoint 12 is reachable";
     send_and_record(12, AttemptResult::unreachable, 300);
     send_and_record(12, AttemptResult::unreachable, 400);
     EXPECT_FALSE(fleet.outlier_detector.any_decode_reachable(401));
@@ -49,10 +49,11 @@
     EXPECT_FALSE(fleet.outlier_detector.admits(1199, fleet.endpoint(11), request));
     EXPECT_TRUE(fleet.outlier_detector.admits(1200, fleet.endpoint(11), request));
     fleet.in_flight_requests.begin_attempt(1200, request, fleet.endpoint(11), Stage::decode_queued);
-    EXPECT_FALSE(fleet.outlier_detector.admits(1201, fleet.endpoint(11), request)) << "one at a time";
+    EXPECT_FALSE(fleet.outlier_detector.admits(1201, fleet.endpoint(11), request))
+        << "one trial request at a time";
     fleet.record_result(request, AttemptResult::served, 1300);
     EXPECT_EQ(health(11).concurrency_limit, 2);
-    EXPECT_EQ(fleet.endpoint(11).warming_since, 1300) << "was unreachable, so may have restarted";
+    EXPECT_EQ(fleet.endpoint(11).warming_since, 1300) << "it was unreachable, so it may have restarted";
     for (int i = 0; i < 4; ++i) send_and_record(11, AttemptResult::served, 1400);
     EXPECT_FALSE(health(11).ejected);
 }
@@ -68,7 +69,7 @@
     }
 }
 
-TEST_F(OutlierDetectorTest, ARejectionIsNoFailureButIsRespectedForAWhile) {
+TEST_F(OutlierDetectorTest, ARejectionIsNoFailureButBlocksNewAttemptsForAWhile) {
     RequestState& request = fleet.add_request("waiting", 100);
     send_and_record(11, AttemptResult::rejected, 100);
     EXPECT_FALSE(health(11).ejected);
@@ -84,12 +85,12 @@
     EXPECT_EQ(health(11).error_rate, 0);
 }
 
-TEST_F(OutlierDetectorTest, SilenceIsEvidenceOfSlownessThatEjectsADelayedEndpoint) {
+TEST_F(OutlierDetectorTest, APendingAttemptIsEvidenceOfSlownessThatEjectsADelayedEndpoint) {
     const RequestState& request = fleet.send_request("slow", 11, Stage::decode_queued, 0);
-    const RequestState& of_peer = fleet.send_request("quick", 12, Stage::decode_queued, 0);
+    const RequestState& peer_request = fleet.send_request("fast", 12, Stage::decode_queued, 0);
     router::OutlierDetector::StagesByEndpoint delayed;
     for (Millis now = 50; now <= 2000; now += 50) {
-        fleet.outlier_detector.record_first_token(fleet.endpoint(12), of_peer);
+        fleet.outlier_detector.record_first_token(fleet.endpoint(12), peer_request);
         if (fleet.outlier_detector.record_pending(now, fleet.endpoint(11), request, 50))
             delayed[11][Stage::decode_queued] = true;
     }
