--- a/tests/router/prefill_selector_test.cpp
+++ b/tests/router/prefill_selector_test.cpp
@@ -55,7 +55,7 @@
     EXPECT_EQ(chosen_id(fleet.prefill_selector.choose(0, request)), 1u);
     fleet.endpoint(11).load.memory_utilization = 0.95;
     fleet.endpoint(21).load.memory_utilization = 0.95;
-    EXPECT_EQ(chosen_id(fleet.prefill_selector.choose(0, request)), 1u) << "21 is full too";
+    EXPECT_EQ(chosen_id(fleet.prefill_selector.choose(0, request)), 1u) << "endpoint 21 is full too";
 }
 
 TEST(PrefillSelector, ChoosesNothingIfNoEndpointIsListed) {
