--- a/tests/router/router_components.h
+++ b/tests/router/router_components.h
@@ -1,4 +1,4 @@
-// The components of a Router wired together as in router.cpp, for tests of a single one.
+// The components of a Router, connected as in router.cpp, for unit tests of a single component.
 #pragma once
 
 #include <vector>
@@ -24,7 +24,8 @@
 
 constexpr std::uint64_t kSeed = 1;
 
-// Fills the registry with prefill endpoints 1 and 2 and decode endpoints 11 and 12; 2 and 12 are in zone 1.
+// The registry contains the prefill endpoints 1 and 2 and the decode endpoints 11 and 12. Endpoints 2 and 12
+// are in zone 1, the others in zone 0.
 struct RouterComponents {
     explicit RouterComponents(const Settings& router_settings = test_settings()) : settings(router_settings) {
         registry.apply(0, full_list({prefill_endpoint(1), prefill_endpoint(2, 1), decode_endpoint(11),
@@ -36,13 +37,14 @@
     router::RequestState& add_request(const RequestId& id, Millis now = 0, double prompt_tokens = 1000) {
         return in_flight_requests.add(now, arrival(id, now, prompt_tokens));
     }
-    // A request whose attempt at the endpoint has just been sent.
+    // Adds a request and sends its first attempt to the endpoint.
     router::RequestState& send_request(const RequestId& id, EndpointId to, router::Stage stage,
                                        Millis now = 0) {
         router::RequestState& request = add_request(id, now);
         in_flight_requests.begin_attempt(now, request, endpoint(to), stage);
         return request;
     }
+    // Ends the attempt of the request with the given result.
     void record_result(router::RequestState& request, AttemptResult result, Millis now) {
         const EndpointId id = request.attempt.endpoint;
         const int attempt = request.attempt_count - 1;
