--- a/tests/router/router_endpoint_list_test.cpp
+++ b/tests/router/router_endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// What a change of the endpoint list does to later attempts.
+// Effects of endpoint list updates on the selection of endpoints.
 #include <gtest/gtest.h>
 
 #include "router/router_fixture.h"
@@ -15,7 +15,8 @@
     harness->handle(5, EndpointUpdate{EndpointUpdate::Kind::incremental, {endpoint}});
     for (int i = 0; i < 6; ++i) EXPECT_EQ(arrive("a" + std::to_string(i), 10 + i), 2u);
     harness->handle(
-        20, full_list({prefill_endpoint(1), decode_endpoint(11)}));  // 2 is missing from a full list: removed
+        20, full_list({prefill_endpoint(1),
+                       decode_endpoint(11)}));  // endpoint 2 is missing from a full list, so it is removed
     EXPECT_EQ(arrive("z", 30), 1u);
 }
 
