--- a/tests/router/router_final_answer_test.cpp
+++ b/tests/router/router_final_answer_test.cpp
@@ -1,4 +1,4 @@
-// Each request gets one final answer, and the answer carries its cause.
+// Each request gets exactly one final answer, and the answer states its cause.
 #include <gtest/gtest.h>
 
 #include "router/router_fixture.h"
@@ -8,7 +8,8 @@
 
 class RouterFinalAnswerTest : public RouterFixture {};
 
-// Guards against a log that cannot say why a request was rejected or failed: one case for each cause.
+// Guards against logs that do not state why a request was rejected or failed: one case for each of several
+// causes.
 TEST_F(RouterFinalAnswerTest, AnswerCarriesItsCause) {
     const auto cause = [this] {
         const auto rejected = harness->actions_of<Reject>();
@@ -91,7 +92,7 @@
     harness->handle(20, attempt_ended("a", 0, prefill_at, AttemptResult::prefill_done));
     harness->handle(30, FirstToken{"a", 1, 11, 5});
     harness->checker.violations.clear();
-    // The simulator ends such an attempt as cancelled and the request as still open.
+    // The simulator reports such an attempt as cancelled and its request as still open.
     harness->actions.clear();
     harness->router.handle(40, attempt_ended("a", 1, 11, AttemptResult::cancelled), harness->actions);
     EXPECT_EQ(harness->actions_of<StartAttempt>().size() + harness->actions_of<Reject>().size(), 1u);
