--- a/tests/router/router_fixture.h
+++ b/tests/router/router_fixture.h
@@ -1,4 +1,4 @@
-// The fixture of the Router's tests: one Router under its invariant checker, and requests taken through it.
+// Test fixture with one Router and its invariant checker, and helpers that run requests through it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,26 +13,26 @@
 
 namespace gorsenotch::test {
 
-// Each test begins with start_router(). A test that leaves a violated invariant behind fails.
+// Each test calls start_router() first. TearDown() fails the test if an invariant was violated.
 class RouterFixture : public ::testing::Test {
 protected:
     static constexpr Millis kNever = 1e18;
 
-    // A new Router with the list at time 0.
+    // Creates a Router, which gets the endpoint list at time 0.
     void start_router(const Settings& settings, const std::vector<Endpoint>& endpoints) {
         harness = std::make_unique<RouterHarness>(settings);
         harness->handle(0, full_list(endpoints));
     }
 
-    // A request arrives. Returns the endpoint of its first attempt, 0 if none was started.
+    // Reports the arrival of a request. Returns the endpoint of its first attempt, 0 if none was started.
     EndpointId arrive(const RequestId& id, Millis now) {
         harness->handle(now, arrival(id, now));
         const auto attempts = harness->actions_of<StartAttempt>();
         return attempts.empty() ? 0 : attempts[0].endpoint;
     }
 
-    // Takes a request through prefill and decode within 9 ms, wherever the Router sends it. Returns the
-    // endpoint of its prefill, 0 if none was started.
+    // Runs a request through prefill and decode within 9 ms, at the endpoints selected by the Router. Returns
+    // the endpoint of its prefill, 0 if none was started.
     EndpointId serve(const RequestId& id, Millis now) {
         const EndpointId prefill_at = arrive(id, now);
         if (!prefill_at) return 0;
@@ -45,27 +45,28 @@
         return prefill_at;
     }
 
-    // Starts a stream every 50 ms, each prefilled at once at endpoint 1. `length` gives the length of a
-    // stream by its decode endpoint and the time; `migrated` is called with the endpoint that a stream was
-    // migrated off.
-    void run_streams(int count, const std::function<Millis(EndpointId, Millis)>& length,
-                     const std::function<void(EndpointId)>& migrated) {
+    // Starts a stream every 50 ms, prefilled immediately at endpoint 1. `stream_duration` returns the
+    // duration of a stream by its decode endpoint and start time. `on_migrated` is called with the endpoint
+    // that a stream is migrated off.
+    void run_streams(int count, const std::function<Millis(EndpointId, Millis)>& stream_duration,
+                     const std::function<void(EndpointId)>& on_migrated) {
         Streams streams;
         for (int i = 0; i < count; ++i) {
             const Millis now = 50.0 * (i + 1);
             end_streams(streams, now);
             harness->advance_to(now);
             for (const auto& migrate : harness->actions_of<MigrateStream>()) {
-                const EndpointId from = streams.endpoints[migrate.request];
-                migrated(from);
-                harness->handle(now, attempt_ended(migrate.request, 1, from, AttemptResult::cancelled, true));
+                const EndpointId source_endpoint = streams.endpoints[migrate.request];
+                on_migrated(source_endpoint);
+                harness->handle(
+                    now, attempt_ended(migrate.request, 1, source_endpoint, AttemptResult::cancelled, true));
                 streams.endpoints.erase(migrate.request);
             }
             const RequestId id = "s" + std::to_string(i);
             const EndpointId decode_at = begin_stream(id, now);
             if (!decode_at) continue;
             streams.endpoints[id] = decode_at;
-            streams.ends.emplace(now + length(decode_at, now), id);
+            streams.end_times.emplace(now + stream_duration(decode_at, now), id);
         }
     }
 
@@ -75,14 +76,14 @@
 
 private:
     struct Streams {
-        std::multimap<Millis, RequestId> ends;
-        std::map<RequestId, EndpointId> endpoints;  // of those that have neither ended nor been migrated
+        std::multimap<Millis, RequestId> end_times;
+        std::map<RequestId, EndpointId> endpoints;  // only streams that have neither ended nor been migrated
     };
 
     void end_streams(Streams& streams, Millis now) {
-        while (!streams.ends.empty() && streams.ends.begin()->first <= now) {
-            const RequestId id = streams.ends.begin()->second;
-            streams.ends.erase(streams.ends.begin());
+        while (!streams.end_times.empty() && streams.end_times.begin()->first <= now) {
+            const RequestId id = streams.end_times.begin()->second;
+            streams.end_times.erase(streams.end_times.begin());
             const auto stream = streams.endpoints.find(id);
             if (stream == streams.endpoints.end()) continue;
             harness->handle(now - 1, attempt_ended(id, 1, stream->second, AttemptResult::served, true));
