--- a/tests/router/router_idempotency_test.cpp
+++ b/tests/router/router_idempotency_test.cpp
@@ -1,4 +1,5 @@
-// What may be retried after an attempt that may have run, by the idempotency of its class.
+// Which requests may be retried after an attempt that may have run, depending on the idempotency of their
+// class.
 #include <gtest/gtest.h>
 
 #include "router/router_fixture.h"
@@ -45,9 +46,9 @@
     harness->handle(20, attempt_ended("a", 0, prefill_at, AttemptResult::prefill_done));
     harness->handle(30, attempt_ended("a", 1, 11, AttemptResult::reset));
     ASSERT_EQ(harness->actions_of<StartAttempt>().size(), 1u);
-    AttemptEnded no_state = attempt_ended("a", 2, 11, AttemptResult::rejected);
-    no_state.detail = 1;
-    harness->handle(40, no_state);
+    AttemptEnded no_kv_cache = attempt_ended("a", 2, 11, AttemptResult::rejected);
+    no_kv_cache.detail = 1;
+    harness->handle(40, no_kv_cache);
     EXPECT_TRUE(harness->actions_of<StartAttempt>().empty())
         << "a prefill is an attempt too, and no prefill endpoint is in the dedup scope";
     EXPECT_EQ(harness->actions_of<Fail>().size(), 1u);
@@ -70,7 +71,7 @@
             ASSERT_EQ(harness->actions_of<StartAttempt>().size(), 1u);
             const Millis send_by = harness->actions_of<StartAttempt>()[0].send_by;
             EXPECT_GT(send_by, reset_at);
-            EXPECT_LE(send_by, 20 + 1000 - 0.5 * 250) << "its bytes need time to arrive";
+            EXPECT_LE(send_by, 20 + 1000 - 0.5 * 250) << "leaves time for the bytes to arrive";
         } else {
             EXPECT_TRUE(harness->actions_of<StartAttempt>().empty());
             EXPECT_EQ(harness->actions_of<Reject>().size(), 1u)
