--- a/tests/router/router_kv_lease_test.cpp
+++ b/tests/router/router_kv_lease_test.cpp
@@ -1,4 +1,4 @@
-// When the Router releases the KV lease of a request, and what it does once a lease has ended.
+// When the Router releases the KV lease of a request, and how it continues after a lease has ended.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -19,18 +19,19 @@
     EXPECT_EQ(harness->actions_of<ReleaseLease>().size(), 1u);
 }
 
-TEST_F(RouterKvLeaseTest, UnreachableStateIsReleasedAndItsRequestIsPrefilledAgain) {
+TEST_F(RouterKvLeaseTest, KvCacheThatCannotBeFetchedIsReleasedAndItsRequestIsPrefilledAgain) {
     start_router(test_settings(), {prefill_endpoint(1), prefill_endpoint(2), decode_endpoint(11)});
     const EndpointId prefill_at = arrive("a", 10);
     harness->handle(20, attempt_ended("a", 0, prefill_at, AttemptResult::prefill_done));
-    AttemptEnded cut = attempt_ended("a", 1, 11, AttemptResult::rejected);
-    cut.detail = 1;  // the decode endpoint could not fetch it; it may still be at the prefill endpoint
-    harness->handle(30, cut);
+    AttemptEnded fetch_failed = attempt_ended("a", 1, 11, AttemptResult::rejected);
+    fetch_failed.detail =
+        1;  // the decode endpoint could not fetch the KV cache, which may still be at the prefill endpoint
+    harness->handle(30, fetch_failed);
     EXPECT_EQ(harness->actions_of<ReleaseLease>().size(), 1u);
-    EXPECT_EQ(harness->actions_of<StartAttempt>().size(), 1u);  // and it is prefilled again
+    EXPECT_EQ(harness->actions_of<StartAttempt>().size(), 1u);  // the repeated prefill
 }
 
-// A lease that the program has released (control/kv_lease) is not decoded from again.
+// After the host has released the lease (control/kv_lease), no further decode attempt may use it.
 TEST_F(RouterKvLeaseTest, RequestWhoseLeaseHasEndedIsPrefilledAgain) {
     start_router(test_settings(), {prefill_endpoint(1), decode_endpoint(11), decode_endpoint(12)});
     const EndpointId prefill_at = arrive("a", 10);
@@ -38,7 +39,7 @@
     ASSERT_EQ(harness->actions_of<StartAttempt>().size(), 1u);
     const EndpointId at = harness->actions_of<StartAttempt>()[0].endpoint;
     harness->handle(320, LeaseReleased{"a"});
-    EXPECT_TRUE(harness->actions_of<StartAttempt>().empty()) << "the pending decode attempt goes on";
+    EXPECT_TRUE(harness->actions_of<StartAttempt>().empty()) << "the pending decode attempt continues";
     harness->handle(330, attempt_ended("a", 1, at, AttemptResult::unreachable));
     ASSERT_EQ(harness->actions_of<StartAttempt>().size(), 1u);
     EXPECT_EQ(harness->actions_of<StartAttempt>()[0].endpoint, prefill_at);
