--- a/tests/router/router_load_shedding_test.cpp
+++ b/tests/router/router_load_shedding_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are rejected for load, on arrival or after their prefill.
+// Which requests are shed under load, on arrival or after their prefill.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -32,7 +32,8 @@
         ASSERT_EQ(arrive(id, 10 + i), 1u);
         harness->handle(20 + i, attempt_ended(id, 0, 1, AttemptResult::prefill_done));
     }
-    // Three wait at the only decode endpoint; this prefill ends after its latency objective of a second.
+    // Three requests wait at the only decode endpoint. The prefill of "late" ends after its latency objective
+    // of 1 s.
     ASSERT_EQ(arrive("late", 30), 1u);
     harness->handle(1100, attempt_ended("late", 0, 1, AttemptResult::prefill_done));
     EXPECT_EQ(harness->actions_of<Reject>().size(), 1u);
@@ -52,12 +53,13 @@
                                    prefill_endpoint(4), decode_endpoint(11)});
     int rejected = 0;
     for (int i = 0; i < 60; ++i) rejected += arrive("b" + std::to_string(i), 10) == 0;
-    EXPECT_GT(rejected, 0);  // the prefills alone, 15 an endpoint, would still be in time
+    EXPECT_GT(rejected, 0);  // the prefills alone, 15 per endpoint, would still be in time
     EXPECT_LT(rejected, 55);
 }
 
-// Guards against an estimated wait that is the mean time for a thousand tokens, queue included, times the
-// length of the prompt: prompts of more than 8,000 tokens were nearly all that was shed.
+// Guards against long prompts that are shed for their length: the wait was estimated as the mean time per
+// 1,000 tokens, queueing included, times the length of the prompt, so that nearly all shed prompts had more
+// than 8,000 tokens.
 TEST_F(RouterLoadSheddingTest, LongPromptIsNotShedForItsLength) {
     Settings settings = test_settings();
     settings.classes[1].priority_weight = settings.classes[0].priority_weight / 3;
@@ -75,7 +77,7 @@
         harness->handle(now + 100, FirstToken{id, 1, decode_at, 10});
         harness->handle(now + 140, attempt_ended(id, 1, decode_at, AttemptResult::served, true));
     }
-    harness->handle(now, arrival("out", now));  // a pending attempt, so that waits are estimated
+    harness->handle(now, arrival("out", now));  // with a pending attempt, the wait is estimated
     Arrival request = arrival("long", now + 1, 16000);
     request.cls = 1;
     harness->handle(now + 1, request);
