--- a/tests/router/router_outlier_test.cpp
+++ b/tests/router/router_outlier_test.cpp
@@ -1,4 +1,5 @@
-// Endpoints that fail, hang or are slow are ejected; chance, overload and an own stall eject nobody.
+// Endpoints that fail, hang or are slow are ejected. Random variation and a stall of the gateway eject no
+// endpoint, overload at most half of them.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -15,14 +16,14 @@
 
 TEST_F(RouterOutlierTest, SecondFailedConnectionEjectsEndpoint) {
     start_router(test_settings(), {prefill_endpoint(1), prefill_endpoint(2), decode_endpoint(11)});
-    const EndpointId unreachable = arrive("a", 10);
-    harness->handle(20, attempt_ended("a", 0, unreachable, AttemptResult::unreachable));
-    EXPECT_NE(harness->actions_of<StartAttempt>().at(0).endpoint, unreachable);
-    int count = 0;
-    while (arrive("b" + std::to_string(++count), 25) != unreachable) ASSERT_LT(count, 10);
-    harness->handle(28,
-                    attempt_ended("b" + std::to_string(count), 0, unreachable, AttemptResult::unreachable));
-    for (int i = 0; i < 10; ++i) EXPECT_NE(arrive("r" + std::to_string(i), 30 + i), unreachable);
+    const EndpointId unreachable_id = arrive("a", 10);
+    harness->handle(20, attempt_ended("a", 0, unreachable_id, AttemptResult::unreachable));
+    EXPECT_NE(harness->actions_of<StartAttempt>().at(0).endpoint, unreachable_id);
+    int request_count = 0;
+    while (arrive("b" + std::to_string(++request_count), 25) != unreachable_id) ASSERT_LT(request_count, 10);
+    harness->handle(28, attempt_ended("b" + std::to_string(request_count), 0, unreachable_id,
+                                      AttemptResult::unreachable));
+    for (int i = 0; i < 10; ++i) EXPECT_NE(arrive("r" + std::to_string(i), 30 + i), unreachable_id);
 }
 
 TEST_F(RouterOutlierTest, FastFailingEndpointAttractsNoLoad) {
@@ -31,15 +32,15 @@
     for (int i = 0; i < 20; ++i) {
         const RequestId id = "r" + std::to_string(i);
         const Millis now = 10 + 5 * i;
-        EndpointId to = arrive(id, now);
+        EndpointId target = arrive(id, now);
         int attempt = 0;
-        while (to == 1) {
+        while (target == 1) {
             ++failed_attempts;
             harness->handle(now + 1, attempt_ended(id, attempt++, 1, AttemptResult::error));
             const auto attempts = harness->actions_of<StartAttempt>();
-            to = attempts.empty() ? 0 : attempts[0].endpoint;
+            target = attempts.empty() ? 0 : attempts[0].endpoint;
         }
-        if (to) harness->handle(now + 2, attempt_ended(id, attempt, to, AttemptResult::prefill_done));
+        if (target) harness->handle(now + 2, attempt_ended(id, attempt, target, AttemptResult::prefill_done));
         harness->handle(now + 3, ClientDisconnected{id});
     }
     EXPECT_LE(failed_attempts, 8);
@@ -62,9 +63,9 @@
     EXPECT_NE(harness->actions_of<StartAttempt>()[0].endpoint, hung);
 }
 
-// The gateway stalls for two seconds: no timer fires, then all that waited comes at once. No endpoint with a
-// pending attempt is ejected for it.
-TEST_F(RouterOutlierTest, OwnStallEjectsNobody) {
+// Guards against endpoints that are ejected because the gateway itself stalled for 2 s: no timer fires during
+// the stall, and all pending events are handled at once after it.
+TEST_F(RouterOutlierTest, GatewayStallEjectsNoEndpoint) {
     Settings settings = test_settings();
     settings.classes[0].deadline = 10000;
     start_router(settings, {prefill_endpoint(1), prefill_endpoint(2), prefill_endpoint(3),
@@ -74,18 +75,18 @@
         serve("w" + std::to_string(i), 10 + 20 * i);
     }
     harness->advance_to(899);
-    std::map<RequestId, EndpointId> at;
-    for (int i = 0; i < 4; ++i) at["p" + std::to_string(i)] = arrive("p" + std::to_string(i), 900);
+    std::map<RequestId, EndpointId> endpoint_of;
+    for (int i = 0; i < 4; ++i) endpoint_of["p" + std::to_string(i)] = arrive("p" + std::to_string(i), 900);
     harness->handle(2900, ClientDisconnected{"nobody"});  // the first event after the stall
-    harness->advance_to(2901);                            // and every timer that was due meanwhile
+    harness->advance_to(2901);                            // then all timers that became due during the stall
     EXPECT_TRUE(harness->actions_of<StopAttempt>().empty());
-    for (const auto& [id, endpoint] : at) {
+    for (const auto& [id, endpoint] : endpoint_of) {
         harness->handle(2902, attempt_ended(id, 0, endpoint, AttemptResult::prefill_done));
         EXPECT_EQ(harness->actions_of<StartAttempt>().size(), 1u) << id;
     }
-    std::set<EndpointId> used;
-    for (int i = 0; i < 30; ++i) used.insert(arrive("n" + std::to_string(i), 2910 + i));
-    EXPECT_EQ(used.size(), 3u);
+    std::set<EndpointId> endpoints_used;
+    for (int i = 0; i < 30; ++i) endpoints_used.insert(arrive("n" + std::to_string(i), 2910 + i));
+    EXPECT_EQ(endpoints_used.size(), 3u);
     harness->advance_to(3100);
     EXPECT_TRUE(harness->actions_of<StopAttempt>().empty());
 }
@@ -93,20 +94,20 @@
 TEST_F(RouterOutlierTest, StreamsMigrateOffHungDecodeEndpoint) {
     start_router(test_settings(), {prefill_endpoint(1), decode_endpoint(11), decode_endpoint(12),
                                    decode_endpoint(13), decode_endpoint(14)});
-    // Streams of 800 ms; from 4 s on those at endpoint 11 never end.
+    // Streams take 800 ms; those started at endpoint 11 after 4 s never end.
     int migrated_from_healthy = 0;
     int migrated_from_hung = 0;
-    int late = 0;
+    int sent_late_to_hung = 0;
     run_streams(
         240,
-        [&](EndpointId at, Millis now) {
-            if (now > 9000) late += at == 11;
-            return at != 11 || now < 4000 ? 800 : kNever;
+        [&](EndpointId stream_endpoint, Millis now) {
+            if (now > 9000) sent_late_to_hung += stream_endpoint == 11;
+            return stream_endpoint != 11 || now < 4000 ? 800 : kNever;
         },
-        [&](EndpointId at) { ++(at == 11 ? migrated_from_hung : migrated_from_healthy); });
+        [&](EndpointId source) { ++(source == 11 ? migrated_from_hung : migrated_from_healthy); });
     EXPECT_GT(migrated_from_hung, 0);
     EXPECT_EQ(migrated_from_healthy, 0);
-    EXPECT_LE(late, 3);
+    EXPECT_LE(sent_late_to_hung, 3);
 }
 
 TEST_F(RouterOutlierTest, OverloadEjectsAtMostHalfOfTheFleet) {
@@ -115,52 +116,53 @@
     for (int i = 0; i < 40; ++i) serve("w" + std::to_string(i), 10 + 20 * i);
     for (int i = 0; i < 8; ++i) arrive("slow" + std::to_string(i), 900);
     harness->advance_to(1400);
-    // All four are equally slow: at most half of their attempts may be cancelled.
+    // All four endpoints are equally slow: at most half of the attempts may be cancelled.
     EXPECT_LE(harness->actions_of<StopAttempt>().size(), 4u);
 }
 
-// Guards against a connection that broke under one request and ejected its endpoint, whose return then
-// counted as a slow start.
-TEST_F(RouterOutlierTest, SingleBrokenConnectionEjectsNobody) {
+// Guards against a single broken connection that ejects its endpoint, which then begins a slow start when it
+// returns.
+TEST_F(RouterOutlierTest, SingleBrokenConnectionEjectsNoEndpoint) {
     start_router(test_settings(), {prefill_endpoint(1), prefill_endpoint(2), decode_endpoint(11)});
-    int count = 0;
+    int request_count = 0;
     Millis now = 10;
-    // The next prefill that goes to `server` ends with `result`, those before it succeed. False: none of 30
-    // went there.
-    const auto next_at = [&](EndpointId server, AttemptResult result) {
+    // Sends requests until a prefill goes to `endpoint_id`, and ends it with `result`; earlier prefills
+    // succeed. Returns false if none of 30 requests goes there.
+    const auto end_next_prefill_at = [&](EndpointId endpoint_id, AttemptResult result) {
         for (int i = 0; i < 30; ++i) {
-            const RequestId id = "r" + std::to_string(++count);
-            const EndpointId to = arrive(id, now += 2);
-            harness->handle(now += 1,
-                            attempt_ended(id, 0, to, to == server ? result : AttemptResult::prefill_done));
+            const RequestId id = "r" + std::to_string(++request_count);
+            const EndpointId target = arrive(id, now += 2);
+            harness->handle(
+                now += 1,
+                attempt_ended(id, 0, target, target == endpoint_id ? result : AttemptResult::prefill_done));
             const auto attempts = harness->actions_of<StartAttempt>();
             harness->handle(now += 1, ClientDisconnected{id});
             if (!attempts.empty())
                 harness->handle(now,
                                 attempt_ended(id, 1, attempts[0].endpoint, AttemptResult::not_sent, true));
-            if (to == server) return true;
+            if (target == endpoint_id) return true;
         }
         return false;
     };
-    for (const AttemptResult one : {AttemptResult::reset, AttemptResult::unreachable}) {
-        EXPECT_TRUE(next_at(1, one));
-        EXPECT_TRUE(next_at(1, AttemptResult::prefill_done));
-        EXPECT_TRUE(next_at(1, one));  // a success in between: again the first failure
-        EXPECT_TRUE(next_at(1, AttemptResult::prefill_done));
-        for (int i = 0; i < 5; ++i) EXPECT_TRUE(next_at(1, AttemptResult::prefill_done));
+    for (const AttemptResult failure : {AttemptResult::reset, AttemptResult::unreachable}) {
+        EXPECT_TRUE(end_next_prefill_at(1, failure));
+        EXPECT_TRUE(end_next_prefill_at(1, AttemptResult::prefill_done));
+        EXPECT_TRUE(end_next_prefill_at(1, failure));  // after a success this is a first failure again
+        EXPECT_TRUE(end_next_prefill_at(1, AttemptResult::prefill_done));
+        for (int i = 0; i < 5; ++i) EXPECT_TRUE(end_next_prefill_at(1, AttemptResult::prefill_done));
     }
-    EXPECT_TRUE(next_at(1, AttemptResult::unreachable));
-    EXPECT_TRUE(next_at(1, AttemptResult::unreachable));  // two in succession: it is ejected
-    EXPECT_FALSE(next_at(1, AttemptResult::prefill_done));
+    EXPECT_TRUE(end_next_prefill_at(1, AttemptResult::unreachable));
+    EXPECT_TRUE(end_next_prefill_at(1, AttemptResult::unreachable));  // two consecutive failures: ejected
+    EXPECT_FALSE(end_next_prefill_at(1, AttemptResult::prefill_done));
 }
 
-// Guards against streams that break in the network, from any endpoint alike, and eject one decode endpoint
-// after another.
+// Guards against streams that are interrupted by the network, which can happen at any endpoint, and eject one
+// decode endpoint after another.
 TEST_F(RouterOutlierTest, BrokenStreamsEjectNoDecodeEndpoint) {
     start_router(test_settings(),
                  {prefill_endpoint(1), decode_endpoint(11), decode_endpoint(12), decode_endpoint(13)});
-    int broken = 0;
-    int after = 0;
+    int broken_streams = 0;
+    int sent_after_breaks = 0;
     for (int i = 0; i < 60; ++i) {
         const RequestId id = "s" + std::to_string(i);
         const Millis now = 10 + 20 * i;
@@ -168,17 +170,17 @@
         harness->handle(now + 1, attempt_ended(id, 0, 1, AttemptResult::prefill_done));
         const auto attempts = harness->actions_of<StartAttempt>();
         ASSERT_FALSE(attempts.empty());
-        const bool bad = attempts[0].endpoint == 11;
-        after += bad && broken >= 3;
-        broken += bad;
+        const bool breaks = attempts[0].endpoint == 11;
+        sent_after_breaks += breaks && broken_streams >= 3;
+        broken_streams += breaks;
         harness->handle(now + 2, FirstToken{id, 1, attempts[0].endpoint, 1});
         harness->handle(now + 9, attempt_ended(id, 1, attempts[0].endpoint,
-                                               bad ? AttemptResult::reset : AttemptResult::served, true));
+                                               breaks ? AttemptResult::reset : AttemptResult::served, true));
     }
-    EXPECT_GT(after, 5);
+    EXPECT_GT(sent_after_breaks, 5);
 }
 
-// Guards against streams of very different length that make one decode endpoint after another look slow.
+// Guards against streams of widely varying length that make one decode endpoint after another appear slow.
 TEST_F(RouterOutlierTest, VaryingStreamLengthsMigrateFewStreams) {
     start_router(test_settings(), {prefill_endpoint(1), decode_endpoint(11), decode_endpoint(12),
                                    decode_endpoint(13), decode_endpoint(14)});
@@ -199,28 +201,29 @@
 
 TEST_F(RouterOutlierTest, EjectedEndpointReturnsByOneTrialRequest) {
     start_router(test_settings(), {prefill_endpoint(1), prefill_endpoint(2), decode_endpoint(11)});
-    EndpointId unreachable = arrive("a", 10);
-    harness->handle(12, attempt_ended("a", 0, unreachable, AttemptResult::unreachable));
-    int count = 0;
-    while (arrive("b" + std::to_string(++count), 15) != unreachable) ASSERT_LT(count, 10);
-    harness->handle(20,
-                    attempt_ended("b" + std::to_string(count), 0, unreachable, AttemptResult::unreachable));
-    const Millis later = 20 + 1000 + 1;  // the shortest ejection is the shortest latency objective
+    EndpointId unreachable_id = arrive("a", 10);
+    harness->handle(12, attempt_ended("a", 0, unreachable_id, AttemptResult::unreachable));
+    int request_count = 0;
+    while (arrive("b" + std::to_string(++request_count), 15) != unreachable_id) ASSERT_LT(request_count, 10);
+    harness->handle(20, attempt_ended("b" + std::to_string(request_count), 0, unreachable_id,
+                                      AttemptResult::unreachable));
+    const Millis later = 20 + 1000 + 1;  // the minimum ejection time is the shortest latency objective
     int returned = 0;
-    for (int i = 0; i < 10; ++i) returned += arrive("t" + std::to_string(i), later) == unreachable;
+    for (int i = 0; i < 10; ++i) returned += arrive("t" + std::to_string(i), later) == unreachable_id;
     EXPECT_EQ(returned, 1);
 }
 
-// Endpoints are replaced all the time, under ids that never come again: their records must not pile up.
+// Guards against memory growth: endpoints are replaced continuously under new ids, so the state of removed
+// endpoints must be erased.
 TEST_F(RouterOutlierTest, EjectionIsForgottenAfterALongRemovalFromTheList) {
-    for (const Millis away : {5000.0, 70000.0}) {
+    for (const Millis removed_for : {5000.0, 70000.0}) {
         start_router(test_settings(), {prefill_endpoint(1), prefill_endpoint(2), decode_endpoint(11)});
         for (Millis now = 10; now < 20;) {
             const RequestId id = "a" + std::to_string(now);
-            const EndpointId to = arrive(id, now += 1);
+            const EndpointId target = arrive(id, now += 1);
             harness->handle(
-                now,
-                attempt_ended(id, 0, to, to == 1 ? AttemptResult::unreachable : AttemptResult::prefill_done));
+                now, attempt_ended(id, 0, target,
+                                   target == 1 ? AttemptResult::unreachable : AttemptResult::prefill_done));
             const auto attempts = harness->actions_of<StartAttempt>();
             harness->handle(now, ClientDisconnected{id});
             if (!attempts.empty())
@@ -228,13 +231,13 @@
                                 attempt_ended(id, 1, attempts[0].endpoint, AttemptResult::not_sent, true));
         }
         harness->handle(30, full_list({prefill_endpoint(2), decode_endpoint(11)}));
-        harness->advance_to(30 + away);
-        harness->handle(30 + away,
+        harness->advance_to(30 + removed_for);
+        harness->handle(30 + removed_for,
                         full_list({prefill_endpoint(1), prefill_endpoint(2), decode_endpoint(11)}));
         int returned = 0;
-        for (int i = 0; i < 8; ++i) returned += arrive("t" + std::to_string(i), 40 + away) == 1;
-        if (away > 60000) {
-            EXPECT_GT(returned, 1) << "its failures are forgotten";
+        for (int i = 0; i < 8; ++i) returned += arrive("t" + std::to_string(i), 40 + removed_for) == 1;
+        if (removed_for > 60000) {
+            EXPECT_GT(returned, 1) << "the state of the endpoint was erased";
         } else {
             EXPECT_EQ(returned, 1) << "one trial request at a time";
         }
@@ -245,7 +248,7 @@
 TEST_F(RouterOutlierTest, ShortWaitsBesideAStreamDoNotEjectDecodeEndpoint) {
     start_router(test_settings(),
                  {prefill_endpoint(1), decode_endpoint(11), decode_endpoint(12), decode_endpoint(13)});
-    // A stream, then waits of well under half the latency objective at the same endpoint.
+    // One stream, and then waits of well below half of the latency objective at the same endpoint.
     ASSERT_EQ(arrive("s", 1300), 1u);
     harness->handle(1301, attempt_ended("s", 0, 1, AttemptResult::prefill_done));
     const EndpointId decode_at = harness->actions_of<StartAttempt>().at(0).endpoint;
@@ -269,7 +272,8 @@
     }
     EXPECT_EQ(arrive("b", 100), 0u);
     EXPECT_EQ(harness->actions_of<Reject>().size(), 1u);
-    EXPECT_EQ(arrive("c", 100 + 2001), 1u);  // the longest ejection: two latency objectives
+    EXPECT_EQ(arrive("c", 100 + 2001),
+              1u);  // the maximum ejection time of an unreachable endpoint: two latency objectives
 }
 
 }  // namespace
