--- a/tests/router/router_slow_start_test.cpp
+++ b/tests/router/router_slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Warming endpoints get a smaller share of the requests.
+// Endpoints in slow start get fewer requests than warm ones.
 #include <gtest/gtest.h>
 
 #include <algorithm>
