--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -1,4 +1,4 @@
-// Choice of endpoints without failures: each expected choice is worked out by hand.
+// Endpoint selection without failures. The expected selections are derived by hand.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -11,7 +11,7 @@
 class EndpointChoiceTest : public ::testing::Test {
 protected:
     void start_router(const std::vector<Endpoint>& servers) { harness.handle(0, full_list(servers)); }
-    // The endpoint of the one attempt among the latest actions, 0 if there is none or more than one.
+    // The endpoint of the only attempt in the latest actions, 0 if there is none or more than one.
     EndpointId attempted_endpoint() const {
         const auto attempts = harness.actions_of<StartAttempt>();
         return attempts.size() == 1 ? attempts[0].endpoint : 0;
@@ -33,7 +33,7 @@
 TEST_F(EndpointChoiceTest, PrefillsAreBalancedByMemoryInUse) {
     start_router({prefill_endpoint(1), prefill_endpoint(2), decode_endpoint(11), decode_endpoint(12),
                   decode_endpoint(13), decode_endpoint(14)});
-    // None of them ends: memory in use evens out within the margin of two prompts.
+    // No prefill ends, so memory use balances within the margin of two prompts.
     std::map<EndpointId, int> prefills;
     for (int i = 0; i < 10; ++i) ++prefills[arrive("r" + std::to_string(i), 13 + i, 1000)];
     EXPECT_EQ(prefills[1] + prefills[2], 10);
@@ -42,13 +42,14 @@
 
 TEST_F(EndpointChoiceTest, PrefillGoesToTheLeastReportedMemory) {
     start_router({prefill_endpoint(1), prefill_endpoint(2), decode_endpoint(11)});
-    // Endpoint 1 reports 50,000 of 100,000 tokens in use, endpoint 2 reports 10,000; two prompts are the
-    // margin.
+    // Endpoint 1 reports 50,000 of 100,000 tokens in use, endpoint 2 reports 10,000. The margin is two
+    // prompts.
     for (const EndpointId id : {1u, 2u}) {
         AttemptEnded ended = attempt_ended("gone", 0, id, AttemptResult::prefill_done);
         ended.report.memory_utilization = id == 1 ? 0.5 : 0.1;
         harness.actions.clear();
-        harness.router.handle(5, ended, harness.actions);  // of an unknown request: only its report counts
+        harness.router.handle(
+            5, ended, harness.actions);  // the request is unknown, so only the load report has an effect
     }
     for (int i = 0; i < 4; ++i) EXPECT_EQ(arrive("r" + std::to_string(i), 10 + i), 2u);
 }
@@ -61,7 +62,8 @@
         harness.actions.clear();
         harness.router.handle(5, ended, harness.actions);
     }
-    for (int i = 0; i < 4; ++i) EXPECT_EQ(arrive("r" + std::to_string(i), 10 + i), 2u);  // 3 counts as 0.5
+    for (int i = 0; i < 4; ++i)
+        EXPECT_EQ(arrive("r" + std::to_string(i), 10 + i), 2u);  // endpoint 3 counts as 0.5
 }
 
 TEST_F(EndpointChoiceTest, OwnZoneIsPreferredWithinTheLoadMargin) {
@@ -101,7 +103,7 @@
         harness.handle(10, request);
         endpoints.insert(attempted_endpoint());
     }
-    EXPECT_EQ(endpoints.size(), 1u);  // 1,000 over 300 tokens left to prefill: a margin of 3.3 prompts
+    EXPECT_EQ(endpoints.size(), 1u);  // 1,000 tokens over 300 to process: a margin of 3.3 prompts
 }
 
 TEST_F(EndpointChoiceTest, OwnZoneWithFewPrefillEndpointsSpillsOver) {
@@ -109,7 +111,7 @@
                   decode_endpoint(12), decode_endpoint(13), decode_endpoint(14)});
     std::map<EndpointId, int> prefills;
     for (int i = 0; i < 12; ++i) ++prefills[arrive("r" + std::to_string(i), 10)];
-    EXPECT_GE(prefills[1], 3);  // own zone up to two prompts above the least
+    EXPECT_GE(prefills[1], 3);  // the own zone is used up to two prompts above the lowest load
     EXPECT_LE(prefills[1], 7);
     EXPECT_GE(prefills[2] + prefills[3], 5);
 }
@@ -122,7 +124,7 @@
         arrive(id, 10 + i, 100);
         ++queued[finish_prefill(id, 20 + i, 1)];
     }
-    // Within one of the least counts as a tie, so the counts stay within two of each other.
+    // Queues that are longer by at most one rank equal, so the counts differ by at most two.
     EXPECT_LE(std::abs(queued[11] - queued[12]), 2);
 }
 
@@ -131,9 +133,9 @@
     arrive("a", 10);
     EXPECT_EQ(finish_prefill("a", 20, 1), 12u);
     arrive("b", 11);
-    EXPECT_EQ(finish_prefill("b", 21, 1), 12u);  // 1 against 0 queued is still within one of the least
+    EXPECT_EQ(finish_prefill("b", 21, 1), 12u);  // queues of 1 and 0 still rank equal
     arrive("c", 12);
-    EXPECT_EQ(finish_prefill("c", 22, 1), 11u);  // 2 against 0 is not
+    EXPECT_EQ(finish_prefill("c", 22, 1), 11u);  // queues of 2 and 0 do not
 }
 
 TEST_F(EndpointChoiceTest, DecodeTiesInACellGoToFewestStreams) {
@@ -154,14 +156,14 @@
     done.report.memory_utilization = 0.97;
     harness.handle(30, done);
     arrive("b", 40);
-    EXPECT_EQ(finish_prefill("b", 50, 1), 12u);  // though 11 is in the prefill's cell
+    EXPECT_EQ(finish_prefill("b", 50, 1), 12u);  // although 11 is in the cell of the prefill endpoint
     harness.handle(55, FirstToken{"b", 1, 12, 5});
     done = attempt_ended("b", 1, 12, AttemptResult::served, true);
     done.report.memory_utilization = 0.97;
     harness.handle(60, done);
     arrive("c", 70);
     EXPECT_EQ(finish_prefill("c", 80, 1),
-              11u);  // all are full, so all are candidates: the tie goes to the cell
+              11u);  // all are full, so all are candidates; the cell breaks the tie
 }
 
 TEST_F(EndpointChoiceTest, MixedEndpointPrefillsWhereThereIsNoPrefillEndpoint) {
@@ -180,12 +182,12 @@
     harness.actions.clear();
     harness.router.handle(5, full, harness.actions);
     EXPECT_EQ(arrive("a", 10), 1u);
-    EXPECT_EQ(finish_prefill("a", 20, 1), 21u);  // though 11 is in the prefill's cell
+    EXPECT_EQ(finish_prefill("a", 20, 1), 21u);  // although 11 is in the cell of the prefill endpoint
 }
 
 TEST_F(EndpointChoiceTest, WhereAllDecodeEndpointsAreFullYoungStreamsCount) {
     start_router({prefill_endpoint(1, 0), decode_endpoint(11, 0), decode_endpoint(12, 1)});
-    for (const RequestId id : {"a", "b"}) {  // two streams at 11, in the prefill's cell
+    for (const RequestId id : {"a", "b"}) {  // two streams at 11, in the cell of the prefill endpoint
         arrive(id, 10);
         ASSERT_EQ(finish_prefill(id, 20, 1), 11u);
         harness.handle(25, FirstToken{id, 1, 11, 5});
@@ -197,7 +199,7 @@
         harness.router.handle(30, full, harness.actions);
     }
     arrive("c", 40);
-    EXPECT_EQ(finish_prefill("c", 50, 1), 12u);  // two young streams against none is more than one apart
+    EXPECT_EQ(finish_prefill("c", 50, 1), 12u);  // two young streams against none do not rank equal
 }
 
 TEST_F(EndpointChoiceTest, NoSlotIsReservedAheadOfThePrefill) {
