--- a/tests/router/slow_start_test.cpp
+++ b/tests/router/slow_start_test.cpp
@@ -7,7 +7,7 @@
 namespace gorsenotch::test {
 namespace {
 
-TEST(SlowStart, AWarmEndpointHasNoBudget) {
+TEST(SlowStart, AWarmEndpointIsNotLimited) {
     RouterComponents fleet;
     router::RequestState& request = fleet.add_request("r");
     for (int i = 0; i < 100; ++i) fleet.slow_start.record_send(0, fleet.endpoint(1));
@@ -40,7 +40,7 @@
     RouterComponents fleet;
     router::EndpointState& endpoint = fleet.endpoint(1);
     for (int i = 0; i < 10; ++i) fleet.slow_start.record_send(1000.0 * i, endpoint);
-    EXPECT_EQ(endpoint.sends.recent.size(), 2u) << "of the last 2000 ms";
+    EXPECT_EQ(endpoint.sends.recent.size(), 2u) << "the sends of the last 2,000 ms";
 }
 
 }  // namespace
