--- a/tests/stats/hash_ring_test.cpp
+++ b/tests/stats/hash_ring_test.cpp
@@ -17,9 +17,9 @@
         for (Item& item : items) ring.insert(item.id, &item);
     }
     std::vector<Item*> window(std::uint64_t key, std::size_t limit) const {
-        std::vector<Item*> found;
-        ring.window(key, limit, found);
-        return found;
+        std::vector<Item*> window_items;
+        ring.window(key, limit, window_items);
+        return window_items;
     }
 
     std::vector<Item> items{{30}, {10}, {20}, {50}, {40}};
@@ -33,37 +33,37 @@
     EXPECT_EQ(ids, (std::vector<std::uint64_t>{10, 20, 30, 40, 50}));
 }
 
-TEST_F(HashRingTest, IgnoresASecondItemOfAnIdAndTheErasureOfAnUnknownOne) {
+TEST_F(HashRingTest, IgnoresTheInsertionOfAKnownIdAndTheErasureOfAnUnknownOne) {
     insert_all();
-    Item second{10};
-    ring.insert(10, &second);
+    Item duplicate{10};
+    ring.insert(10, &duplicate);
     ring.erase(99);
     EXPECT_EQ(ring.size(), 5u);
     EXPECT_EQ(ring.by_id()[0], &items[1]);
 }
 
-TEST_F(HashRingTest, AWindowHasEachItemOnce) {
+TEST_F(HashRingTest, AWindowContainsEachItemOnce) {
     insert_all();
     for (std::uint64_t key = 0; key < 50; ++key) {
-        const std::vector<Item*> found = window(key, 100);
-        EXPECT_EQ(std::set<Item*>(found.begin(), found.end()).size(), 5u);
-        EXPECT_EQ(found.size(), 5u);
+        const std::vector<Item*> window_items = window(key, 100);
+        EXPECT_EQ(std::set<Item*>(window_items.begin(), window_items.end()).size(), 5u);
+        EXPECT_EQ(window_items.size(), 5u);
         EXPECT_EQ(window(key, 2).size(), 2u);
     }
 }
 
-TEST_F(HashRingTest, AWindowDoesNotDependOnTheOrderOfInsertion) {
+TEST_F(HashRingTest, AWindowDoesNotDependOnTheInsertionOrder) {
     insert_all();
     HashRing<Item> reversed;
     for (auto item = items.rbegin(); item != items.rend(); ++item) reversed.insert(item->id, &*item);
     for (std::uint64_t key = 0; key < 50; ++key) {
-        std::vector<Item*> found;
-        reversed.window(key, 3, found);
-        EXPECT_EQ(found, window(key, 3));
+        std::vector<Item*> window_items;
+        reversed.window(key, 3, window_items);
+        EXPECT_EQ(window_items, window(key, 3));
     }
 }
 
-TEST_F(HashRingTest, AnErasedItemLeavesTheOthersInPlace) {
+TEST_F(HashRingTest, ErasingAnItemKeepsTheOrderOfTheOthers) {
     insert_all();
     std::vector<Item*> expected = window(7, 5);
     std::erase(expected, &items[0]);
