--- a/src/router/completion_times.cpp
+++ b/src/router/completion_times.cpp
@@ -56,12 +56,12 @@
     by_class_[stage][stage == Stage::prefill ? 0 : class_index(request)].add_completion();
 }
 
-void CompletionTimes::record_stage_end(Millis now, const RequestState& request, bool done) {
+void CompletionTimes::record_stage_end(Millis now, const RequestState& request, bool succeeded) {
     const Stage stage = request.attempt.stage;
     stats::QuantileEstimate& quantile = low_quantile_[static_cast<std::size_t>(stage)];
     const double time_per_unit = (now - request.attempt.sent_at) / stage_work(request, stage);
     // The duration of a failed stage is only a lower bound.
-    if (done || time_per_unit > quantile.value()) quantile.add(time_per_unit);
+    if (succeeded || time_per_unit > quantile.value()) quantile.add(time_per_unit);
 }
 
 void CompletionTimes::decay(Millis elapsed) {
--- a/src/router/completion_times.h
+++ b/src/router/completion_times.h
@@ -29,8 +29,9 @@
     // Adds time spent in the stage, per unit of work.
     void add_time(Stage stage, const RequestState& request, Millis time);
     void add_completion(Stage stage, const RequestState& request);
-    // Records the end of the attempt's stage, which is not Stage::streaming. `done`: the stage succeeded.
-    void record_stage_end(Millis now, const RequestState& request, bool done);
+    // Records the end of the attempt's stage, which is not Stage::streaming. `succeeded`: the stage
+    // completed.
+    void record_stage_end(Millis now, const RequestState& request, bool succeeded);
     void decay(Millis elapsed);
 
 private:
--- a/src/router/fleet_stats.cpp
+++ b/src/router/fleet_stats.cpp
@@ -26,7 +26,7 @@
 }
 
 void FleetStats::record_stage_end(Millis now, const EndpointRegistry& registry, const RequestState& request,
-                                  bool done) {
+                                  bool succeeded) {
     const AttemptState& attempt = request.attempt;
     const bool is_prefill = attempt.stage == Stage::prefill;
     const EndpointState* prefill_endpoint =
@@ -37,7 +37,7 @@
     Cell& cell = cells_[prefill_endpoint->info.cell];
     // Without a load signal, a stage that did not succeed counts as a full latency objective.
     cell.objective_fraction_sum +=
-        done || !no_load_signal()
+        succeeded || !no_load_signal()
             ? std::min(1.0, (now - attempt.sent_at) / latency_objective(settings_, request))
             : 1;
     cell.prefills += is_prefill;
--- a/src/router/fleet_stats.h
+++ b/src/router/fleet_stats.h
@@ -50,7 +50,7 @@
     // Records the duration of a stage in the cell of the prefill endpoint: of prefills in that cell, and of
     // KV-cache transfers from it to another cell.
     void record_stage_end(Millis now, const EndpointRegistry& registry, const RequestState& request,
-                          bool done);
+                          bool succeeded);
     // Refreshes the statistics if a refresh is due: on each tick, or less often in a large fleet. Returns
     // whether it did.
     bool refresh_if_due(Millis now, const EndpointRegistry& registry);
@@ -66,10 +66,12 @@
         double objective_fraction_sum = 0;
         double prefills = 0;
     };
+    // Prefill costs by zone index.
     struct CostsByZone {
         PrefillCost total;
         std::map<int, PrefillCost> zones;
     };
+    // Numbers of healthy endpoints by role.
     struct RoleCounts {
         PerRole<double> listed;
         PerRole<double> available;  // not ejected
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -68,7 +68,7 @@
     RequestState* find_in_flight(const RequestId& id, int attempt);
     void record_attempt_end(EndpointState& endpoint, const RequestState& request, const AttemptEnded& ended);
     void record_possible_run(RequestState& request, const EndpointState* endpoint, const AttemptEnded& ended);
-    void record_stage_end(const RequestState& request, bool done);
+    void record_stage_end(const RequestState& request, bool succeeded);
     void apply_load_report(EndpointState& endpoint, const LoadReport& report);
 
     const Settings settings_;
@@ -227,9 +227,9 @@
     if (!only_prefills) request.possible_run = {ended.endpoint, request.attempt.original_sent_at};
 }
 
-void Router::Impl::record_stage_end(const RequestState& request, bool done) {
-    fleet_stats_.record_stage_end(now_, registry_, request, done);
-    completion_times_.record_stage_end(now_, request, done);
+void Router::Impl::record_stage_end(const RequestState& request, bool succeeded) {
+    fleet_stats_.record_stage_end(now_, registry_, request, succeeded);
+    completion_times_.record_stage_end(now_, request, succeeded);
 }
 
 void Router::Impl::apply_load_report(EndpointState& endpoint, const LoadReport& report) {
