--- a/src/router/decode_selector.h
+++ b/src/router/decode_selector.h
@@ -29,6 +29,7 @@
     EndpointState* choose(Millis now, const RequestState& request, SearchScope scope = SearchScope::window);
 
 private:
+    // An eligible endpoint and the length of its queue.
     struct QueuedEndpoint {
         int queued;
         EndpointState* endpoint;
--- a/src/router/load_shedder.h
+++ b/src/router/load_shedder.h
@@ -24,6 +24,7 @@
     bool should_shed(Millis now, const RequestState& request);
 
 private:
+    // The token bucket of a tenant.
     struct Quota {
         double requests_left = 0;
         Millis updated_at = 0;
--- a/src/stats/hash_ring.h
+++ b/src/stats/hash_ring.h
@@ -12,6 +12,7 @@
 
 namespace gorsenotch::stats {
 
+// Stores pointers to items of any type, ordered by id and by ring position.
 template <class Item>
 class HashRing {
 public:
@@ -50,6 +51,7 @@
     }
 
 private:
+    // An item and its position on the ring.
     struct RingEntry {
         double position;  // in [0, 1)
         Item* item;
--- a/src/stats/uniform_random.h
+++ b/src/stats/uniform_random.h
@@ -8,6 +8,7 @@
 
 namespace gorsenotch::stats {
 
+// A 64-bit Mersenne Twister whose output is mapped to the unit interval.
 class UniformRandom {
 public:
     explicit UniformRandom(std::uint64_t seed) : generator_(seed) {}
