--- a/tests/router/fleet_stats_test.cpp
+++ b/tests/router/fleet_stats_test.cpp
@@ -67,7 +67,7 @@
         const std::string number = std::to_string(i);
         const auto& slow = fleet.send_request("slow" + number, 1, Stage::prefill, 0);
         fleet.fleet_stats.record_stage_end(900, fleet.registry, slow, true);
-        const auto& fast = fleet.send_request("quick" + number, 2, Stage::prefill, 0);
+        const auto& fast = fleet.send_request("fast" + number, 2, Stage::prefill, 0);
         fleet.fleet_stats.record_stage_end(50, fleet.registry, fast, true);
     }
     fleet.fleet_stats.refresh_if_due(1000, fleet.registry);
