--- a/tests/router/large_fleet_test.cpp
+++ b/tests/router/large_fleet_test.cpp
@@ -112,17 +112,17 @@
     // 120 requests per second over finally eleven prefill endpoints: 10.9 each, which is 60% of the capacity
     // of a warm endpoint.
     const double capacity = 120 / 11.0 / 0.6;
-    const double per_ms = 0.12;
+    const double requests_per_ms = 0.12;
     const auto& settings = fleet.settings;
-    const Millis started = 5000;
-    const Millis warm = started + settings.slow_start_duration;
-    const Millis end = warm + 5000;
+    const Millis start_time = 5000;
+    const Millis warm_time = start_time + settings.slow_start_duration;
+    const Millis end = warm_time + 5000;
     int next = 0;
     bool is_listed = false;
-    for (Millis now = 10; now < end; now += 1 / per_ms) {
-        if (now >= started && !is_listed) {
+    for (Millis now = 10; now < end; now += 1 / requests_per_ms) {
+        if (now >= start_time && !is_listed) {
             Endpoint endpoint = prefill_endpoint(50);
-            endpoint.started_at = started;
+            endpoint.started_at = start_time;
             fleet.add(endpoint, now);
             is_listed = true;
             for (int i = 0; GetParam().mass_restart && i < gateways; ++i) {
@@ -143,11 +143,11 @@
             static_cast<double>(i - window_start + 1),
             settings.overload_factor * settings.initial_capacity * capacity * settings.overload_window / 1000)
             << "at " << at[i];
-        if (at[i] > warm) break;
+        if (at[i] > warm_time) break;
         ++in_warm_up;
     }
     EXPECT_GT(in_warm_up, 20u);                  // a warm endpoint would get 109
-    EXPECT_GT(at.size() - in_warm_up, 54u / 2);  // it gets at least half of its share after the slow start
+    EXPECT_GT(at.size() - in_warm_up, 54u / 2);  // more than half of its share after the slow start
     EXPECT_EQ(fleet.violations(), std::vector<std::string>{});
 }
 INSTANTIATE_TEST_SUITE_P(Gateways, SlowStartOfManyGatewaysTest,
@@ -226,8 +226,8 @@
               prefill_endpoint(5, 1), decode_endpoint(101, 0), decode_endpoint(102, 1),
               decode_endpoint(103, 1), decode_endpoint(104, 1), decode_endpoint(105, 1)});
     for (int i = 0; i < 400; ++i) fleet.serve(i % 100, 10 + 10.0 * i, static_cast<std::uint64_t>(i) + 1);
-    EXPECT_LT(fleet.sent[1],
-              220);  // 400 if all stayed in the own zone; 160 at a fifth of the endpoints and two zones
+    // All requests in the own zone would be 400; a fifth of the endpoints serving two zones would be 160.
+    EXPECT_LT(fleet.sent[1], 220);
     EXPECT_GT(fleet.sent[1], 100);  // the own zone is still preferred
 }
 
@@ -420,12 +420,12 @@
     std::iota(all.begin(), all.end(), 0);
     const std::vector<int> failed_gateways = send_through_gateways(all, 10, 0);
     ASSERT_GT(failed_gateways.size(), 15u);
-    EXPECT_EQ(send_through_gateways(failed_gateways, 9100, 0).size(),
-              0u);  // the endpoint's ejection has ended, that of the class has not
+    // At 9.1 s the endpoint's ejection has ended, that of the class has not.
+    EXPECT_EQ(send_through_gateways(failed_gateways, 9100, 0).size(), 0u);
     EXPECT_GT(send_through_gateways(failed_gateways, 12000, 1).size(), 3u);  // the other class is not ejected
     EXPECT_EQ(send_through_gateways(failed_gateways, 15000, 0).size(), 0u);
-    EXPECT_GT(send_through_gateways(failed_gateways, 31000, 0).size(),
-              3u);  // the ejection of the class has ended
+    // By 31 s the ejection of the class has ended.
+    EXPECT_GT(send_through_gateways(failed_gateways, 31000, 0).size(), 3u);
 }
 
 // Guards against retry storms after the start of many gateways, whose initial retry budgets add up.
@@ -452,8 +452,7 @@
     EXPECT_TRUE(minimal.serve(0, 10, 1));
     Fleet no_decode(200, {prefill_endpoint(1), prefill_endpoint(2)});
     EXPECT_FALSE(no_decode.serve(0, 10, 1));
-    Fleet other_zone_only(200,
-                          {prefill_endpoint(1, 1), decode_endpoint(101, 1)});  // no endpoint in the own zone
+    Fleet other_zone_only(200, {prefill_endpoint(1, 1), decode_endpoint(101, 1)});  // own zone empty
     EXPECT_TRUE(other_zone_only.serve(0, 10, 1));
     for (Fleet* fleet : {&empty, &minimal, &no_decode, &other_zone_only}) {
         EXPECT_EQ(fleet->violations(), std::vector<std::string>{});
