--- a/tests/router/router_endpoint_list_test.cpp
+++ b/tests/router/router_endpoint_list_test.cpp
@@ -14,9 +14,8 @@
     endpoint.status = EndpointStatus::draining;
     harness->handle(5, EndpointUpdate{EndpointUpdate::Kind::incremental, {endpoint}});
     for (int i = 0; i < 6; ++i) EXPECT_EQ(arrive("a" + std::to_string(i), 10 + i), 2u);
-    harness->handle(
-        20, full_list({prefill_endpoint(1),
-                       decode_endpoint(11)}));  // endpoint 2 is missing from a full list, so it is removed
+    // Endpoint 2 is missing from a full list, so it is removed.
+    harness->handle(20, full_list({prefill_endpoint(1), decode_endpoint(11)}));
     EXPECT_EQ(arrive("z", 30), 1u);
 }
 
