--- a/tests/router/router_final_answer_test.cpp
+++ b/tests/router/router_final_answer_test.cpp
@@ -101,12 +101,12 @@
 TEST_F(RouterFinalAnswerTest, EventsOfUnknownRequestsAndEndpointsAreIgnored) {
     start_router(test_settings(), {prefill_endpoint(1), decode_endpoint(11)});
     harness->actions.clear();
-    harness->router.handle(1, attempt_ended("nobody", 0, 1, AttemptResult::served, true), harness->actions);
-    harness->router.handle(1, attempt_ended("nobody", 0, 999, AttemptResult::reset), harness->actions);
-    harness->router.handle(1, FirstToken{"nobody", 0, 1, 1}, harness->actions);
-    harness->router.handle(1, ReservationReply{"nobody", 1, true}, harness->actions);
+    harness->router.handle(1, attempt_ended("unknown", 0, 1, AttemptResult::served, true), harness->actions);
+    harness->router.handle(1, attempt_ended("unknown", 0, 999, AttemptResult::reset), harness->actions);
+    harness->router.handle(1, FirstToken{"unknown", 0, 1, 1}, harness->actions);
+    harness->router.handle(1, ReservationReply{"unknown", 1, true}, harness->actions);
     harness->router.handle(1, HealthCheckResult{999, true, 1, {}}, harness->actions);
-    harness->router.handle(1, ClientDisconnected{"nobody"}, harness->actions);
+    harness->router.handle(1, ClientDisconnected{"unknown"}, harness->actions);
     harness->router.handle(1, TimerFired{12345}, harness->actions);
     EXPECT_TRUE(harness->actions.empty());
 }
