--- a/tests/router/router_kv_lease_test.cpp
+++ b/tests/router/router_kv_lease_test.cpp
@@ -24,8 +24,8 @@
     const EndpointId prefill_at = arrive("a", 10);
     harness->handle(20, attempt_ended("a", 0, prefill_at, AttemptResult::prefill_done));
     AttemptEnded fetch_failed = attempt_ended("a", 1, 11, AttemptResult::rejected);
-    fetch_failed.detail =
-        1;  // the decode endpoint could not fetch the KV cache, which may still be at the prefill endpoint
+    // The decode endpoint could not fetch the KV cache, which may still be at the prefill endpoint.
+    fetch_failed.detail = 1;
     harness->handle(30, fetch_failed);
     EXPECT_EQ(harness->actions_of<ReleaseLease>().size(), 1u);
     EXPECT_EQ(harness->actions_of<StartAttempt>().size(), 1u);  // the repeated prefill
