--- a/tests/router/router_outlier_test.cpp
+++ b/tests/router/router_outlier_test.cpp
@@ -54,11 +54,11 @@
         serve("w" + std::to_string(i), 10 + 20 * i);
     }
     harness->advance_to(899);
-    const EndpointId hung = arrive("stuck", 900);
+    const EndpointId hung = arrive("hung", 900);
     harness->advance_to(1600);  // within the latency objective of a second
     const auto stops = harness->actions_of<StopAttempt>();
     ASSERT_EQ(stops.size(), 1u);
-    harness->handle(1601, attempt_ended("stuck", 0, hung, AttemptResult::cancelled));
+    harness->handle(1601, attempt_ended("hung", 0, hung, AttemptResult::cancelled));
     ASSERT_EQ(harness->actions_of<StartAttempt>().size(), 1u);
     EXPECT_NE(harness->actions_of<StartAttempt>()[0].endpoint, hung);
 }
@@ -77,8 +77,8 @@
     harness->advance_to(899);
     std::map<RequestId, EndpointId> endpoint_of;
     for (int i = 0; i < 4; ++i) endpoint_of["p" + std::to_string(i)] = arrive("p" + std::to_string(i), 900);
-    harness->handle(2900, ClientDisconnected{"nobody"});  // the first event after the stall
-    harness->advance_to(2901);                            // then all timers that became due during the stall
+    harness->handle(2900, ClientDisconnected{"unknown"});  // the first event after the stall
+    harness->advance_to(2901);                             // then all timers that became due during the stall
     EXPECT_TRUE(harness->actions_of<StopAttempt>().empty());
     for (const auto& [id, endpoint] : endpoint_of) {
         harness->handle(2902, attempt_ended(id, 0, endpoint, AttemptResult::prefill_done));
@@ -272,8 +272,8 @@
     }
     EXPECT_EQ(arrive("b", 100), 0u);
     EXPECT_EQ(harness->actions_of<Reject>().size(), 1u);
-    EXPECT_EQ(arrive("c", 100 + 2001),
-              1u);  // the maximum ejection time of an unreachable endpoint: two latency objectives
+    // The maximum ejection time of an unreachable endpoint is two latency objectives.
+    EXPECT_EQ(arrive("c", 100 + 2001), 1u);
 }
 
 }  // namespace
