--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -45,7 +45,7 @@
     // Endpoint 1 reports 50,000 of 100,000 tokens in use, endpoint 2 reports 10,000. The margin is two
     // prompts.
     for (const EndpointId id : {1u, 2u}) {
-        AttemptEnded ended = attempt_ended("gone", 0, id, AttemptResult::prefill_done);
+        AttemptEnded ended = attempt_ended("unknown", 0, id, AttemptResult::prefill_done);
         ended.report.memory_utilization = id == 1 ? 0.5 : 0.1;
         harness.actions.clear();
         harness.router.handle(
@@ -57,7 +57,7 @@
 TEST_F(EndpointChoiceTest, PrefillEndpointWithoutAReportCountsAsAverage) {
     start_router({prefill_endpoint(1), prefill_endpoint(2), prefill_endpoint(3), decode_endpoint(11)});
     for (const EndpointId id : {1u, 2u}) {
-        AttemptEnded ended = attempt_ended("gone", 0, id, AttemptResult::prefill_done);
+        AttemptEnded ended = attempt_ended("unknown", 0, id, AttemptResult::prefill_done);
         ended.report.memory_utilization = id == 1 ? 0.9 : 0.1;
         harness.actions.clear();
         harness.router.handle(5, ended, harness.actions);
@@ -162,8 +162,8 @@
     done.report.memory_utilization = 0.97;
     harness.handle(60, done);
     arrive("c", 70);
-    EXPECT_EQ(finish_prefill("c", 80, 1),
-              11u);  // all are full, so all are candidates; the cell breaks the tie
+    // All are full, so all are candidates. The tie goes to the cell of the prefill endpoint.
+    EXPECT_EQ(finish_prefill("c", 80, 1), 11u);
 }
 
 TEST_F(EndpointChoiceTest, MixedEndpointPrefillsWhereThereIsNoPrefillEndpoint) {
@@ -177,7 +177,7 @@
     Endpoint mixed = decode_endpoint(21, 1);
     mixed.kind = 2;
     start_router({prefill_endpoint(1), decode_endpoint(11), mixed});
-    AttemptEnded full = attempt_ended("gone", 0, 11, AttemptResult::served);
+    AttemptEnded full = attempt_ended("unknown", 0, 11, AttemptResult::served);
     full.report.memory_utilization = 0.97;
     harness.actions.clear();
     harness.router.handle(5, full, harness.actions);
@@ -193,7 +193,7 @@
         harness.handle(25, FirstToken{id, 1, 11, 5});
     }
     for (const EndpointId id : {11u, 12u}) {
-        AttemptEnded full = attempt_ended("gone", 0, id, AttemptResult::served);
+        AttemptEnded full = attempt_ended("unknown", 0, id, AttemptResult::served);
         full.report.memory_utilization = 0.97;
         harness.actions.clear();
         harness.router.handle(30, full, harness.actions);
