--- a/src/router/completion_times.h
+++ b/src/router/completion_times.h
@@ -28,6 +28,7 @@
 
     // Adds time spent in the stage, per unit of work.
     void add_time(Stage stage, const RequestState& request, Millis time);
+    // Counts a completion of the stage.
     void add_completion(Stage stage, const RequestState& request);
     // Records the end of the attempt's stage, which is not Stage::streaming. `succeeded`: the stage
     // completed.
--- a/src/router/endpoint_registry.h
+++ b/src/router/endpoint_registry.h
@@ -29,8 +29,8 @@
     void apply(Millis now, const EndpointUpdate& update);
     // Returns whether the report contains a memory utilization.
     bool apply_load_report(Millis now, EndpointState& endpoint, const LoadReport& report) const;
-    // Erases endpoints that were removed more than kRemovedEndpointRetentionMs ago and have no attempt in
-    // flight. Without it memory use would grow with every endpoint ever listed.
+    // Erases removed endpoints that were last listed more than kRemovedEndpointRetentionMs ago and have no
+    // attempt in flight. Otherwise memory use would grow with every endpoint ever listed.
     void erase_removed(Millis now);
 
     // Returns nullptr for an unknown endpoint.
@@ -47,6 +47,7 @@
     const EndpointRing& with_role(Role role) const { return healthy_by_role_[role]; }
     // Healthy endpoints of the roles decode and mixed.
     const EndpointRing& decode_capable() const { return decode_capable_; }
+    // Healthy endpoints of these roles in the cell.
     const std::vector<EndpointState*>& decode_capable_in(std::uint64_t cell) const;
     // KV cache size of the endpoint, in tokens.
     double memory_capacity(const EndpointState& endpoint) const;
--- a/src/router/fleet_stats.h
+++ b/src/router/fleet_stats.h
@@ -31,6 +31,7 @@
     double prefill_weight(const EndpointState& endpoint) const {
         return low_sample_rate() ? cell(endpoint.info.cell).weight : 1;
     }
+    // Moving averages over the recent arrivals.
     double typical_prompt_tokens() const { return typical_prompt_tokens_; }
     double typical_uncached_kilotokens() const { return typical_uncached_kilotokens_; }
 
--- a/src/router/prefix_affinity.h
+++ b/src/router/prefix_affinity.h
@@ -20,6 +20,7 @@
     PrefixAffinity(const FleetStats& fleet_stats, std::uint64_t seed)
         : fleet_stats_(fleet_stats), seed_(seed) {}
 
+    // Counts the arrival under its shared prefix.
     void record_arrival(const RequestState& request);
     void decay(Millis elapsed);
 
