--- a/src/router/completion_times.cpp
+++ b/src/router/completion_times.cpp
@@ -7,8 +7,8 @@
 
 namespace gorsenotch::router {
 
-// Priors: a prefill of 1,000 tokens takes what the latency objective allows for them, a wait for the first
-// token a twelfth of the objective, a stream 100 tokens at half the wanted pace.
+// Priors: the latency objective per 1,000 tokens for a prefill of 1,000 tokens, a twelfth of the latency
+// objective for the wait for the first token, and 100 tokens at half the inter-token objective for a stream.
 CompletionTimes::CompletionTimes(const Settings& settings)
     : low_quantile_{stats::QuantileEstimate(kLowQuantile, kQuantileStep, 1),
                     stats::QuantileEstimate(kLowQuantile, kQuantileStep, 1)} {
@@ -16,10 +16,10 @@
         const Millis objective = class_settings.latency_objective;
         const Millis per_1000_tokens = class_settings.latency_objective_per_1000_tokens;
         by_class_[Stage::prefill].emplace_back(per_1000_tokens > 0 ? per_1000_tokens : objective / 20,
-                                               kPriorWeight);
-        by_class_[Stage::decode_queued].emplace_back(objective / 12, kPriorWeight);
+                                               kPriorCompletions);
+        by_class_[Stage::decode_queued].emplace_back(objective / 12, kPriorCompletions);
         by_class_[Stage::streaming].emplace_back(
-            std::max(50 * class_settings.inter_token_objective, objective), kPriorWeight);
+            std::max(50 * class_settings.inter_token_objective, objective), kPriorCompletions);
     }
     low_quantile_ = {
         stats::QuantileEstimate(kLowQuantile, kQuantileStep, by_class_[Stage::prefill][0].prior()),
@@ -38,37 +38,38 @@
     return mean(stage, request) * request.attempt.work_units;
 }
 
-// Guards against attempts that hang at a few endpoints and lengthen the mean, but not the low quantile. Where
-// no endpoint responds the mean is used. May do harm where durations differ much: the estimate is too short
-// for the longer ones.
+// Attempts that hang at a few endpoints raise the mean but not the low quantile, which therefore bounds the
+// result. The mean is used while nothing completes. Drawback: where durations vary widely, the estimate is
+// too short for the longer ones.
 Millis CompletionTimes::typical(Stage stage, const RequestState& request) const {
-    const stats::CompletionTime& time = estimate(stage, request);
-    if (time.completed() < 1) return time.value();
+    const stats::CompletionTime& completion_time = estimate(stage, request);
+    if (completion_time.completed() < 1) return completion_time.value();
     const double quantile = low_quantile(stage) * (stage == Stage::prefill ? 1 : stage_work(request, stage));
-    return std::min(time.value(), kTypicalQuantiles * quantile);
+    return std::min(completion_time.value(), kMaxTypicalToLowQuantileRatio * quantile);
 }
 
-void CompletionTimes::add_time(Stage stage, const RequestState& request, Millis time) {
-    by_class_[stage][stage == Stage::prefill ? 0 : class_index(request)].add_time(time);
+void CompletionTimes::add_time(Stage stage, const RequestState& request, Millis duration) {
+    by_class_[stage][stage == Stage::prefill ? 0 : class_index(request)].add_time(duration);
 }
 
 void CompletionTimes::add_completion(Stage stage, const RequestState& request) {
     by_class_[stage][stage == Stage::prefill ? 0 : class_index(request)].add_completion();
 }
 
-void CompletionTimes::record_stage_end(Millis now, const RequestState& request, bool done) {
+void CompletionTimes::record_stage_end(Millis now, const RequestState& request, bool succeeded) {
     const Stage stage = request.attempt.stage;
     stats::QuantileEstimate& quantile = low_quantile_[static_cast<std::size_t>(stage)];
-    const double took = (now - request.attempt.sent_at) / stage_work(request, stage);
-    // A failed stage shows only that it would have taken longer.
-    if (done || took > quantile.value()) quantile.add(took);
+    const double time_per_unit = (now - request.attempt.sent_at) / stage_work(request, stage);
+    // The duration of a failed stage is only a lower bound.
+    if (succeeded || time_per_unit > quantile.value()) quantile.add(time_per_unit);
 }
 
 void CompletionTimes::decay(Millis elapsed) {
-    const double keep = std::exp(-elapsed / kCompletionSpan);
-    const double slow_keep = std::exp(-elapsed / kCompletionSpan / 10);
+    const double decay_factor = std::exp(-elapsed / kCompletionTimeConstantMs);
+    const double slow_decay_factor = std::exp(-elapsed / kCompletionTimeConstantMs / 10);
     for (const Stage stage : kStages) {
-        for (stats::CompletionTime& time : by_class_[stage]) time.decay(keep, slow_keep);
+        for (stats::CompletionTime& completion_time : by_class_[stage])
+            completion_time.decay(decay_factor, slow_decay_factor);
     }
 }
 
--- a/src/router/fleet_stats.cpp
+++ b/src/router/fleet_stats.cpp
@@ -19,14 +19,14 @@
 }
 
 void FleetStats::record_arrival(const RequestState& request) {
-    // The mean of the first arrivals, then a moving average.
+    // The mean of the first arrivals, then an exponential moving average.
     const double weight = static_cast<double>(std::min(request.serial, kTypicalPromptArrivals));
     typical_prompt_tokens_ += (request.arrival.prompt_tokens - typical_prompt_tokens_) / weight;
     typical_uncached_kilotokens_ += (uncached_kilotokens(request) - typical_uncached_kilotokens_) / weight;
 }
 
 void FleetStats::record_stage_end(Millis now, const EndpointRegistry& registry, const RequestState& request,
-                                  bool done) {
+                                  bool succeeded) {
     const AttemptState& attempt = request.attempt;
     const bool is_prefill = attempt.stage == Stage::prefill;
     const EndpointState* prefill_endpoint =
@@ -35,16 +35,16 @@
     if (!prefill_endpoint || !endpoint) return;
     if (!is_prefill && prefill_endpoint->info.cell == endpoint->info.cell) return;
     Cell& cell = cells_[prefill_endpoint->info.cell];
-    // Without a load signal an abandoned stage counts as a complete objective.
-    cell.objective_spent +=
-        done || !no_load_signal()
+    // Without a load signal, a stage that did not succeed counts as a full latency objective.
+    cell.objective_fraction_sum +=
+        succeeded || !no_load_signal()
             ? std::min(1.0, (now - attempt.sent_at) / latency_objective(settings_, request))
             : 1;
     cell.prefills += is_prefill;
 }
 
-// Guards against a cost of an idle gateway that grows with the fleet. May do harm by baseline rates that are
-// outdated by some ticks.
+// In a large fleet the statistics are refreshed only every few ticks, so that the CPU time of an idle gateway
+// does not grow with the fleet. Drawback: the baseline rates are a few ticks old.
 bool FleetStats::refresh_if_due(Millis now, const EndpointRegistry& registry) {
     if (now < refresh_due_at_) return false;
     refresh(now, registry, now - refreshed_at_);
@@ -70,24 +70,24 @@
 }
 
 FleetStats::CostsByZone FleetStats::decay_cells(Millis elapsed) {
-    const double keep = std::exp(-elapsed / kCompletionSpan / 3);
+    const double decay_factor = std::exp(-elapsed / kCompletionTimeConstantMs / 3);
     CostsByZone costs;
     for (auto& [id, cell] : cells_) {
-        cell.objective_spent *= keep;
-        cell.prefills *= keep;
+        cell.objective_fraction_sum *= decay_factor;
+        cell.prefills *= decay_factor;
         cell.prefill_share = 0;
         cell.decode_share = 0;
-        costs.total.objective_spent += cell.objective_spent;
+        costs.total.objective_fraction_sum += cell.objective_fraction_sum;
         costs.total.prefills += cell.prefills;
         PrefillCost& zone = costs.zones[cell.zone];
-        zone.objective_spent += cell.objective_spent;
+        zone.objective_fraction_sum += cell.objective_fraction_sum;
         zone.prefills += cell.prefills;
     }
     return costs;
 }
 
-// Counts endpoints by role, and by cell in its shares, which are normalized later. By the list, not by
-// health, so that gateways agree on the shares.
+// Counts the endpoints by role, and by cell in the shares of the cell, which are normalized later. The shares
+// count all listed endpoints whatever their health, so that all gateways compute the same shares.
 FleetStats::RoleCounts FleetStats::count_endpoints(Millis now, const EndpointRegistry& registry) {
     RoleCounts counts;
     for (const auto& [id, endpoint] : registry.endpoints()) {
@@ -109,36 +109,38 @@
 
 void FleetStats::update_rates(const RoleCounts& counts, Millis elapsed) {
     for (const Role role : kRoles) {
-        baseline_rate_[role] *= std::exp(-elapsed / kCompletionSpan / 10);
+        baseline_rate_[role] *= std::exp(-elapsed / kCompletionTimeConstantMs / 10);
         if (counts.warm[role] > 0)
             baseline_rate_[role] = std::max(baseline_rate_[role], counts.send_rate[role] / counts.warm[role]);
         if (counts.listed[role] > 0) available_fraction_[role] = counts.available[role] / counts.listed[role];
     }
 }
 
-// A cell's weight rises with its decode endpoints and falls with the part of their objectives that prefills
-// there took recently. Guards against overloaded cells and zones.
+// The weight of a cell increases with its number of decode endpoints and decreases with the fraction of the
+// latency objective that its prefills took recently. Prevents overload of single cells and zones.
 void FleetStats::update_cell_weights(const RoleCounts& counts, CostsByZone& costs) {
     const double prefill_endpoints = counts.listed[Role::prefill];
     const double decode_endpoints = counts.listed[Role::decode] + counts.listed[Role::mixed];
     const double mean_cost =
-        costs.total.prefills > 0 ? costs.total.objective_spent / costs.total.prefills : 0;
-    // A cell without prefills is assumed to be as its zone, and a zone without any to be fast: otherwise a
-    // gateway whose own zone is overloaded never tries another one.
+        costs.total.prefills > 0 ? costs.total.objective_fraction_sum / costs.total.prefills : 0;
+    // A cell without samples gets the cost of its zone, and a zone without samples is assumed to be fast.
+    // Otherwise a gateway in an overloaded zone would never try another zone.
     const double assumed_cost = kCellPriorPrefills * std::min(mean_cost, kUnknownZoneObjectiveFraction);
     double total_share = 0;
     for (auto& [id, cell] : cells_) {
         cell.decode_share /= std::max(1.0, decode_endpoints);
         if (cell.prefill_share <= 0) continue;
-        const PrefillCost& zone = costs.zones[cell.zone];  // none yet in a new zone
-        const double zone_cost = (zone.objective_spent + assumed_cost) / (zone.prefills + kCellPriorPrefills);
-        const double cell_cost =
-            (cell.objective_spent + kCellPriorPrefills * zone_cost) / (cell.prefills + kCellPriorPrefills);
-        const double by_decode_endpoints =
+        const PrefillCost& zone = costs.zones[cell.zone];  // empty for a new zone
+        const double zone_cost =
+            (zone.objective_fraction_sum + assumed_cost) / (zone.prefills + kCellPriorPrefills);
+        const double cell_cost = (cell.objective_fraction_sum + kCellPriorPrefills * zone_cost) /
+                                 (cell.prefills + kCellPriorPrefills);
+        const double decode_endpoint_factor =
             0.5 + 0.5 * cell.decode_share * prefill_endpoints / cell.prefill_share;
-        const double by_cost = (kCalmObjectiveFraction + mean_cost) / (kCalmObjectiveFraction + cell_cost);
-        cell.weight = std::clamp(by_decode_endpoints, 1 / kMaxCellWeightChange, kMaxCellWeightChange) *
-                      std::clamp(by_cost, kMinCellCostFactor, kMaxCellCostFactor);
+        const double cost_factor =
+            (kCellCostOffsetFraction + mean_cost) / (kCellCostOffsetFraction + cell_cost);
+        cell.weight = std::clamp(decode_endpoint_factor, 1 / kMaxCellWeightFactor, kMaxCellWeightFactor) *
+                      std::clamp(cost_factor, kMinCellCostFactor, kMaxCellCostFactor);
         cell.prefill_share *= cell.weight;
         total_share += cell.prefill_share;
     }
--- a/src/router/request_dispatcher.cpp
+++ b/src/router/request_dispatcher.cpp
@@ -13,15 +13,15 @@
         return finish_with(now, request, EndCause::attempts_exhausted);
     if (request.possible_run && class_of(settings, request).idempotency == Idempotency::unsafe)
         return finish_with(now, request, EndCause::may_have_run);
-    // Each attempt beyond one prefill and one decode is a retry.
-    if (request.attempt_count > (request.lease_held ? 1 : 0)) {
+    // Every attempt beyond one prefill and one decode is a retry.
+    if (request.attempt_count > (request.has_kv_lease ? 1 : 0)) {
         if (!services_.retry_budget.available()) return finish_with(now, request, EndCause::retry_budget);
         services_.retry_budget.spend();
     }
     EndpointState* prefill_endpoint =
-        request.lease_held ? nullptr : services_.prefill_selector.choose(now, request);
+        request.has_kv_lease ? nullptr : services_.prefill_selector.choose(now, request);
     if (prefill_endpoint) return start_attempt(now, request, *prefill_endpoint, Stage::prefill);
-    EndpointState* decode_endpoint = request.lease_held || settings.local_prefill
+    EndpointState* decode_endpoint = request.has_kv_lease || settings.local_prefill
                                          ? services_.decode_selector.choose(now, request)
                                          : nullptr;
     if (!decode_endpoint) return finish_with(now, request, EndCause::no_endpoint);
@@ -30,12 +30,13 @@
     start_attempt(now, request, *decode_endpoint, Stage::decode_queued);
 }
 
-// Guards against decode endpoints busy with late answers, which are worth little: a prefilled request that
-// would miss its objective is ended while others wait. May do harm where late answers are worth much.
+// Late answers have little value, so while other requests wait, a prefilled request that would miss its
+// latency objective is ended instead of occupying a decode endpoint. Drawback: rejects requests whose late
+// answers would be valuable.
 bool RequestDispatcher::would_be_late(Millis now, const RequestState& request,
                                       const EndpointState& decode_endpoint) const {
     const int queued = decode_endpoint.load.in_flight[Stage::decode_queued];
-    if (!request.lease_held || request.arrival.resumed || queued <= 1) return false;
+    if (!request.has_kv_lease || request.arrival.resumed || queued <= 1) return false;
     const Millis per_request = services_.completion_times.mean(Stage::decode_queued, request);
     return now - request.arrived_at + per_request * (queued + 1) >
            latency_objective(services_.settings, request);
@@ -47,7 +48,7 @@
     services_.slow_start.record_send(now, endpoint);
     const Millis send_by = std::min(request.arrival.deadline, services_.eligibility.retry_deadline(request));
     services_.actions.emit(StartAttempt{request.arrival.request, endpoint.info.id,
-                                        services_.attempt_timeout.of_attempt(now, request), send_by});
+                                        services_.attempt_timeout.compute(now, request), send_by});
 }
 
 void RequestDispatcher::finish_with(Millis now, RequestState& request, EndCause cause) {
@@ -64,10 +65,10 @@
     }
     request.answered = true;
     request.closed = true;
-    release(request);
+    cancel_or_erase(request);
 }
 
-// An attempt in flight may run, a prefill too.
+// An attempt in flight may run, even if it is a prefill.
 bool RequestDispatcher::is_safe_to_retry(const RequestState& request) const {
     const ClassSettings& class_settings = class_of(services_.settings, request);
     if (!request.possible_run && !request.attempt.in_flight) return true;
@@ -82,14 +83,14 @@
     return false;
 }
 
-void RequestDispatcher::release(RequestState& request) {
-    if (!request.attempt.in_flight) return forget(request);
+void RequestDispatcher::cancel_or_erase(RequestState& request) {
+    if (!request.attempt.in_flight) return release_and_erase(request);
     if (services_.settings.cancellation && !request.attempt.cancelled &&
         request.attempt.stage != Stage::streaming)
         cancel_attempt(request);
 }
 
-void RequestDispatcher::forget(RequestState& request) {
+void RequestDispatcher::release_and_erase(RequestState& request) {
     if (request.attempt_count > 0 && request.attempt.stage != Stage::streaming)
         services_.actions.emit(ReleaseLease{request.arrival.request});
     services_.in_flight_requests.erase(request);
@@ -106,8 +107,8 @@
         AttemptState& attempt = request.attempt;
         if (!attempt.in_flight || attempt.cancelled || attempt.endpoint != endpoint.info.id) continue;
         if (!services_.retry_budget.available()) continue;
-        // A prefill at a slow endpoint is restarted only while it can meet its objective, as its work is
-        // lost; one at a silent endpoint always.
+        // A migrated prefill loses its work. At a slow endpoint it is migrated only while it can still meet
+        // its latency objective, at an unresponsive endpoint always.
         const Millis latest = kMigratableObjectiveFraction * latency_objective(settings, request);
         if (attempt.stage == Stage::prefill && endpoint.health.last_success >= attempt.sent_at &&
             now - attempt.sent_at > latest)
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -1,5 +1,5 @@
-// Creates the components of a Router and dispatches events to them. Its interface:
-// include/gorsenotch/router.h, with settings.h, events.h and actions.h beside it.
+// Creates the components of a Router and dispatches events to them. The public interface is in
+// include/gorsenotch/: router.h, settings.h, events.h and actions.h.
 #include "gorsenotch/router.h"
 
 #include <algorithm>
@@ -32,8 +32,8 @@
 
 using namespace router;
 
-// Owns all components and the time of the event being handled. The components refer to each other, so an Impl
-// is neither copied nor moved.
+// Owns all components and the time of the event being handled. The components hold references to each other,
+// so an Impl can be neither copied nor moved.
 class Router::Impl {
 public:
     Impl(const Settings& settings, std::uint64_t seed) : settings_(validated(settings)), seed_(seed) {}
@@ -57,7 +57,7 @@
     void on(const Arrival& arrival);
     void on(const AttemptEnded& ended);
     void on(const FirstToken& first_token);
-    void on(const ReservationReply&) {}  // the Router reserves no slots
+    void on(const ReservationReply&) {}  // the Router never reserves slots
     void on(const ClientDisconnected& disconnected);
     void on(const EndpointUpdate& update);
     void on(const HealthCheckResult& result);
@@ -68,7 +68,7 @@
     RequestState* find_in_flight(const RequestId& id, int attempt);
     void record_attempt_end(EndpointState& endpoint, const RequestState& request, const AttemptEnded& ended);
     void record_possible_run(RequestState& request, const EndpointState* endpoint, const AttemptEnded& ended);
-    void record_stage_end(const RequestState& request, bool done);
+    void record_stage_end(const RequestState& request, bool succeeded);
     void apply_load_report(EndpointState& endpoint, const LoadReport& report);
 
     const Settings settings_;
@@ -129,23 +129,24 @@
     const bool no_kv_cache = ended.result == AttemptResult::rejected && ended.detail == 1;
     if (request.attempt.stage != Stage::streaming) record_stage_end(request, prefill_done);
     if (endpoint) record_attempt_end(*endpoint, request, ended);
-    // A stream whose client disconnected as it began, and that needs an answer after all.
+    // The client disconnected as its stream began, but the host reports the request as still open: it needs a
+    // final answer.
     if (!ended.request_closed && request.attempt.stage == Stage::streaming && request.closed &&
         !request.answered)
         request.closed = false;
     in_flight_requests_.end_attempt(request);
     record_possible_run(request, endpoint, ended);
-    if (no_kv_cache) in_flight_requests_.set_lease_held(request, false);
+    if (no_kv_cache) in_flight_requests_.set_kv_lease(request, false);
     if (prefill_done) {
         request.prefill_endpoint = ended.endpoint;
-        in_flight_requests_.set_lease_held(request, true);
+        in_flight_requests_.set_kv_lease(request, true);
     }
     if (ended.request_closed) request.closed = true;
-    if (request.closed) return dispatcher_.forget(request);
+    if (request.closed) return dispatcher_.release_and_erase(request);
     if (!prefill_done && !no_kv_cache) request.failed_endpoints.push_back(ended.endpoint);
-    // Guards against leaked leases: a prefill whose end was lost, or whose endpoint is only partitioned, may
-    // have left a KV cache that this gateway does not know of.
-    if (!request.lease_held) actions_.emit(ReleaseLease{request.arrival.request});
+    // Prevents leaked KV leases: a prefill whose result was lost, or whose endpoint is partitioned from this
+    // gateway, may have left a KV cache that this gateway does not know of.
+    if (!request.has_kv_lease) actions_.emit(ReleaseLease{request.arrival.request});
     dispatcher_.dispatch_next_stage(now_, request);
 }
 
@@ -157,7 +158,7 @@
         outlier_detector_.record_first_token(*endpoint, *request);
         in_flight_requests_.begin_stream(now_, *request, *endpoint);
     }
-    in_flight_requests_.set_lease_held(*request, false);
+    in_flight_requests_.set_kv_lease(*request, false);
     retry_budget_.on_first_token(now_);
     request->closed = true;
 }
@@ -166,7 +167,7 @@
     RequestState* request = in_flight_requests_.find(disconnected.request);
     if (!request) return;
     request->closed = true;
-    dispatcher_.release(*request);
+    dispatcher_.cancel_or_erase(*request);
 }
 
 void Router::Impl::on(const EndpointUpdate& update) {
@@ -181,7 +182,7 @@
 }
 
 void Router::Impl::on(const TimerFired& timer) {
-    if (timer.timer == kHealthTimer) return health_monitor_.on_health_tick(now_);
+    if (timer.timer == kHealthTickTimerId) return health_monitor_.on_health_tick(now_);
     RequestState* request = in_flight_requests_.find_by_serial(timer.timer);
     if (!request || request->closed) return;
     if (request->attempt.in_flight && request->attempt.stage == Stage::streaming) return;
@@ -190,10 +191,11 @@
 
 void Router::Impl::on(const LeaseReleased& released) {
     if (RequestState* request = in_flight_requests_.find(released.request))
-        in_flight_requests_.set_lease_held(*request, false);
+        in_flight_requests_.set_kv_lease(*request, false);
 }
 
-// The Router, not its host, knows which requests may have run and so cannot be rejected.
+// Answered here because only the Router, not its host, knows which requests may have run and must fail
+// instead of being rejected.
 void Router::Impl::on(const Shutdown&) {
     std::vector<RequestId> unanswered;
     for (const auto& [id, request] : in_flight_requests_.by_id()) {
@@ -203,7 +205,7 @@
         dispatcher_.finish_with(now_, *in_flight_requests_.find(id), EndCause::shutdown);
 }
 
-// The request, if the attempt is its latest and in flight.
+// Returns the request if the attempt is its latest one and in flight, else nullptr.
 RequestState* Router::Impl::find_in_flight(const RequestId& id, int attempt) {
     RequestState* request = in_flight_requests_.find(id);
     if (!request || !request->attempt.in_flight || attempt != request->attempt_count - 1) return nullptr;
@@ -222,12 +224,12 @@
     if (request.possible_run || never_ran(ended.result) || ended.result == AttemptResult::prefill_done)
         return;
     const bool only_prefills = endpoint && endpoint->role == Role::prefill;
-    if (!only_prefills) request.possible_run = {ended.endpoint, request.attempt.first_sent_at};
+    if (!only_prefills) request.possible_run = {ended.endpoint, request.attempt.original_sent_at};
 }
 
-void Router::Impl::record_stage_end(const RequestState& request, bool done) {
-    fleet_stats_.record_stage_end(now_, registry_, request, done);
-    completion_times_.record_stage_end(now_, request, done);
+void Router::Impl::record_stage_end(const RequestState& request, bool succeeded) {
+    fleet_stats_.record_stage_end(now_, registry_, request, succeeded);
+    completion_times_.record_stage_end(now_, request, succeeded);
 }
 
 void Router::Impl::apply_load_report(EndpointState& endpoint, const LoadReport& report) {
--- a/src/stats/estimators.h
+++ b/src/stats/estimators.h
@@ -1,37 +1,41 @@
-// Online estimators of rates and durations. Spans, quantiles and steps are parameters; no constant is tuned
-// here. Times are milliseconds on the caller's clock. Not thread-safe.
+// Online estimators of rates and durations. All constants are parameters of the constructors. Times are in
+// milliseconds on the caller's clock. Not thread-safe.
 #pragma once
 
 #include <cmath>
 
 namespace gorsenotch::stats {
 
-// A rate of events, per ms, that decays exponentially over `span` ms.
+// An event rate, per ms, with exponential decay. `time_constant` is in ms.
 class DecayingRate {
 public:
-    explicit DecayingRate(double span) : span_(span) {}
-    double read(double now) const { return value_ * std::exp((at_ - now) / span_); }
+    explicit DecayingRate(double time_constant) : time_constant_(time_constant) {}
+    double read(double now) const { return value_ * std::exp((updated_at_ - now) / time_constant_); }
     void add(double now) {
-        value_ = read(now) + 1 / span_;
-        at_ = now;
+        value_ = read(now) + 1 / time_constant_;
+        updated_at_ = now;
     }
 
 private:
-    double span_;
+    double time_constant_;
     double value_ = 0;
-    double at_ = 0;
+    double updated_at_ = 0;
 };
 
-// Mean duration of one kind of work: time spent on it over completions, both decaying. Work in progress
-// counts too, so that the short pieces which end first do not bias a new estimate. Decays to a slower
-// estimate of the same form, and that one to a prior.
+// Mean duration of one kind of work: the time spent on it divided by the number of completions, both
+// decaying. The time of work in progress counts too, so that short pieces, which complete first, do not bias
+// a new estimate. Without samples the value converges to a slower estimate of the same form, and that one to
+// the prior.
 class CompletionTime {
 public:
-    // `weight`: the number of completions that the prior counts for.
-    CompletionTime(double prior, double weight) : prior_(prior), weight_(weight) {}
+    // `prior_completions`: weight of the prior, in completions.
+    CompletionTime(double prior, double prior_completions)
+        : prior_(prior), prior_completions_(prior_completions) {}
     double prior() const { return prior_; }
-    double value() const { return (spent_ + weight_ * slow()) / (completed_ + weight_); }
-    // Recent completions, decaying.
+    double value() const {
+        return (spent_ + prior_completions_ * slow_value()) / (completed_ + prior_completions_);
+    }
+    // Decaying number of recent completions.
     double completed() const { return completed_; }
     void add_time(double time) {
         spent_ += time;
@@ -41,27 +45,29 @@
         ++completed_;
         ++slow_completed_;
     }
-    // `keep` and `slow_keep`: the fractions kept of the fast and of the slow estimate.
-    void decay(double keep, double slow_keep) {
-        spent_ *= keep;
-        completed_ *= keep;
-        slow_spent_ *= slow_keep;
-        slow_completed_ *= slow_keep;
+    // `decay_factor` and `slow_decay_factor`: factors for the samples of the fast and of the slow estimate.
+    void decay(double decay_factor, double slow_decay_factor) {
+        spent_ *= decay_factor;
+        completed_ *= decay_factor;
+        slow_spent_ *= slow_decay_factor;
+        slow_completed_ *= slow_decay_factor;
     }
 
 private:
-    double slow() const { return (slow_spent_ + weight_ * prior_) / (slow_completed_ + weight_); }
+    double slow_value() const {
+        return (slow_spent_ + prior_completions_ * prior_) / (slow_completed_ + prior_completions_);
+    }
 
     double prior_;
-    double weight_;
+    double prior_completions_;
     double spent_ = 0;
     double completed_ = 0;
     double slow_spent_ = 0;
     double slow_completed_ = 0;
 };
 
-// A quantile of positive values, by multiplicative steps: up by `step` times the quantile for a value above
-// it, down by `step` times the rest for one below.
+// Tracks a quantile of positive values by multiplicative steps. On a logarithmic scale, a sample above the
+// estimate raises it by `step * quantile`; any other sample lowers it by `step * (1 - quantile)`.
 class QuantileEstimate {
 public:
     QuantileEstimate(double quantile, double step, double start)
--- a/src/stats/uniform_random.h
+++ b/src/stats/uniform_random.h
@@ -1,4 +1,4 @@
-// A seeded source of uniform random numbers. Not thread-safe.
+// A seeded generator of uniformly distributed random numbers. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,11 @@
 
 namespace gorsenotch::stats {
 
+// A 64-bit Mersenne Twister whose output is mapped to the unit interval.
 class UniformRandom {
 public:
     explicit UniformRandom(std::uint64_t seed) : generator_(seed) {}
-    // The next number, from 0 up to, but not, 1.
+    // Returns the next number, in [0, 1).
     double next() { return unit_interval(generator_()); }
 
 private:
--- a/tests/router/endpoint_registry_test.cpp
+++ b/tests/router/endpoint_registry_test.cpp
@@ -20,23 +20,23 @@
     EXPECT_TRUE(fleet.registry.decode_capable_in(7).empty());
 }
 
-TEST(EndpointRegistry, AFullUpdateRemovesUnlistedEndpointsFromChoicesAndForgetsThemLater) {
+TEST(EndpointRegistry, AFullUpdateRemovesUnlistedEndpointsAndErasesThemAfterTheRetentionTime) {
     RouterComponents fleet;
     fleet.registry.apply(100, full_list({prefill_endpoint(1), decode_endpoint(11)}));
     EXPECT_EQ(fleet.registry.with_role(Role::prefill).size(), 1u);
     ASSERT_NE(fleet.registry.find(2), nullptr);
     EXPECT_EQ(fleet.endpoint(2).info.status, EndpointStatus::removed);
-    fleet.registry.forget_removed(60000);
+    fleet.registry.erase_removed(60000);
     EXPECT_NE(fleet.registry.find(2), nullptr);
-    fleet.registry.forget_removed(60001);
+    fleet.registry.erase_removed(60001);
     EXPECT_EQ(fleet.registry.find(2), nullptr);
 }
 
-TEST(EndpointRegistry, DoesNotForgetAnEndpointWithAnAttemptInFlight) {
+TEST(EndpointRegistry, KeepsARemovedEndpointWithAnAttemptInFlight) {
     RouterComponents fleet;
     fleet.send_request("r", 2, router::Stage::prefill);
     fleet.registry.apply(100, full_list({prefill_endpoint(1), decode_endpoint(11)}));
-    fleet.registry.forget_removed(100000);
+    fleet.registry.erase_removed(100000);
     EXPECT_NE(fleet.registry.find(2), nullptr);
 }
 
@@ -68,17 +68,17 @@
     EXPECT_EQ(fleet.registry.find(3), nullptr);
 }
 
-TEST(EndpointRegistry, AReportBeyondTheOwnLoadIsHeldByOthers) {
+TEST(EndpointRegistry, ReportedLoadBeyondTheOwnLoadIsAttributedToOthers) {
     RouterComponents fleet;
     fleet.send_request("r", 1, router::Stage::prefill);
     LoadReport report;
     EXPECT_FALSE(fleet.registry.apply_load_report(5, fleet.endpoint(1), report));
     report.memory_utilization = 0.5;
     EXPECT_TRUE(fleet.registry.apply_load_report(5, fleet.endpoint(1), report));
-    EXPECT_EQ(fleet.endpoint(1).load.tokens_held_by_others, 49000);
+    EXPECT_EQ(fleet.endpoint(1).load.tokens_used_by_others, 49000);
 }
 
-TEST(EndpointRegistry, ALargeFleetIsSearchedByAWindowAndThenAsAWhole) {
+TEST(EndpointRegistry, ALargeFleetIsSearchedByWindowAndThenInFull) {
     RouterComponents fleet;
     std::vector<Endpoint> listed;
     for (EndpointId id = 1; id <= 200; ++id) listed.push_back(prefill_endpoint(id));
@@ -88,11 +88,11 @@
     EXPECT_EQ(EndpointRegistry::candidates(ring, 7, SearchScope::window, window).size(), 96u);
     EXPECT_EQ(EndpointRegistry::candidates(ring, 7, SearchScope::all, window).size(), 200u);
     std::vector<SearchScope> scopes;
-    const auto find_nothing = [&](SearchScope scope) -> EndpointState* {
+    const auto select_none = [&](SearchScope scope) -> EndpointState* {
         scopes.push_back(scope);
         return nullptr;
     };
-    fleet.registry.choose_widening(SearchScope::window, find_nothing);
+    fleet.registry.choose_with_fallback(SearchScope::window, select_none);
     EXPECT_EQ(scopes, (std::vector<SearchScope>{SearchScope::window, SearchScope::all}));
 }
 
