--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -15,15 +15,19 @@
 
 namespace {
 
-// A time that does not come.
+// Later than any time of the clock.
 constexpr Millis kNever = 1e300;
+// A higher descriptor limit, or none, counts as this one.
+constexpr rlim_t kMaxDescriptors = 1000000;
+// Assumed where the system does not report its limit.
+constexpr std::size_t kDefaultDescriptors = 1024;
 
 }  // namespace
 
 std::string error_text(int code) { return code == 0 ? "closed by the peer" : uv_strerror(code); }
 
 EventLoop::EventLoop() {
-    // A write to a connection that its peer has closed is an error of that write, not the process's end.
+    // A write to a connection that the peer has closed must fail, not end the process.
     std::signal(SIGPIPE, SIG_IGN);
     uv_loop_init(&loop_);
     loop_.data = this;
@@ -40,48 +44,51 @@
 }
 
 void EventLoop::on_before_poll() {
-    // The time that the timers took must not be added to the wait.
+    // Without this, the time that timer callbacks took would be added to the wait.
     uv_update_time(&loop_);
     if (on_slow_turn && last_poll_ > 0) {
-        if (const Millis length = now() - last_poll_; length >= slow_turn) on_slow_turn(length, activities_);
+        if (const Millis duration = now() - last_poll_; duration >= slow_turn)
+            on_slow_turn(duration, activities_);
     }
     activities_.clear();
-    const int wait = uv_backend_timeout(&loop_);
-    const auto began = static_cast<Millis>(uv_now(&loop_));
-    // libuv also says 0 where sockets are still to be registered, however long it will wait, so 0 means
-    // nothing for before_poll. A wait that takes no time is not interrupted.
-    interrupted_from_ = wait < 0 ? kNever : began + std::max(wait, 1);
-    if (before_poll) before_poll(wait <= 0 ? kNever : began + wait);
+    const int wait_ms = uv_backend_timeout(&loop_);
+    const auto wait_start = static_cast<Millis>(uv_now(&loop_));
+    // libuv also returns 0 where sockets are still to be registered, however long it will wait, so 0 is no
+    // bound for before_poll. A wait of 0 ms is not interrupted.
+    possibly_interrupted_from_ = wait_ms < 0 ? kNever : wait_start + std::max(wait_ms, 1);
+    if (before_poll) before_poll(wait_ms <= 0 ? kNever : wait_start + wait_ms);
 }
 
 void EventLoop::on_after_poll() {
     if (!has_polled()) return;
-    // The loop's time is that of the system call's return: nothing here moves it before the next turn.
+    // The loop's time is still that at which the system call returned: it is not updated before the next
+    // iteration.
     last_poll_ = static_cast<Millis>(uv_now(&loop_));
     if (after_poll) after_poll();
 }
 
-// Guards against time-outs that are judged over what lies unread in a socket: a wait that a signal interrupts
-// (SIGCONT after a stop does) ends without a poll where its time is over. One that ends sooner ended for what
-// it found. Costs a system call in turns that end for a timer; may do harm by a time-out judged a turn later.
+// Guards against timeouts that are judged while input lies unread in a socket: a wait that a signal
+// interrupts (SIGCONT after a stop does) ends without a poll if its time is over. A wait that ends earlier
+// has found events. Costs one system call in iterations that end for a timer; at worst, a timeout is judged
+// one iteration later.
 bool EventLoop::has_polled() {
-    if (static_cast<Millis>(uv_now(&loop_)) < interrupted_from_) return true;
-    epoll_event found{};
-    // What is found stays found: libuv's descriptors are level-triggered.
-    return ::epoll_wait(uv_backend_fd(&loop_), &found, 1, 0) == 0;
+    if (static_cast<Millis>(uv_now(&loop_)) < possibly_interrupted_from_) return true;
+    epoll_event event{};
+    // An event found here is reported again to libuv, whose descriptors are level-triggered.
+    return ::epoll_wait(uv_backend_fd(&loop_), &event, 1, 0) == 0;
 }
 
 EventLoop::~EventLoop() {
-    // Guards against owners that outlive their loop: what they close later would be memory of a loop that is
-    // gone. Also catches a handle that nobody owns any more. Does harm only to a program that is wrong.
-    const auto left = open_handles();
-    if (!left.empty()) {
-        std::string text = "net::Loop destroyed before what was made on it:";
-        for (const auto& name : left) text += " " + name;
+    // Guards against objects that outlive their loop: closing them later would access the memory of a
+    // destroyed loop. Also detects leaked handles. Aborts only a program that has such a fault.
+    const auto open = open_handles();
+    if (!open.empty()) {
+        std::string text = "net::EventLoop destroyed while handles are open:";
+        for (const auto& name : open) text += " " + name;
         std::fprintf(stderr, "%s\n", text.c_str());
         std::abort();
     }
-    // All are closing: their last callbacks free them.
+    // All handles are closing; their close callbacks free them.
     before_poll = nullptr;
     after_poll = nullptr;
     uv_close(reinterpret_cast<uv_handle_t*>(&prepare_), nullptr);
@@ -110,7 +117,7 @@
     if (loop.in_activity_ || !loop.on_slow_turn) return;
     loop_ = &loop;
     loop.in_activity_ = true;
-    began_ = now();
+    started_at_ = now();
 }
 
 ActivityScope::~ActivityScope() {
@@ -118,29 +125,29 @@
     loop_->in_activity_ = false;
     for (auto& [name, duration] : loop_->activities_) {
         if (name != name_) continue;
-        duration += now() - began_;
+        duration += now() - started_at_;
         return;
     }
-    loop_->activities_.emplace_back(name_, now() - began_);
+    loop_->activities_.emplace_back(name_, now() - started_at_);
 }
 
-std::size_t reserve_descriptors(std::size_t most) {
+std::size_t reserve_descriptors(std::size_t count) {
     rlimit limit{};
-    if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return 1024;
+    if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return kDefaultDescriptors;
     if (limit.rlim_cur < limit.rlim_max) {
         limit.rlim_cur = limit.rlim_max;
         setrlimit(RLIMIT_NOFILE, &limit);
         getrlimit(RLIMIT_NOFILE, &limit);
     }
-    const auto all = static_cast<std::size_t>(std::min<rlim_t>(limit.rlim_cur, 1000000));
-    // The highest one is taken and given back: the table keeps its size.
+    const auto descriptors = static_cast<std::size_t>(std::min<rlim_t>(limit.rlim_cur, kMaxDescriptors));
+    // The table keeps its size after the highest descriptor is closed.
     const int null_device = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
-    const int highest =
-        null_device < 0 ? -1
-                        : ::fcntl(null_device, F_DUPFD_CLOEXEC, static_cast<int>(std::min(all, most)) - 1);
+    const int highest = null_device < 0 ? -1
+                                        : ::fcntl(null_device, F_DUPFD_CLOEXEC,
+                                                  static_cast<int>(std::min(descriptors, count)) - 1);
     if (highest >= 0) ::close(highest);
     if (null_device >= 0) ::close(null_device);
-    return all;
+    return descriptors;
 }
 
 void run_on_thread_pool(EventLoop& loop, std::function<void()> job, std::function<void()> done) {
@@ -154,13 +161,14 @@
     const int error = uv_queue_work(
         loop.raw(), &request->uv, [](uv_work_t* handle) { static_cast<Request*>(handle->data)->job(); },
         [](uv_work_t* handle, int) {
-            const std::unique_ptr<Request> own(static_cast<Request*>(handle->data));
-            own->done();
+            const std::unique_ptr<Request> finished(static_cast<Request*>(handle->data));
+            finished->done();
         });
     if (error == 0) return;
-    const std::unique_ptr<Request> own(request);  // no thread can be started: run it here
-    own->job();
-    own->done();
+    // No thread can be started: runs the job here.
+    const std::unique_ptr<Request> unqueued(request);
+    unqueued->job();
+    unqueued->done();
 }
 
 void EventLoop::run() { uv_run(&loop_, UV_RUN_DEFAULT); }
