--- a/src/net/tcp_listener.cpp
+++ b/src/net/tcp_listener.cpp
@@ -16,28 +16,29 @@
 
 namespace gorsenotch::net {
 
-// Accepts by itself: libuv's listener closes a spare descriptor and then what waits, unread, where accept
-// fails for want of one.
+// Calls accept itself: where accept fails for lack of a descriptor, libuv's listener frees a spare one, then
+// accepts and closes the pending connections unread.
 struct TcpListener::Handle {
     uv_tcp_t uv{};  // holds the socket
     uv_poll_t poll{};
-    uv_timer_t retry{};
+    uv_timer_t retry_timer{};
     TcpListener* owner = nullptr;
     EventLoop* loop = nullptr;
-    std::optional<int> fd;  // of the socket, once it listens
+    std::optional<int> fd;  // of the listening socket; none before listen()
     int open_handles = 1;
 
-    void watch() {
+    void start_accepting() {
         uv_poll_start(&poll, UV_READABLE, [](uv_poll_t* handle, int, int) {
             auto* listener = static_cast<Handle*>(handle->data);
-            if (listener->owner) listener->owner->accept_pending(kMaxPerTurn);
+            if (listener->owner) listener->owner->accept_pending(kMaxAcceptsPerIteration);
         });
     }
-    // Stops accepting for kAcceptPause; connections wait in the system's queue meanwhile.
-    void pause() {
+    // Stops accepting for kAcceptPauseMs; connections wait in the kernel's backlog meanwhile.
+    void pause_accepting() {
         uv_poll_stop(&poll);
         uv_timer_start(
-            &retry, [](uv_timer_t* handle) { static_cast<Handle*>(handle->data)->watch(); }, kAcceptPause, 0);
+            &retry_timer, [](uv_timer_t* handle) { static_cast<Handle*>(handle->data)->start_accepting(); },
+            kAcceptPauseMs, 0);
     }
     static void on_closed(uv_handle_t* handle) {
         auto* listener = static_cast<Handle*>(handle->data);
@@ -46,22 +47,24 @@
     void close() {
         owner = nullptr;
         if (open_handles > 1) {
-            uv_close(reinterpret_cast<uv_handle_t*>(&retry), on_closed);
+            uv_close(reinterpret_cast<uv_handle_t*>(&retry_timer), on_closed);
             uv_close(reinterpret_cast<uv_handle_t*>(&poll), on_closed);
         }
-        // Last: the loop must not watch a descriptor that has been closed, and may be in use again.
+        // Last: the loop must not poll a descriptor that is closed and may be in use again.
         uv_close(reinterpret_cast<uv_handle_t*>(&uv), on_closed);
     }
 
-    static constexpr int kMaxPerTurn = 64;             // connections accepted in one turn of the loop
-    static constexpr std::uint64_t kAcceptPause = 10;  // ms until accept is tried again
+    // Calls of accept in one loop iteration.
+    static constexpr int kMaxAcceptsPerIteration = 64;
+    // Until accept is retried after a failure.
+    static constexpr std::uint64_t kAcceptPauseMs = 10;
 };
 
 TcpListener::TcpListener(EventLoop& loop) : handle_(new Handle) {
     uv_tcp_init(loop.raw(), &handle_->uv);
     handle_->uv.data = handle_;
     handle_->poll.data = handle_;
-    handle_->retry.data = handle_;
+    handle_->retry_timer.data = handle_;
     handle_->owner = this;
     handle_->loop = &loop;
 }
@@ -89,16 +92,16 @@
     }
     code = uv_poll_init(handle_->loop->raw(), &handle_->poll, fd);
     if (code != 0) return code;
-    uv_timer_init(handle_->loop->raw(), &handle_->retry);
+    uv_timer_init(handle_->loop->raw(), &handle_->retry_timer);
     handle_->open_handles = 3;
     handle_->fd = fd;
-    handle_->watch();
+    handle_->start_accepting();
     return 0;
 }
 
-bool TcpListener::accept_pending(int most) {
+bool TcpListener::accept_pending(int max_calls) {
     Handle* handle = handle_;
-    for (int tries = 0; tries < most; ++tries) {
+    for (int calls = 0; calls < max_calls; ++calls) {
         const int fd = ::accept4(*handle->fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         const int code = fd < 0 ? -errno : 0;
         switch (classify_accept_error(code)) {
@@ -109,7 +112,7 @@
             case ErrorClass::retry_later:
                 return true;
             default:
-                handle->pause();
+                handle->pause_accepting();
                 if (on_error) on_error(code);
                 return false;
         }
@@ -126,8 +129,8 @@
 }
 
 bool TcpListener::accept_all_pending() {
-    constexpr int kMaxPending = 4096;
-    return !handle_->fd || accept_pending(kMaxPending);
+    constexpr int kMaxAccepts = 4096;
+    return !handle_->fd || accept_pending(kMaxAccepts);
 }
 
 int TcpListener::port() const {
--- a/src/net/tcp_listener.h
+++ b/src/net/tcp_listener.h
@@ -11,33 +11,33 @@
 
 class EventLoop;
 
-// Hands each accepted connection to its owner. May be destroyed at any time, also inside its own callback.
+// Passes each accepted connection to its owner. May be destroyed at any time, also inside its own callback.
 // Errors are negative libuv codes.
 class TcpListener {
 public:
     std::function<void(std::unique_ptr<TcpStream>)> on_stream;
-    // Accepting failed for want of descriptors or memory. Connections stay in the system's queue and accept
-    // is tried again soon; the owner may make room.
+    // Accepting failed for lack of descriptors or memory. Connections stay in the kernel's backlog and accept
+    // is retried soon; the owner may close connections to make room.
     std::function<void(int)> on_error;
 
-    // Does not listen yet.
+    // Creates a listener that does not listen yet.
     explicit TcpListener(EventLoop& loop);
-    // The system resets connections that nobody has accepted yet.
+    // The kernel resets connections that have not been accepted yet.
     ~TcpListener();
     TcpListener(const TcpListener&) = delete;
     TcpListener& operator=(const TcpListener&) = delete;
-    // 0 or an error. Port 0: any free one.
+    // Returns 0 or an error. Port 0: any free port.
     int listen(const std::string& address, int backlog = 1024);
-    // Hands on the connections that wait in the system's queue, before the listener is destroyed. False: some
-    // may be left, as accepting failed for now.
+    // Accepts the connections in the kernel's backlog, to be called before the listener is destroyed. False:
+    // some may be left, as accepting failed for now.
     bool accept_all_pending();
     // The port that it listens on; 0 before listen().
     int port() const;
 
 private:
     struct Handle;
-    // Accepts up to `most` connections; returns whether none is left.
-    bool accept_pending(int most);
+    // Calls accept up to `max_calls` times; returns whether no connection is left in the backlog.
+    bool accept_pending(int max_calls);
     Handle* handle_;  // freed by the loop after ~TcpListener has closed it
 };
 
