--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -20,12 +20,13 @@
     std::string bytes;
 };
 
-// One buffer serves all reads: data is handed on before the next read begins. Its size bounds what a stream
-// may still gather after its reader has asked for a pause.
-char read_buffer[16384];
+// One buffer serves all reads: data is delivered before the next read begins. Its size bounds what a stream
+// may still deliver after its reader has requested a pause.
+constexpr std::size_t kReadBufferBytes = 16384;
+char read_buffer[kReadBufferBytes];
 
-// Linux names no lasting failure of poll() for one good descriptor: more interruptions than this in a row do
-// not happen.
+// On Linux, poll() on a single valid descriptor has no persistent failure: it does not happen that more calls
+// than this are interrupted in a row.
 constexpr int kMaxPollAttempts = 100;
 
 }  // namespace
@@ -50,8 +51,8 @@
         if (error != 0) return error;
     }
     handle_->on_connected = std::move(done);
-    handle_->connect_req.data = handle_;
-    return uv_tcp_connect(&handle_->connect_req, &handle_->uv, reinterpret_cast<sockaddr*>(&to),
+    handle_->connect_request.data = handle_;
+    return uv_tcp_connect(&handle_->connect_request, &handle_->uv, reinterpret_cast<sockaddr*>(&to),
                           [](uv_connect_t* req, int status) {
                               auto* stream = static_cast<Handle*>(req->data);
                               if (!stream->owner) return;
@@ -71,13 +72,13 @@
     const int error = uv_read_start(
         handle_->stream(),
         [](uv_handle_t*, std::size_t, uv_buf_t* buf) { *buf = uv_buf_init(read_buffer, sizeof read_buffer); },
-        [](uv_stream_t* handle, ssize_t n, const uv_buf_t* buf) {
+        [](uv_stream_t* handle, ssize_t size, const uv_buf_t* buf) {
             auto* stream = static_cast<Handle*>(handle->data);
-            if (!stream->owner || n == 0) return;
-            if (n < 0) return stream->end(n == UV_EOF ? 0 : static_cast<int>(n));
-            // A copy of the callback lives through the call, whatever it does to its owner.
+            if (!stream->owner || size == 0) return;
+            if (size < 0) return stream->end(size == UV_EOF ? 0 : static_cast<int>(size));
+            // A copy: the callback may destroy the stream that holds it.
             const auto callback = stream->owner->on_data;
-            if (callback) callback(std::string_view(buf->base, static_cast<std::size_t>(n)));
+            if (callback) callback(std::string_view(buf->base, static_cast<std::size_t>(size)));
         });
     if (error != 0) handle_->reading = false;
 }
@@ -92,7 +93,7 @@
     queue_write(std::move(bytes));
 }
 
-// Hands the kernel what it takes at once; returns how many bytes that is.
+// Hands the kernel as many bytes as it accepts at once; returns their number.
 std::size_t TcpStream::try_write(std::string& bytes) {
     uv_buf_t buffer = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
     const int written = uv_try_write(handle_->stream(), &buffer, 1);
@@ -109,15 +110,15 @@
     handle_->in_flight += request->bytes.size();
     const int error =
         uv_write(&request->uv, handle_->stream(), &buffer, 1, [](uv_write_t* written, int status) {
-            const std::unique_ptr<WriteRequest> own(static_cast<WriteRequest*>(written->data));
+            const std::unique_ptr<WriteRequest> finished(static_cast<WriteRequest*>(written->data));
             auto* stream = static_cast<Handle*>(written->handle->data);
-            stream->in_flight -= own->bytes.size();
+            stream->in_flight -= finished->bytes.size();
             stream->on_written(status);
         });
     if (error == 0) return;
     handle_->in_flight -= request->bytes.size();
     delete request;
-    break_off();
+    abort_connection();
 }
 
 void TcpStream::shutdown_write() {
@@ -126,12 +127,13 @@
     const auto free_request = [](uv_shutdown_t* done, int) { delete done; };
     if (uv_shutdown(request, handle_->stream(), free_request) == 0) return;
     delete request;
-    break_off();
+    abort_connection();
 }
 
-// Guards against bytes or a FIN that the system refused at once without any callback: the connection is ended
-// for both sides, so that on_end follows in the loop's next turn. No effect where it has ended already.
-void TcpStream::break_off() {
+// Guards against bytes or a FIN that the system rejected at once, which no callback reports: shuts down both
+// directions of the connection, so that on_end follows in the next loop iteration. No effect on a connection
+// that has already ended.
+void TcpStream::abort_connection() {
     uv_os_fd_t fd = -1;
     if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) == 0) ::shutdown(fd, SHUT_RDWR);
 }
@@ -155,8 +157,8 @@
     uv_os_fd_t fd = -1;
     if (!handle_ || handle_->ended || uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) != 0)
         return true;
-    // Guards against a poll that is interrupted and taken for "nothing there": a request would go out for a
-    // client that has left, or a connection would be closed over an unread one.
+    // Guards against an interrupted poll that is taken for "nothing pending": a request would be sent for a
+    // client that has disconnected, or a connection with an unread request would be closed.
     for (int i = 0; i < kMaxPollAttempts; ++i) {
         pollfd polled{fd, events, 0};
         const int ready = ::poll(&polled, 1, 0);
--- a/src/net/tcp_stream_handle.h
+++ b/src/net/tcp_stream_handle.h
@@ -1,4 +1,4 @@
-// The libuv side of a TcpStream. For tcp_stream.cpp and tcp_listener.cpp alone.
+// The libuv handle of a TcpStream. For use in tcp_stream.cpp and tcp_listener.cpp only.
 #pragma once
 
 #include <uv.h>
@@ -10,17 +10,17 @@
 
 namespace gorsenotch::net {
 
-// Owned by its TcpStream until that closes it, then by the loop, which frees it.
+// Owned by its TcpStream until the stream closes it, then by the loop, which frees it.
 struct TcpStream::Handle {
     uv_tcp_t uv{};
     TcpStream* owner = nullptr;
     bool closing = false;
     bool wrote = false;  // a byte was handed to the kernel
     bool reading = false;
-    bool ended = false;         // on_end was called, or must not be called any more
-    std::size_t in_flight = 0;  // bytes in WriteRequests
+    bool ended = false;         // on_end was called, or must no longer be called
+    std::size_t in_flight = 0;  // bytes in pending WriteRequests
     std::function<void(int)> on_connected;
-    uv_connect_t connect_req{};
+    uv_connect_t connect_request{};
 
     void close() {
         if (closing) return;
@@ -34,14 +34,14 @@
         ended = true;
         if (reading) uv_read_stop(stream());
         reading = false;
-        // Moved out: the owner may be destroyed by its own callback.
+        // Moved out: the callback may destroy the stream that holds it.
         if (const auto callback = std::move(owner->on_end)) callback(code);
     }
     void on_written(int status) {
         if (!owner) return;
         if (status < 0) return end(status);
         wrote = true;
-        // A copy of the callback lives through the call, whatever it does to its owner.
+        // A copy: the callback may destroy the stream that holds it.
         const auto callback = owner->on_drain;
         if (in_flight == 0 && callback) callback();
     }
