--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-// ms; 0 would fire again before the loop polls.
+// A delay of 0 would fire again before the loop polls.
 constexpr Millis kPollRetryDelay = 1;
-// libuv counts whole milliseconds; a timer fires rather a little late than early.
-constexpr Millis kRoundUp = 0.999;
+// Rounds up to libuv's whole milliseconds: a timer may fire slightly late, but not early.
+constexpr Millis kRoundingAllowance = 0.999;
 
 }  // namespace
 
@@ -23,18 +23,18 @@
     uv_timer_t uv{};
     EventLoop* loop = nullptr;
     std::function<void()> fire;
-    // Not before the sockets have been polled since this time; none: whatever was polled.
-    std::optional<Millis> poll_since;
+    // Do not fire before the sockets have been polled at this time or later; none: no poll is required.
+    std::optional<Millis> required_poll;
 
     void start(Millis delay) {
-        // Counted from the clock, not from the loop's time, which is that of its last poll.
+        // From the current time, not from the loop's cached time, which is that of its last poll.
         const Millis wait = now() + std::max(0.0, delay) - static_cast<Millis>(uv_now(uv.loop));
         uv_timer_start(
             &uv, [](uv_timer_t* handle) { static_cast<Handle*>(handle->data)->on_due(); },
-            delay <= 0 ? 0 : static_cast<std::uint64_t>(wait + kRoundUp), 0);
+            delay <= 0 ? 0 : static_cast<std::uint64_t>(wait + kRoundingAllowance), 0);
     }
     void on_due() {
-        if (poll_since && *poll_since > loop->last_poll()) return start(kPollRetryDelay);
+        if (required_poll && *required_poll > loop->last_poll()) return start(kPollRetryDelay);
         fire();
     }
 };
@@ -53,12 +53,12 @@
 }
 
 void Timer::fire_after(Millis delay) {
-    handle_->poll_since.reset();
+    handle_->required_poll.reset();
     handle_->start(delay);
 }
 
 void Timer::fire_after_poll(Millis delay) {
-    handle_->poll_since = std::floor(now() + std::max(0.0, delay));  // in whole ms, as the loop's time
+    handle_->required_poll = std::floor(now() + std::max(0.0, delay));  // whole ms, like the loop's time
     handle_->start(delay);
 }
 
