--- a/src/net/socket_error.cpp
+++ b/src/net/socket_error.cpp
@@ -7,7 +7,7 @@
 namespace gorsenotch::net {
 namespace {
 
-bool short_of_resources(int code) {
+bool is_resource_shortage(int code) {
     switch (code) {
         case UV_EMFILE:
         case UV_ENFILE:
@@ -24,18 +24,18 @@
 ErrorClass classify_listen_error(int code) {
     if (code == 0) return ErrorClass::none;
     if (code == UV_EADDRINUSE) return ErrorClass::address_held;
-    return short_of_resources(code) ? ErrorClass::host_resources : ErrorClass::other;
+    return is_resource_shortage(code) ? ErrorClass::host_resources : ErrorClass::other;
 }
 
 ErrorClass classify_connect_error(int code) {
     if (code == 0) return ErrorClass::none;
-    if (short_of_resources(code)) return ErrorClass::host_resources;
+    if (is_resource_shortage(code)) return ErrorClass::host_resources;
     switch (code) {
         case UV_EINTR:
             return ErrorClass::retry_now;
         case UV_EAGAIN:         // no local port is free
-        case UV_EADDRNOTAVAIL:  // likewise
-        case UV_ENETUNREACH:    // no route from here
+        case UV_EADDRNOTAVAIL:  // no local port is free
+        case UV_ENETUNREACH:    // no route from this host
         case UV_ENETDOWN:
             return ErrorClass::host_resources;
         case UV_EINVAL:
@@ -50,7 +50,7 @@
 
 ErrorClass classify_accept_error(int code) {
     if (code == 0) return ErrorClass::none;
-    if (short_of_resources(code)) return ErrorClass::host_resources;
+    if (is_resource_shortage(code)) return ErrorClass::host_resources;
     switch (code) {
         case UV_EAGAIN:
             return ErrorClass::retry_later;
@@ -65,7 +65,7 @@
         case -EOPNOTSUPP:
         case UV_ENETUNREACH:
         case UV_ETIMEDOUT:
-        case UV_EPERM:  // a firewall forbids this one connection
+        case UV_EPERM:  // a firewall rejects this one connection
             return ErrorClass::retry_now;
         default:
             return ErrorClass::other;
