--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,11 +1,13 @@
-// The clock of the whole program.
+// The monotonic clock that all parts of the program use.
 #pragma once
 
 namespace gorsenotch::net {
 
+// A time or a duration in milliseconds, with fractions.
 using Millis = double;
 
-// Milliseconds on the host's monotonic clock, the same in every process of one machine. Needs no loop.
+// The current time of the host's monotonic clock, which all processes of one machine share. Needs no event
+// loop.
 Millis now();
 
 }  // namespace gorsenotch::net
--- a/src/net/deferred_call.cpp
+++ b/src/net/deferred_call.cpp
@@ -9,11 +9,11 @@
 namespace gorsenotch::net {
 
 struct DeferredCall::Handle {
-    uv_check_t check{};      // after the sockets of this turn
-    uv_prepare_t prepare{};  // after its timers, before it sleeps
+    uv_check_t check{};      // runs after the poll of this iteration
+    uv_prepare_t prepare{};  // runs after its timers, before the next poll
     std::function<void()> call;
     bool scheduled = false;
-    bool owned = true;
+    bool owned = true;  // false once the DeferredCall is destroyed
     int open_handles = 2;
 
     void run() {
--- a/src/net/deferred_call.h
+++ b/src/net/deferred_call.h
@@ -1,4 +1,4 @@
-// Work put off to the end of the event loop's turn.
+// A callback that is deferred to the end of the event loop's current iteration.
 #pragma once
 
 #include <functional>
@@ -7,8 +7,9 @@
 
 class EventLoop;
 
-// Calls back once before the loop next waits for its sockets, if schedule() was called: gathers what several
-// callbacks of one turn ask for. May be destroyed at any time, also inside its own callback.
+// Runs its callback once before the loop next polls its sockets, if schedule() was called: combines what
+// several callbacks of one loop iteration request. May be destroyed at any time, also inside its own
+// callback.
 class DeferredCall {
 public:
     DeferredCall(EventLoop& loop, std::function<void()> call);
--- a/src/net/file_watcher.cpp
+++ b/src/net/file_watcher.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Differs after each change of the file; empty if it is not there.
+// A text that differs after each change of the file; empty if the file does not exist.
 std::string file_version(const std::string& file) {
     struct stat status {};
     if (::stat(file.c_str(), &status) != 0) return "";
@@ -18,10 +18,10 @@
 
 }  // namespace
 
-FileWatcher::FileWatcher(EventLoop& loop, std::string file, Millis interval, std::function<void()> changed)
+FileWatcher::FileWatcher(EventLoop& loop, std::string file, Millis interval, std::function<void()> on_change)
     : file_(std::move(file)),
       interval_(interval),
-      changed_(std::move(changed)),
+      on_change_(std::move(on_change)),
       timer_(loop, [this] { check_now(); }) {
     timer_.fire_after(0);
 }
@@ -33,7 +33,7 @@
     timer_.fire_after(interval_);
     if (version == last_version_) return;
     last_version_ = version;
-    if (!version.empty()) changed_();
+    if (!version.empty()) on_change_();
 }
 
 }  // namespace gorsenotch::net
--- a/src/net/file_watcher.h
+++ b/src/net/file_watcher.h
@@ -1,4 +1,4 @@
-// Changes of a file, found by looking at it at intervals.
+// Detects changes of a file by checking it at intervals.
 #pragma once
 
 #include <functional>
@@ -8,22 +8,23 @@
 
 namespace gorsenotch::net {
 
-// Calls `changed` after each change of a file that exists (its text replaced, another file renamed over it,
-// the file made again), and once at the start. Not called while the file is missing. Reads no content.
+// Calls `on_change` after each change of a file that exists (its content replaced, another file renamed over
+// it, the file created again), and once at the start. Not called while the file is missing. Does not read the
+// content.
 class FileWatcher {
 public:
-    // `interval`: ms from one look to the next.
-    FileWatcher(EventLoop& loop, std::string file, Millis interval, std::function<void()> changed);
-    // Looks at once, and then again after the interval.
+    // `interval`: ms between checks.
+    FileWatcher(EventLoop& loop, std::string file, Millis interval, std::function<void()> on_change);
+    // Checks the file at once; the next check follows after the interval.
     void check_now();
-    // The next look reports the file, if it is there, as if it had changed.
+    // Makes the next check report the file, if it exists, as changed.
     void report_again();
 
 private:
     std::string file_;
-    std::string last_version_;  // as of the last look; empty: it was not there
+    std::string last_version_;  // at the last check; empty: the file did not exist
     Millis interval_;
-    std::function<void()> changed_;
+    std::function<void()> on_change_;
     Timer timer_;
 };
 
--- a/src/net/free_ports.cpp
+++ b/src/net/free_ports.cpp
@@ -7,7 +7,7 @@
 namespace gorsenotch::net {
 
 std::vector<int> free_ports(EventLoop& loop, const std::string& host, std::size_t count) {
-    // All stay open until the last is chosen, so that no two are the same.
+    // All listeners stay open until the last port is known, so that the ports differ.
     std::vector<std::unique_ptr<TcpListener>> listeners;
     std::vector<int> ports;
     while (ports.size() < count) {
--- a/src/net/signal_watcher.h
+++ b/src/net/signal_watcher.h
@@ -1,4 +1,4 @@
-// Signals of the process as callbacks of an event loop.
+// Delivers signals of the process as callbacks of an event loop.
 #pragma once
 
 #include <functional>
@@ -7,11 +7,11 @@
 
 class EventLoop;
 
-// Calls `fire` on the loop's thread for each signal `number` that comes while it lives. Does not keep the
-// loop running.
+// Calls `fire` on the loop's thread for each signal `signal_number` received during this object's lifetime.
+// Does not keep the loop running.
 class SignalWatcher {
 public:
-    SignalWatcher(EventLoop& loop, int number, std::function<void()> fire);
+    SignalWatcher(EventLoop& loop, int signal_number, std::function<void()> fire);
     ~SignalWatcher();
     SignalWatcher(const SignalWatcher&) = delete;
     SignalWatcher& operator=(const SignalWatcher&) = delete;
--- a/src/net/socket_address.h
+++ b/src/net/socket_address.h
@@ -1,4 +1,4 @@
-// Numeric socket addresses as text.
+// Parses numeric socket addresses.
 #pragma once
 
 #include <sys/socket.h>
@@ -7,7 +7,8 @@
 
 namespace gorsenotch::net {
 
-// Reads "127.0.0.1:80" or "[::1]:80" into `out`. False if `address` is neither; names are not resolved.
+// Parses an address such as "127.0.0.1:80" or "[::1]:80" into `out`. False if `address` has neither form;
+// host names are not resolved.
 bool parse_address(const std::string& address, sockaddr_storage& out);
 
 }  // namespace gorsenotch::net
