--- a/src/proxy/router_driver.h
+++ b/src/proxy/router_driver.h
@@ -1,5 +1,5 @@
-// Runs a Router: feeds it events in order, carries out its actions through hooks, and keeps the timers of the
-// Router and of the driver's owner. Also keeps the owner from blaming endpoints for stalls of this process.
+// Runs a Router: feeds it events in order, executes its actions through hooks, and keeps the timers of the
+// Router and of the driver's owner. Also prevents endpoints from being blamed for stalls of this process.
 #pragma once
 
 #include <algorithm>
@@ -16,12 +16,12 @@
 
 namespace gorsenotch::proxy {
 
-// Owns the Router, the queue of events and both queues of timers; nobody else changes them. Does no I/O: the
+// Owns the Router, the event queue and both timer queues; nothing else modifies them. Does no I/O: the
 // clock and all effects are hooks, which the owner sets before the first call. Times are milliseconds on the
 // clock of `now`. Threading: one thread; hooks may call back into the driver.
 //
-// `Owner` is what a timer may belong to (a request); `Kind` names the owner's timers, and Kind::router is
-// kept for the Router's own.
+// `Owner` is the type of object that a timer may belong to (a request). `Kind` is the owner's enumeration of
+// timer kinds; Kind::router is reserved for the Router's own timers.
 template <class Owner, class Kind>
 class RouterDriver {
 public:
@@ -30,37 +30,37 @@
     using OwnedTimers = typename Queue::OwnedTimers;
 
     std::function<Millis()> now;
-    // Carries out one action of the Router; never gets a SetTimer.
+    // Executes one action of the Router; never called with a SetTimer.
     std::function<void(const Action&)> execute;
-    // All events have been handled, and all actions that followed from them.
+    // Called when all events, and all actions that followed from them, have been handled.
     std::function<void()> on_idle;
-    // A timer of the owner's is due.
+    // Called when a timer of the owner is due.
     std::function<void(const Timer&)> on_timer;
-    // A stall of so many ms has been found. Called before timers and events that are due are handled. May be
-    // empty.
+    // Called with the duration of a newly detected stall in ms, before due timers and events are handled. May
+    // be empty.
     std::function<void(Millis)> on_stall;
-    // A timer was set that is due before the time that tick() last returned. May be empty.
+    // Called when a timer is set that is due before the time that tick() last returned. May be empty.
     std::function<void()> on_wake;
-    // Each action before it is carried out, SetTimer included. May be empty.
+    // Called with each action before it is executed, SetTimer included. May be empty.
     std::function<void(const Action&)> on_action;
-    // Each event before the Router handles it. May be empty.
+    // Called with each event before the Router handles it. May be empty.
     std::function<void(Millis, const Event&)> on_event;
 
-    // `timers` and `timeouts`: the members in which an Owner keeps its timers of either queue.
+    // `timers` and `timeouts`: the members in which an Owner keeps its timers of the respective queue.
     RouterDriver(const Settings& settings, std::uint64_t seed, OwnedTimers Owner::*timers,
                  OwnedTimers Owner::*timeouts)
         : router_(settings, seed), timers_(timers), timeouts_(timeouts) {}
 
-    // Handles an event at once, or after those before it if called while actions are carried out.
+    // Handles an event at once, or after the queued ones if called while events are being handled.
     void feed(Event event) {
         events_.push_back(std::move(event));
         if (!handling_events_) handle_queued_events();
     }
 
-    // `timeout`: one that blames a peer, so it fires only after the sockets have been read since it was due.
-    // Other timers fire at their time.
-    void set_timer(Kind kind, Millis at, Owner* owner, int attempt, std::uint64_t label, bool timeout) {
-        Queue& queue = timeout ? timeouts_ : timers_;
+    // `is_timeout`: the timer is a timeout of a peer, which fires only after the sockets have been read since
+    // it was due. Other timers fire when they are due.
+    void set_timer(Kind kind, Millis at, Owner* owner, int attempt, std::uint64_t label, bool is_timeout) {
+        Queue& queue = is_timeout ? timeouts_ : timers_;
         queue.set(at, kind, owner, attempt, label);
         if (at < next_tick_ && on_wake) on_wake();
     }
@@ -70,30 +70,30 @@
     }
     std::size_t pending_timers() const { return timers_.size() + timeouts_.size(); }
 
-    // The sum of this process's stalls so far, in ms.
+    // The total duration of this process's stalls so far, in ms.
     Millis stalled_for() const { return stall_detector_.stalled_for(); }
 
-    // Looks for a stall since the last call. Guards against decisions on the state from before it: the owner
-    // looks at its list of endpoints, and timers that fell due meanwhile fire before the events that waited
-    // in the sockets.
+    // Checks for a stall since the last call. Guards against decisions on state from before the stall:
+    // on_stall lets the owner check its endpoint list, and timers that fell due during the stall fire before
+    // the events that wait in the sockets.
     void catch_up() {
         if (catching_up_ || handling_events_) return;
         const Millis at = now();
         stall_detector_.on_activity(at);
-        const Millis new_stall = stall_detector_.stalled_for() - stall_caught_up_;
+        const Millis new_stall = stall_detector_.stalled_for() - handled_stall_;
         if (new_stall <= 0) return;
         catching_up_ = true;
-        stall_caught_up_ += new_stall;
+        handled_stall_ += new_stall;
         if (on_stall) on_stall(new_stall);
         fire_due_timers(timers_.last_order(), at);
         catching_up_ = false;
     }
 
-    // Does what is due; returns the time at which it is to be called next.
+    // Fires the due timers; returns the time at which it is to be called next.
     Millis tick() {
         catch_up();
         const Millis at = now();
-        // Only timers set before this call: one that is set while another fires waits for the next tick.
+        // Only timers set before this call: a timer set while another fires waits for the next tick.
         const std::uint64_t last_timer = timers_.last_order();
         const std::uint64_t last_timeout = timeouts_.last_order();
         fire_due_timers(last_timer, at);
@@ -102,38 +102,40 @@
         return next_tick_;
     }
 
-    // The event loop is about to wait for its sockets, until `until` at most.
+    // To be called before the event loop polls its sockets. `until`: when the poll returns at the latest.
     void before_poll(Millis until) {
         stall_detector_.before_poll(now(), next_tick_ > 0 ? std::min(until, next_tick_) : until);
     }
-    // The event loop has waited, and handed on all that had come to its sockets by `at`.
+    // To be called after the event loop has polled, and delivered all input that had arrived by `at`.
     void after_poll(Millis at) {
         catch_up();
         stall_detector_.after_poll(at);
     }
 
-    // The clock of an attempt that begins now. `timeout`: ms that it is given; `deadline`: its request's own.
+    // Returns the clock of an attempt that starts now. `timeout`: the attempt's, in ms; `deadline`: the
+    // request's.
     control::AttemptClock start_clock(Millis timeout, Millis deadline) {
         return {now(), timeout, deadline, stall_detector_.stalled_for(), stall_detector_.stalled_for()};
     }
-    // The attempt's bytes are handed to the kernel. A stall in which its connection was opened is counted
-    // now, but on_stall waits for the next catch_up(): the caller's connection must not be closed under it.
+    // To be called when the attempt's bytes have been handed to the kernel. A stall in which its connection
+    // was opened is counted now, but on_stall is deferred to the next catch_up(): it must not close the
+    // connection that the caller is using.
     void on_request_written(control::AttemptClock& clock) {
         stall_detector_.on_activity(now());
         if (clock.written) return;
         clock.written = true;
         clock.stalled_at_write = stall_detector_.stalled_for();
     }
-    // Whether the attempt's time is up. If not, clock.due() may be later than when the timer was set.
+    // Whether the attempt has timed out. If not, clock.due() may be later than when the timer was set.
     bool has_expired(control::AttemptClock& clock) {
         if (!clock.written) clock.stalled_at_write = stall_detector_.stalled_for();
         return clock.due() <= now();
     }
 
 private:
-    // How long tick() may wait where no timer is set.
+    // Time until the next tick if no timer is set.
     static constexpr Millis kMaxTickInterval = 1000;
-    // Until a timeout is tried again that is due, but may not be judged before the sockets are read.
+    // Until a due timeout that may not be judged before the sockets are read is checked again.
     static constexpr Millis kTimeoutRetryInterval = 1;
 
     void handle_queued_events() {
@@ -164,11 +166,11 @@
         on_timer(timer);
     }
     void fire_due_timers(std::uint64_t last_order, Millis at) {
-        while (const auto timer = timers_.take_due(at, last_order)) fire(*timer);
+        while (const auto timer = timers_.pop_due(at, last_order)) fire(*timer);
     }
     void fire_due_timeouts(std::uint64_t last_order, Millis at) {
         while (!timeouts_.empty() && stall_detector_.may_judge_timeout(timeouts_.next_due())) {
-            const auto timeout = timeouts_.take_due(at, last_order);
+            const auto timeout = timeouts_.pop_due(at, last_order);
             if (!timeout) return;
             fire(*timeout);
         }
@@ -184,11 +186,11 @@
     std::deque<Event> events_;
     bool handling_events_ = false;
     bool catching_up_ = false;
-    Millis stall_caught_up_ = 0;  // the part of stalled_for() that catch_up() has handled
+    Millis handled_stall_ = 0;  // the part of stalled_for() that catch_up() has handled
     Queue timers_;
     Queue timeouts_;
     control::StallDetector stall_detector_;
-    Millis next_tick_ = 0;  // what tick() last returned
+    Millis next_tick_ = 0;  // last returned by tick()
 };
 
 }  // namespace gorsenotch::proxy
--- a/tests/proxy/router_driver_test.cpp
+++ b/tests/proxy/router_driver_test.cpp
@@ -1,4 +1,5 @@
-// The driver's own work, with a clock in hand: order of events and timers, timeouts after a poll, stalls.
+// The driver's own work, with a clock that the test sets: order of events and timers, timeouts after a poll,
+// stalls.
 #include "proxy/router_driver.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +19,7 @@
     Driver::OwnedTimers timeouts;
 };
 
-Settings one_class() {
+Settings one_class_settings() {
     Settings settings;
     settings.classes.resize(1);
     settings.classes[0].latency_objective = 50;
@@ -32,7 +33,7 @@
     Millis clock = 1000;
     std::vector<std::string> calls;
     Owner owner;
-    Driver driver{one_class(), 1, &Owner::timers, &Owner::timeouts};
+    Driver driver{one_class_settings(), 1, &Owner::timers, &Owner::timeouts};
 
     RouterDriverTest() {
         driver.now = [this] { return clock; };
@@ -45,8 +46,8 @@
             calls.push_back("stall " + std::to_string(static_cast<int>(stall)));
         };
     }
-    void set(Millis at, std::uint64_t label, bool timeout = false) {
-        driver.set_timer(Kind::ordinary, at, &owner, 0, label, timeout);
+    void set(Millis at, std::uint64_t label, bool is_timeout = false) {
+        driver.set_timer(Kind::ordinary, at, &owner, 0, label, is_timeout);
     }
     using Calls = std::vector<std::string>;
 };
@@ -59,11 +60,11 @@
     EXPECT_EQ(driver.pending_timers(), 1u);
     driver.before_poll(1050);
     clock = 1050;
-    EXPECT_EQ(driver.tick(), 2050);  // none is left: in a second
+    EXPECT_EQ(driver.tick(), 2050);  // no timer is left: the next tick is in 1 s
     EXPECT_EQ(calls, (Calls{"timer 1", "timer 2"}));
 }
 
-TEST_F(RouterDriverTest, LeavesATimerThatIsSetWhileAnotherFiresToTheNextTick) {
+TEST_F(RouterDriverTest, DefersATimerSetWhileAnotherFiresToTheNextTick) {
     driver.on_timer = [this](const Driver::Timer& timer) {
         calls.push_back("timer " + std::to_string(timer.label));
         if (timer.label == 1) set(clock, 2);
@@ -79,14 +80,14 @@
     driver.after_poll(1000);
     set(1010, 1, true);
     clock = 1010;
-    EXPECT_EQ(driver.tick(), 1011);  // tried again in 1 ms
+    EXPECT_EQ(driver.tick(), 1011);  // checked again in 1 ms
     EXPECT_TRUE(calls.empty());
     driver.after_poll(1010);
     driver.tick();
     EXPECT_EQ(calls, Calls{"timer 1"});
 }
 
-TEST_F(RouterDriverTest, WakesTheLoopForATimerBeforeTheNextTickOnly) {
+TEST_F(RouterDriverTest, WakesTheLoopOnlyForATimerDueBeforeTheNextTick) {
     int wakes = 0;
     driver.on_wake = [&wakes] { ++wakes; };
     EXPECT_EQ(driver.tick(), 2000);
@@ -107,7 +108,7 @@
     EXPECT_EQ(calls, Calls{"timer 3"});
 }
 
-TEST_F(RouterDriverTest, ReportsAStallOnceAndFiresItsTimersBeforeItReturns) {
+TEST_F(RouterDriverTest, ReportsAStallOnceAndFiresTheTimersThatFellDueInIt) {
     driver.before_poll(1010);
     set(1200, 1);
     set(1200, 2, true);
@@ -119,7 +120,7 @@
     EXPECT_EQ(driver.stalled_for(), 500);
 }
 
-TEST_F(RouterDriverTest, HandlesAnEventFedFromAnActionAfterTheCurrentOne) {
+TEST_F(RouterDriverTest, HandlesAnEventFedFromAnActionAfterTheCurrentEvent) {
     std::vector<std::string> order;
     driver.on_event = [&order](Millis, const Event& event) {
         order.emplace_back(std::holds_alternative<Arrival>(event) ? "arrival" : "disconnected");
@@ -143,15 +144,15 @@
     EXPECT_EQ(calls.back(), "idle");
 }
 
-TEST_F(RouterDriverTest, GivesTimeBackToAnAttemptForAStallBeforeItsRequestWasWritten) {
+TEST_F(RouterDriverTest, ExtendsAnAttemptsTimeoutByAStallBeforeItsRequestWasWritten) {
     driver.before_poll(1000);
-    auto clock_of_attempt = driver.start_clock(100, 9000);
+    auto attempt_clock = driver.start_clock(100, 9000);
     clock = 1500;
-    driver.on_request_written(clock_of_attempt);
-    EXPECT_EQ(clock_of_attempt.due(), 1600);
-    EXPECT_FALSE(driver.has_expired(clock_of_attempt));
+    driver.on_request_written(attempt_clock);
+    EXPECT_EQ(attempt_clock.due(), 1600);
+    EXPECT_FALSE(driver.has_expired(attempt_clock));
     clock = 1600;
-    EXPECT_TRUE(driver.has_expired(clock_of_attempt));
+    EXPECT_TRUE(driver.has_expired(attempt_clock));
 }
 
 }  // namespace
