--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -11,11 +11,11 @@
 namespace gorsenotch::proxy {
 namespace {
 
-// Until a connection is tried again that failed for want of this host's resources.
+// Until connecting is retried after a failure for lack of this host's resources.
 constexpr Millis kConnectRetryDelay = 10;
 
-// ConnectionReusePolicy's idle time of a connection that carries its first request.
-constexpr Millis kNewConnection = -1;
+// Stands for a new connection in ConnectionReusePolicy::on_request_ended().
+constexpr Millis kNewConnectionIdleTime = -1;
 
 bool is_local_failure(int error) {
     const auto kind = net::classify_connect_error(error);
@@ -24,57 +24,57 @@
 
 }  // namespace
 
-// One connection, owned by the pool. `call` and `state` change in the pool's functions alone.
+// One connection, owned by the pool. Only the pool's functions change `call` and `state`.
 struct ConnectionPool::Connection {
     enum class State {
         connecting,
         busy,    // carries `call`
-        idle,    // waits for a request, in idle_by_address_
-        closed,  // its stream is gone; its memory is freed in a turn of its own
+        idle,    // waits for a request, listed in idle_by_address_
+        closed,  // its stream is destroyed; its memory is freed in a later loop iteration
     };
 
     State state = State::connecting;
     std::unique_ptr<net::TcpStream> stream;
     std::unique_ptr<net::Timer> connect_timer;
     std::string address;
-    std::string request;  // until it is connected
+    std::string request;  // stored until the connection is established
     std::shared_ptr<UpstreamCall> call;
     Connections::iterator self;
     Millis connect_deadline = 0;
     Millis idle_since = 0;
-    std::optional<Millis> idle_before_use;  // how long it was idle before the request it carries; none: new
-    bool response_begun = false;            // a byte of the answer has come
+    std::optional<Millis> idle_before_use;  // idle time before the current request; none: new connection
+    bool response_started = false;          // a byte of the response has arrived
     bool paused = false;
 };
 
 ConnectionPool::ConnectionPool(net::EventLoop& loop, Config config)
     : loop_(loop),
       config_(std::move(config)),
-      idle_timer_(loop, [this] { close_idle(); }),
+      idle_timer_(loop, [this] { close_expired_idle(); }),
       cleanup_timer_(loop, [this] { closed_connections_.clear(); }),
       detached_calls_(loop, config_.source, config_.connect_timeout) {}
 ConnectionPool::~ConnectionPool() = default;
 
 std::string ConnectionPool::render(const std::string& address, const proxy::UpstreamRequest& request,
-                                   bool keep) {
+                                   bool keep_alive) {
     http::Headers headers = {{"host", address},
-                             {"connection", keep ? "keep-alive" : "close"},
+                             {"connection", keep_alive ? "keep-alive" : "close"},
                              {"content-length", std::to_string(request.body.size())}};
     headers.insert(headers.end(), request.headers.begin(), request.headers.end());
     return http::request_head(request.method, request.target, headers) + request.body;
 }
 
-ConnectionPool::Connection* ConnectionPool::take_idle(const std::string& address) {
+ConnectionPool::Connection* ConnectionPool::acquire_idle(const std::string& address) {
     const auto found = idle_by_address_.find(address);
     if (found == idle_by_address_.end()) return nullptr;
     std::vector<Connection*>& idle = found->second;
-    const double draw = std::uniform_real_distribution<double>()(random_);  // one for all of them
+    const double draw = std::uniform_real_distribution<double>()(random_);  // one draw for all of them
     for (std::size_t i = idle.size(); i-- > 0;) {
         Connection* connection = idle[i];
         const Millis idle_for = net::now() - connection->idle_since;
         if (!may_reuse(*connection, idle_for, draw)) continue;
         connection->idle_before_use = idle_for;
-        connection->response_begun = false;
+        connection->response_started = false;
         idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(i));
         return connection;
     }
@@ -82,12 +82,13 @@
 }
 
 bool ConnectionPool::may_reuse(const Connection& connection, Millis idle_for, double draw) const {
-    // Guards against bytes that follow an answer and are taken for the next one: a connection is not used in
-    // the turn in which its last answer ended. May open one connection more where requests follow at once.
+    // Guards against bytes that follow a response and are taken for the next one: a connection is not reused
+    // in the loop iteration in which its last response ended. May open one more connection where requests
+    // follow each other at once.
     if (config_.cooldown && connection.idle_since > loop_.last_poll()) return false;
     if (config_.learn_reuse && !reuse_policy_.should_reuse(idle_for, draw)) return false;
-    // Guards against a request written to a connection that the server has closed, or has sent something
-    // on, which has not been read yet. Costs one system call a request.
+    // Guards against a request written to a connection on which the server's FIN or other bytes lie unread.
+    // Costs one system call per request.
     return !connection.stream->has_unread_input();
 }
 
@@ -110,8 +111,8 @@
 }
 
 void ConnectionPool::start(const std::string& address, std::string request,
-                           std::shared_ptr<UpstreamCall> call, bool fresh) {
-    if (Connection* idle = fresh ? nullptr : take_idle(address)) {
+                           std::shared_ptr<UpstreamCall> call, bool force_new) {
+    if (Connection* idle = force_new ? nullptr : acquire_idle(address)) {
         idle->call = std::move(call);
         by_call_[idle->call.get()] = idle;
         return send_request(*idle, std::move(request));
@@ -133,7 +134,7 @@
     connect(connection);
 }
 
-// Whatever the outcome, it is reported in a later turn of the loop: start() must not call back from here.
+// Every outcome is reported in a later loop iteration: start() must not run callbacks from here.
 void ConnectionPool::connect(Connection& connection) {
     connection.stream = std::make_unique<net::TcpStream>(loop_);
     connection.stream->on_data = [this, &connection](std::string_view bytes) { on_data(connection, bytes); };
@@ -158,7 +159,7 @@
     send_request(connection, std::move(connection.request));
 }
 
-// Guards against a server blamed, or an attempt lost, for what this host is short of for a moment.
+// Guards against blaming a server, or losing an attempt, for a temporary shortage of this host's resources.
 void ConnectionPool::on_connect_error(Connection& connection, int error) {
     const bool local = is_local_failure(error);
     if (local && connection.stream && net::now() + kConnectRetryDelay < connection.connect_deadline) {
@@ -181,7 +182,7 @@
         by_call_.erase(call.get());
         connection.call.reset();
         connection.stream->set_reading(true);
-        keep_idle(connection);
+        add_idle(connection);
         return call->on_not_sent();
     }
     call->stamp_request(request);
@@ -197,11 +198,11 @@
     call->on_request_written();
 }
 
-void ConnectionPool::record_use(const Connection& connection, bool broke) {
-    reuse_policy_.on_request_ended(connection.idle_before_use.value_or(kNewConnection), broke);
+void ConnectionPool::record_use(const Connection& connection, bool failed) {
+    reuse_policy_.on_request_ended(connection.idle_before_use.value_or(kNewConnectionIdleTime), failed);
     const bool reused = connection.idle_before_use.has_value();
     ++(reused ? counters_.reused : counters_.new_connections);
-    if (broke) ++(reused ? counters_.reused_broken : counters_.new_broken);
+    if (failed) ++(reused ? counters_.reused_broken : counters_.new_broken);
 }
 
 void ConnectionPool::on_data(Connection& connection, std::string_view bytes) {
@@ -210,7 +211,7 @@
     if (connection.state != Connection::State::busy)
         return erase_connection(connection, ConnectionEnd::unexpected_bytes);
     const auto call = connection.call;
-    if (!std::exchange(connection.response_begun, true)) record_use(connection, false);
+    if (!std::exchange(connection.response_started, true)) record_use(connection, false);
     call->on_data(bytes);
     if (connection.state != Connection::State::closed) keep_or_close(connection);
 }
@@ -219,7 +220,7 @@
     if (connection.state == Connection::State::closed) return;
     const auto call = connection.call;
     const bool connected = connection.state != Connection::State::connecting;
-    if (call && connected && !connection.response_begun) record_use(connection, true);
+    if (call && connected && !connection.response_started) record_use(connection, true);
     erase_connection(connection, connected ? ConnectionEnd::closed_by_peer : ConnectionEnd::connect_failed);
     if (call) call->on_connection_closed();
 }
@@ -232,10 +233,10 @@
     if (!call->is_reusable() || !has_room) return erase_connection(connection, ConnectionEnd::not_reusable);
     by_call_.erase(call.get());
     connection.call.reset();
-    keep_idle(connection);
+    add_idle(connection);
 }
 
-void ConnectionPool::keep_idle(Connection& connection) {
+void ConnectionPool::add_idle(Connection& connection) {
     connection.state = Connection::State::idle;
     connection.idle_since = net::now();
     if (std::exchange(connection.paused, false)) connection.stream->set_reading(true);
@@ -256,19 +257,19 @@
     cleanup_timer_.fire_after(0);
 }
 
-void ConnectionPool::close_idle() {
+void ConnectionPool::close_expired_idle() {
     const Millis now = net::now();
-    bool any_left = false;
+    bool any_idle = false;
     for (auto& [address, idle] : idle_by_address_) {
         for (std::size_t i = idle.size(); i-- > 0;) {
             if (now - idle[i]->idle_since >= config_.idle_timeout)
                 erase_connection(*idle[i], ConnectionEnd::idle);
         }
-        any_left |= !idle.empty();
+        any_idle |= !idle.empty();
     }
     std::erase_if(idle_by_address_, [](const auto& entry) { return entry.second.empty(); });
-    idle_timer_set_ = any_left;
-    if (any_left) idle_timer_.fire_after(config_.idle_timeout / 4);
+    idle_timer_set_ = any_idle;
+    if (any_idle) idle_timer_.fire_after(config_.idle_timeout / 4);
 }
 
 void ConnectionPool::pause(const UpstreamCall& call, bool paused) {
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -1,5 +1,5 @@
-// Connections to servers: carries requests over TCP and keeps clean connections for reuse. Decides nothing
-// about requests: which server gets one, and what follows its end, is the caller's.
+// A pool of connections to servers: carries requests over TCP and keeps connections for reuse. Which server
+// gets a request, and what follows the request's end, is decided by the caller.
 #pragma once
 
 #include <array>
@@ -24,20 +24,21 @@
 
 // Why a connection to a server ended.
 enum class ConnectionEnd {
-    connect_failed,    // it never came up
-    closed_by_peer,    // the server closed it, or it broke
-    unexpected_bytes,  // something came on an idle one
-    not_reusable,      // its answer did not end cleanly, or enough idle ones are kept
+    connect_failed,    // it was not established
+    closed_by_peer,    // the server closed it, or it failed
+    unexpected_bytes,  // bytes arrived while it was idle
+    not_reusable,      // its response did not end cleanly, or enough idle connections are kept
     cancelled,         // its request was cancelled
-    idle,              // without use for Config::idle_timeout
-    evicted            // the longest idle one, closed to make room for another
+    idle,              // unused for Config::idle_timeout
+    evicted            // the longest idle connection, closed to make room for another
 };
+// The names of the ConnectionEnd values, in their order.
 constexpr std::array<const char*, 7> kConnectionEndNames = {
     "connect_failed", "closed_by_peer", "unexpected_bytes", "not_reusable", "cancelled", "idle", "evicted"};
 
-// Owns every connection, from connecting to closed; a call is shared with its owner while its connection
-// carries it. A request's bytes go out on exactly one connection and are never sent again. An idle connection
-// is reused if its last answer ended cleanly and nothing has come on it since.
+// Owns every connection, from connect to close; a call is shared with its owner while its connection carries
+// it. A request's bytes are sent on exactly one connection and never sent again. An idle connection is reused
+// if its last response ended cleanly and no bytes have arrived on it since.
 //
 // Times are ms. Threading: the loop's thread. Must be destroyed before the loop.
 class ConnectionPool {
@@ -47,11 +48,11 @@
         Millis connect_timeout = 250;
         Millis idle_timeout = 15000;
         std::size_t max_idle_per_address = 64;
-        // Of all connections. Beyond it the longest idle one is closed; if none is idle, calls get
+        // Limit of all connections. At the limit the longest idle one is closed; if none is idle, calls get
         // on_not_sent().
         std::size_t max_connections = SIZE_MAX;
-        // Whether a connection is left unused in the turn in which its last answer ended, so that bytes sent
-        // behind the answer are found.
+        // Whether a connection is not reused in the loop iteration in which its last response ended, so that
+        // bytes sent after the response are detected.
         bool cooldown = false;
         // Whether control::ConnectionReusePolicy may prefer a new connection to an idle one.
         bool learn_reuse = false;
@@ -59,19 +60,19 @@
     ConnectionPool(net::EventLoop& loop, Config config);
     ~ConnectionPool();
 
-    // Sends `request` (its bytes, head and body) over an idle connection, or over a new one if there is none
-    // or if `fresh`. May call `call` before it returns if an idle connection is used.
+    // Sends `request` (the bytes of head and body) over an idle connection, or over a new one if there is
+    // none or if `force_new`. May call `call` before it returns if an idle connection is used.
     void start(const std::string& address, std::string request, std::shared_ptr<UpstreamCall> call,
-               bool fresh = false);
-    // Stops or resumes reading the answer of `call`. No effect before its connection is up.
+               bool force_new = false);
+    // Stops or resumes reading the response of `call`. No effect before its connection is established.
     void pause(const UpstreamCall& call, bool paused);
     // Closes the connection of `call` at once, without calling it. No effect if it has none.
     void close(const UpstreamCall& call);
-    // Sends a request whose answer nobody waits for, on a connection of its own; see DetachedCalls.
+    // Sends a request whose response nobody waits for, on a connection of its own; see DetachedCalls.
     void send_detached(const std::string& address, const proxy::UpstreamRequest& request, Millis timeout);
-    // Connections of calls and idle ones, without those of send_detached().
+    // The number of busy and idle connections, without those of send_detached().
     std::size_t connections() const { return connections_.size(); }
-    // Requests sent on new and on reused connections, how many of each broke before any byte of an answer,
+    // Requests sent on new and on reused connections, how many of each failed before any byte of a response,
     // and connections that ended, indexed by ConnectionEnd.
     struct Counters {
         std::uint64_t new_connections = 0;
@@ -83,16 +84,17 @@
     const Counters& counters() const { return counters_; }
     // Whether an idle connection to `address` is kept, reusable now or not.
     bool has_idle(const std::string& address) const;
-    // The bytes of `request`. `keep`: whether to ask for the connection to be kept open.
-    static std::string render(const std::string& address, const proxy::UpstreamRequest& request, bool keep);
+    // The bytes of `request`. `keep_alive`: whether to ask the server to keep the connection open.
+    static std::string render(const std::string& address, const proxy::UpstreamRequest& request,
+                              bool keep_alive);
 
 private:
     struct Connection;
     using Connections = std::list<std::unique_ptr<Connection>>;
-    // Removes a reusable connection from the idle ones; null if there is none.
-    Connection* take_idle(const std::string& address);
+    // Returns a reusable connection to `address`, which is no longer listed as idle; null if there is none.
+    Connection* acquire_idle(const std::string& address);
     bool may_reuse(const Connection& connection, Millis idle_for, double draw) const;
-    // Whether one more connection may be opened; closes the longest idle one if need be.
+    // Whether one more connection may be opened; closes the longest idle one if necessary.
     bool make_room();
     void connect(Connection& connection);
     void on_connect_result(Connection& connection, int error);
@@ -100,18 +102,18 @@
     void send_request(Connection& connection, std::string request);
     void on_data(Connection& connection, std::string_view bytes);
     void on_connection_closed(Connection& connection);
-    void record_use(const Connection& connection, bool broke);
-    void keep_or_close(Connection& connection);  // once its call is over
-    void keep_idle(Connection& connection);
+    void record_use(const Connection& connection, bool failed);
+    void keep_or_close(Connection& connection);  // if its call is over
+    void add_idle(Connection& connection);
     void erase_connection(Connection& connection, ConnectionEnd cause);
-    void close_idle();
+    void close_expired_idle();
 
     net::EventLoop& loop_;
     const Config config_;
     Connections connections_;
-    Connections closed_connections_;  // freed in a turn of their own, as their callbacks may be running
+    Connections closed_connections_;  // freed in a later loop iteration, as their callbacks may be running
     std::unordered_map<const UpstreamCall*, Connection*> by_call_;
-    std::map<std::string, std::vector<Connection*>> idle_by_address_;  // the last is the latest used
+    std::map<std::string, std::vector<Connection*>> idle_by_address_;  // the last is the most recently used
     net::Timer idle_timer_;
     net::Timer cleanup_timer_;
     bool idle_timer_set_ = false;
