--- a/src/proxy/detached_calls.cpp
+++ b/src/proxy/detached_calls.cpp
@@ -10,10 +10,10 @@
 namespace gorsenotch::proxy {
 namespace {
 
-// Until connecting is tried again.
-constexpr net::Millis kRetryDelay = 50;
-// The shortest time for which the answer is awaited, so that no early close takes the request with it.
-constexpr net::Millis kMinResponseTime = 1000;
+// Until connecting is retried.
+constexpr net::Millis kConnectRetryDelay = 50;
+// The shortest wait for the response: an earlier close could discard the request.
+constexpr net::Millis kMinResponseTimeout = 1000;
 
 }  // namespace
 
@@ -52,17 +52,17 @@
     call.stream = std::make_unique<net::TcpStream>(loop_);
     call.stream->on_end = [this, &call](int) { end(call); };
     const int error = call.stream->connect(call.address, source_, [&call](int result) {
-        if (result != 0) return call.timer->fire_after(kRetryDelay);
+        if (result != 0) return call.timer->fire_after(kConnectRetryDelay);
         write_request(call);
     });
-    call.timer->fire_after_poll(error != 0 ? kRetryDelay : connect_timeout_);
+    call.timer->fire_after_poll(error != 0 ? kConnectRetryDelay : connect_timeout_);
 }
 
 void DetachedCalls::write_request(Call& call) {
     call.sent = true;
     call.stream->set_reading(true);
     call.stream->write(call.request);
-    call.timer->fire_after_poll(std::max(kMinResponseTime, call.deadline - net::now()));
+    call.timer->fire_after_poll(std::max(kMinResponseTimeout, call.deadline - net::now()));
 }
 
 void DetachedCalls::end(Call& call) {
--- a/src/proxy/detached_calls.h
+++ b/src/proxy/detached_calls.h
@@ -1,4 +1,4 @@
-// Requests that are sent without anybody waiting for their answers, such as the release of a lease.
+// Requests whose responses nobody waits for, such as the release of a KV lease.
 #pragma once
 
 #include <list>
@@ -11,7 +11,7 @@
 
 namespace gorsenotch::proxy {
 
-// Owns the connections of such requests, one for each try. A request must do no harm if it is sent twice.
+// Owns the connections of these requests, one for each attempt to connect. Requests must be idempotent.
 // Times are ms. Threading: the loop's thread. Must be destroyed before the loop.
 class DetachedCalls {
 public:
@@ -19,8 +19,8 @@
     DetachedCalls(net::EventLoop& loop, std::string source, net::Millis connect_timeout);
     ~DetachedCalls();
 
-    // Connects to `address` and writes the bytes of `request`. Connecting is tried again until it succeeds or
-    // `timeout` has passed; the answer is read and dropped.
+    // Connects to `address` and writes the bytes of `request`. Connecting is retried until it succeeds or
+    // `timeout` has passed; the response is read and discarded.
     void send(const std::string& address, std::string request, net::Millis timeout);
 
 private:
@@ -34,7 +34,7 @@
     const std::string source_;
     const net::Millis connect_timeout_;
     Calls calls_;
-    Calls ended_calls_;  // freed in a turn of their own, as their callbacks may be running
+    Calls ended_calls_;  // freed in a later loop iteration, as their callbacks may be running
     net::Timer cleanup_timer_;
 };
 
--- a/tests/proxy/detached_calls_test.cpp
+++ b/tests/proxy/detached_calls_test.cpp
@@ -1,4 +1,4 @@
-// Requests that nobody waits for, with real sockets.
+// Requests whose responses nobody waits for, with real sockets.
 #include "proxy/detached_calls.h"
 
 #include <gtest/gtest.h>
@@ -45,7 +45,7 @@
     EXPECT_EQ(received, kRequest);
 }
 
-TEST_F(DetachedCallsTest, ConnectsAgainUntilTheServerListens) {
+TEST_F(DetachedCallsTest, RetriesConnectingUntilTheServerListens) {
     const auto ports = net::free_ports(loop, "127.254.3.8", 1);
     ASSERT_EQ(ports.size(), 1u);
     const std::string address = "127.254.3.8:" + std::to_string(ports[0]);
