--- a/src/proxy/upstream_request.h
+++ b/src/proxy/upstream_request.h
@@ -1,4 +1,5 @@
-// An HTTP request to an engine, but for Host and Connection, which the connection pool adds.
+// An HTTP request to an engine, without the headers Host, Connection and Content-Length, which the connection
+// pool adds.
 #pragma once
 
 #include <string>
--- a/src/proxy/wakeup_timer.h
+++ b/src/proxy/wakeup_timer.h
@@ -1,4 +1,4 @@
-// One timer of the event loop for an object that says itself when it wants to be called next.
+// An event loop timer for an object that returns from each call when it must be called next.
 #pragma once
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 
 namespace gorsenotch::proxy {
 
-// Must be destroyed before the loop and before whatever `tick` refers to. Runs on the loop's thread.
+// Must be destroyed before the loop and before anything that `tick` refers to. Runs on the loop's thread.
 class WakeupTimer {
 public:
-    // `tick` does what is due and returns the time (ms, net::now()'s clock) at which it is to be called next.
-    // It is first called after wake().
+    // `tick` does the work that is due and returns the time (ms on net::now()'s clock) of its next call. It
+    // is first called after wake().
     WakeupTimer(net::EventLoop& loop, std::function<net::Millis()> tick)
         : tick_(std::move(tick)), timer_(loop, [this] { fire(); }) {}
 
-    // Calls `tick` in the loop's next turn, whatever time it last returned.
+    // Calls `tick` in the next loop iteration, regardless of the time that it last returned.
     void wake() {
         if (wake_pending_) return;
         wake_pending_ = true;
@@ -27,7 +27,7 @@
 
 private:
     void fire() {
-        // wake() is ignored while `tick` runs: the time that it returns covers what is set meanwhile.
+        // wake() is ignored while `tick` runs: the returned time accounts for timers set meanwhile.
         wake_pending_ = true;
         const net::Millis next = tick_();
         wake_pending_ = false;
