--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-// The line end behind a chunk's data: CR and LF.
+// The line end after a chunk's data: CR and LF.
 constexpr int kLineEndBytes = 2;
 
 char lower_case(char letter) {
     return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
 }
 
-std::ptrdiff_t count(const Headers& headers, std::string_view name) {
+std::ptrdiff_t count_headers(const Headers& headers, std::string_view name) {
     return std::count_if(headers.begin(), headers.end(),
                          [name](const auto& header) { return header.first == name; });
 }
@@ -36,7 +36,7 @@
     parser_.data = this;
 }
 
-// ---- callbacks of http-parser: 0 goes on, anything else ends parsing ------------------------------------
+// ---- callbacks of http-parser: 0 continues, any other value stops parsing -------------------------------
 
 Parser& Parser::from(http_parser* parser) { return *static_cast<Parser*>(parser->data); }
 
@@ -90,9 +90,10 @@
     self.keep_alive = http_should_keep_alive(parser) != 0;
     const bool has_length = parser->content_length != ULLONG_MAX;
     self.framed = (parser->flags & F_CHUNKED) != 0 || has_length;
-    // Guards against two readings of one message (smuggling): a length given twice, or both forms.
-    const auto lengths = count(self.headers, "content-length");
-    const auto codings = count(self.headers, "transfer-encoding");
+    // Guards against request smuggling, where two parsers find different ends of a message: rejects repeated
+    // lengths and a length together with a transfer coding.
+    const auto lengths = count_headers(self.headers, "content-length");
+    const auto codings = count_headers(self.headers, "transfer-encoding");
     if (lengths > 1 || codings > 1 || (lengths > 0 && codings > 0)) {
         self.fault_ = Fault::malformed;
         return -1;
@@ -115,14 +116,14 @@
     }
     const bool ends_chunk = (parser->flags & F_CHUNKED) != 0 && parser->content_length == 0;
     if (ends_chunk) {
-        self.line_end_left_ = kLineEndBytes;
+        self.line_end_bytes_left_ = kLineEndBytes;
         self.check_line_end(at + n);
     }
     if (self.on_body) self.on_body({at, n});
     return self.fault_ == Fault::none ? 0 : 1;
 }
 
-// Guards against a chunk that is said to be huge and keeps on coming.
+// Guards against a chunk whose announced size is so large that its data never ends.
 int Parser::on_chunk_header(http_parser* parser) {
     Parser& self = Parser::from(parser);
     if (self.limits_.chunk == 0 || parser->content_length <= self.limits_.chunk) return 0;
@@ -165,11 +166,11 @@
     return false;
 }
 
-// Guards against a chunk that does not have the size it says: the library, as Debian builds it, takes any two
-// bytes for the end of a chunk's line.
+// Guards against a chunk whose data does not have the announced size: the library, as Debian builds it,
+// accepts any two bytes as the line end after the data.
 void Parser::check_line_end(const char* at) {
-    for (; line_end_left_ > 0 && at < fed_end_; ++at, --line_end_left_) {
-        if (*at != (line_end_left_ == kLineEndBytes ? '\r' : '\n')) fault_ = Fault::malformed;
+    for (; line_end_bytes_left_ > 0 && at < input_end_; ++at, --line_end_bytes_left_) {
+        if (*at != (line_end_bytes_left_ == kLineEndBytes ? '\r' : '\n')) fault_ = Fault::malformed;
     }
 }
 
@@ -177,22 +178,22 @@
     if (fault_ != Fault::none || bytes.empty()) return 0;
     if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) http_parser_pause(&parser_, 0);
     complete_ = false;
-    fed_end_ = bytes.data() + bytes.size();
+    input_end_ = bytes.data() + bytes.size();
     check_line_end(bytes.data());
     if (fault_ != Fault::none) return 0;
-    const std::size_t taken = http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
+    const std::size_t parsed = http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
     const auto error = HTTP_PARSER_ERRNO(&parser_);
     if (error == HPE_PAUSED || (complete_ && error == HPE_OK)) {
-        // A message that ends with its head is paused before its last byte is counted.
+        // If a message ends with its head, the parser pauses before it counts the last byte.
         if (error == HPE_PAUSED) http_parser_pause(&parser_, 0);
         if (on_complete) on_complete();
-        return taken;
+        return parsed;
     }
     if (parser_.upgrade) fault_ = Fault::malformed;
     if (error != HPE_OK && fault_ == Fault::none) {
         fault_ = error == HPE_HEADER_OVERFLOW ? Fault::headers_too_large : Fault::malformed;
     }
-    return taken;
+    return parsed;
 }
 
 bool Parser::finish() {
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 messages: read from bytes in pieces of any size, by http-parser, and written. No I/O.
+// Parses HTTP/1.1 messages, whose bytes may arrive in fragments of any size, with http-parser, and writes
+// them. No I/O.
 #pragma once
 
 #include <http_parser.h>
@@ -13,37 +14,38 @@
 
 namespace gorsenotch::http {
 
-using Headers = std::vector<std::pair<std::string, std::string>>;  // names in lower case
+// Names, in lower case, and values.
+using Headers = std::vector<std::pair<std::string, std::string>>;
 
 // The first value of a header; null if absent. `name` in lower case.
 const std::string* find(const Headers& headers, std::string_view name);
 
-// Hold before memory is taken.
+// Limits of one message, checked before its memory is allocated.
 struct Limits {
-    std::size_t header_bytes = std::size_t{16} * 1024;  // names and values of one message, start line too
+    std::size_t header_bytes = std::size_t{16} * 1024;  // names, values and start line
     std::size_t headers = 100;
-    std::size_t body = std::size_t{4} * 1024 * 1024;  // bytes; 0: no limit (a body that is streamed on)
+    std::size_t body = std::size_t{4} * 1024 * 1024;  // bytes; 0: no limit (a body that is streamed)
     std::uint64_t chunk = 0;                          // bytes of one chunk; 0: no limit
 };
 
-// Why a message was refused.
+// Why a message was rejected.
 enum class Fault { none, malformed, headers_too_large, body_too_large };
 
-// Reads one message after another and stops at the end of each, so that the caller decides when the next one
-// is read. A fault is final: the connection must be closed after the answer. Callbacks are called from within
-// feed() and finish(), and may not destroy the parser.
+// Parses one message after another and stops at the end of each, so that the caller decides when the next one
+// is parsed. A fault is final: the connection must be closed after the response. Callbacks are called from
+// within feed() and finish() and must not destroy the parser.
 class Parser {
 public:
     enum class Kind { request, response };
 
-    // What was read of the current message.
+    // The current message, as far as it has been parsed.
     std::string method;  // requests
     std::string target;  // requests
     int status = 0;      // responses
     int minor = 1;       // HTTP/1.x
     Headers headers;
     bool keep_alive = false;
-    bool framed = false;  // it ends by a length or by chunks, not with the connection
+    bool framed = false;  // it ends by its length or its last chunk, not with the connection
 
     std::function<void()> on_headers;
     std::function<void(std::string_view)> on_body;
@@ -51,14 +53,15 @@
 
     Parser(Kind kind, Limits limits);
 
-    // Reads bytes up to the end of the current message; returns how many. Check fault() afterwards.
+    // Parses bytes up to the end of the current message and returns their number. Check fault() afterwards.
     std::size_t feed(std::string_view bytes);
-    // The peer closed: true if that ends a message rightly (a response without a length, or none begun).
+    // To be called when the peer has closed the connection. True if that is a valid end: of a response
+    // without a length, or between messages.
     bool finish();
 
     Fault fault() const { return fault_; }
     bool complete() const { return complete_; }  // the current message has ended
-    bool begun() const { return begun_; }        // bytes of a message have come that has not ended
+    bool begun() const { return begun_; }        // bytes of an incomplete message have been parsed
 
 private:
     static Parser& from(http_parser* parser);
@@ -74,6 +77,7 @@
     static const http_parser_settings& callbacks();
     // False: a limit is exceeded.
     bool count_header_bytes(std::size_t n);
+    // Checks the bytes from `at` on that belong to the line end after a chunk's data.
     void check_line_end(const char* at);
 
     http_parser parser_{};
@@ -82,21 +86,21 @@
     bool complete_ = false;
     bool begun_ = false;
     bool in_header_value_ = false;
-    const char* fed_end_ = nullptr;  // of the bytes being fed
-    int line_end_left_ = 0;          // bytes of the line end behind a chunk that have yet to come
+    const char* input_end_ = nullptr;  // end of the bytes passed to feed()
+    int line_end_bytes_left_ = 0;      // missing bytes of the line end after a chunk's data
     std::size_t header_bytes_ = 0;
     std::size_t body_bytes_ = 0;
 };
 
-// The head of a message, with the headers as given; the empty line behind them included.
+// The head of a message with these headers, including the empty line after them.
 std::string request_head(std::string_view method, std::string_view target, const Headers& headers);
 std::string response_head(int status, const Headers& headers);
-// Appends what chunk() returns.
+// Appends the bytes that chunk() returns.
 void append_chunk(std::string& out, std::string_view bytes);
 // One chunk of a chunked body; empty input gives no bytes.
 std::string chunk(std::string_view bytes);
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
-// The reason phrase of a status; "Status" if it is none that this program sends.
+// The reason phrase of a status; "Status" for a status that this program does not send.
 std::string_view reason(int status);
 
 }  // namespace gorsenotch::http
