--- a/src/http/sse.cpp
+++ b/src/http/sse.cpp
@@ -8,9 +8,9 @@
 
 constexpr std::string_view kByteOrderMark = "\xEF\xBB\xBF";
 
-// Where the first line in `bytes` ends; npos if it does not.
+// The position of the first line end in `bytes`; npos if there is none.
 std::size_t find_line_end(std::string_view bytes) {
-    // The LF first: a CR is searched for in one line only, however long the rest is.
+    // Finds the LF first, so that a CR is searched for in one line only, however long the rest is.
     const auto line_feed = bytes.find('\n');
     const auto carriage_return = bytes.substr(0, line_feed).find('\r');
     return carriage_return != std::string_view::npos ? carriage_return : line_feed;
@@ -27,8 +27,8 @@
         }
         const auto end = find_line_end(bytes);
         const auto part = bytes.substr(0, end);
-        // Guards against memory taken by a line that never ends.
-        if (line_.size() + data_.size() + part.size() > max_event_) {
+        // Guards against unbounded memory use by a line that never ends.
+        if (line_.size() + data_.size() + part.size() > max_event_bytes_) {
             too_long_ = true;
             return false;
         }
@@ -64,7 +64,7 @@
 }
 
 void SseReader::end_event() {
-    // Handed on in place: the strings keep their memory for the next event.
+    // Passed by reference, so that the strings keep their memory for the next event.
     if (std::exchange(has_data_, false) && on_event) on_event(name_, data_);
     name_.clear();
     data_.clear();
