--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -18,7 +18,7 @@
     return logger;
 }
 
-// Of the whole process; changed by open() and close() alone.
+// Logging state of the process; modified only by open() and close().
 struct State {
     std::shared_ptr<spdlog::details::thread_pool> pool;  // null unless open
     std::shared_ptr<spdlog::logger> logger = synchronous_logger();
@@ -53,7 +53,7 @@
     const std::size_t dropped = current.pool ? current.pool->overrun_counter() : 0;
     current.logger = synchronous_logger();
     current.logger->set_level(level);
-    current.pool.reset();  // its thread ends when it has written all queued lines
+    current.pool.reset();  // waits until its thread has written all queued lines
     if (dropped > 0) write("warn", "log_dropped", {{"lines", dropped}});
 }
 
