--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -10,37 +10,42 @@
 namespace gorsenotch::settings {
 namespace {
 
-constexpr double kMaxCount = 10000;  // of classes or tenants
+constexpr double kMaxListLength = 10000;  // classes or tenants
 constexpr double kMaxInteger = 1e9;
 
 double parse_number(const std::string& path, const std::string& text) {
     const auto value = to_number<double>(text);
-    if (!value) throw SettingsError(path + ": bad number '" + text + "'");
+    if (!value) throw SettingsError(path + ": expected a number, got '" + text + "'");
     return *value;
 }
 
 template <class Value, std::size_t count>
-Value parse_word(const std::string& path, const std::string& word,
-                 const std::array<NamedValue<Value>, count>& words) {
+Value parse_named_value(const std::string& path, const std::string& word,
+                        const std::array<NamedValue<Value>, count>& words) {
     const auto value = to_one_of(word, words);
-    if (!value) throw SettingsError(path + ": unknown word '" + word + "'");
+    if (!value) throw SettingsError(path + ": unknown value '" + word + "'");
     return *value;
 }
 
-double item(const SettingValues& values, const std::string& path, std::size_t index, double absent) {
+// The number at `index` of the list `path`; `fallback` if the list is shorter.
+double list_number(const SettingValues& values, const std::string& path, std::size_t index, double fallback) {
     const auto& items = values.list(path);
-    return index < items.size() ? parse_number(path, items[index]) : absent;
+    return index < items.size() ? parse_number(path, items[index]) : fallback;
 }
 
-std::size_t count(const SettingValues& values, const std::string& path) {
+std::size_t list_length(const SettingValues& values, const std::string& path) {
     const double number = values.number_or(path, 0);
-    if (number < 0 || number > kMaxCount) throw SettingsError(path + ": out of range");
+    if (number < 0 || number > kMaxListLength)
+        throw SettingsError(path + ": out of range, got '" + values.text(path, "") +
+                            "', expected 0 to 10000");
     return static_cast<std::size_t>(number);
 }
 
-int integer(const SettingValues& values, const std::string& path, int absent) {
-    const double number = values.number_or(path, absent);
-    if (std::abs(number) > kMaxInteger) throw SettingsError(path + ": out of range");
+int integer(const SettingValues& values, const std::string& path, int fallback) {
+    const double number = values.number_or(path, fallback);
+    if (std::abs(number) > kMaxInteger)
+        throw SettingsError(path + ": out of range, got '" + values.text(path, "") +
+                            "', expected -1e9 to 1e9");
     return static_cast<int>(number);
 }
 
@@ -48,20 +53,21 @@
     ClassSettings cls;
     cls.latency_objective = values.number_or(prefix + "SloMs", 0);
     cls.latency_objective_per_1000_tokens =
-        item(values, "FamilyInfo.AimUsPer1000PromptTokens", index, 0) / 1000.0;
+        list_number(values, "FamilyInfo.AimUsPer1000PromptTokens", index, 0) / 1000.0;
     cls.deadline = values.number_or(prefix + "DeadlineMs", 0);
     cls.priority_weight = values.number_or(prefix + "Importance", 1);
     cls.late_value_fraction = values.number_or(prefix + "LateShare", 0);
-    cls.inter_token_objective = item(values, "FamilyInfo.TokenAimMs", index, 0);
+    cls.inter_token_objective = list_number(values, "FamilyInfo.TokenAimMs", index, 0);
     cls.idempotency =
-        parse_word(prefix + "Effect", values.text(prefix + "Effect", "once"), kIdempotencyWords);
-    cls.dedup_scope = parse_word(prefix + "Group", values.text(prefix + "Group", "all"), kDedupScopeWords);
+        parse_named_value(prefix + "Effect", values.text(prefix + "Effect", "once"), kIdempotencyWords);
+    cls.dedup_scope =
+        parse_named_value(prefix + "Group", values.text(prefix + "Group", "all"), kDedupScopeWords);
     cls.dedup_window = values.number_or(prefix + "WindowMs", 0);
     return cls;
 }
 
 void parse_classes(const SettingValues& values, NamedSettings& named) {
-    for (std::size_t i = 0; i < count(values, "Lanes.count"); ++i) {
+    for (std::size_t i = 0; i < list_length(values, "Lanes.count"); ++i) {
         const std::string prefix = "Lanes." + std::to_string(i) + ".";
         named.settings.classes.push_back(parse_class(values, prefix, i));
         named.classes.emplace(values.text(prefix + "Name", ""), static_cast<int>(i));
@@ -69,7 +75,7 @@
 }
 
 void parse_tenants(const SettingValues& values, NamedSettings& named) {
-    for (std::size_t i = 0; i < count(values, "Tenants.count"); ++i) {
+    for (std::size_t i = 0; i < list_length(values, "Tenants.count"); ++i) {
         const std::string prefix = "Tenants." + std::to_string(i) + ".";
         named.settings.tenants.push_back({values.number_or(prefix + "QuotaPerS", 0)});
         named.tenants.emplace(values.text(prefix + "Name", ""), static_cast<int>(i));
@@ -79,10 +85,10 @@
 void parse_kinds(const SettingValues& values, NamedSettings& named) {
     const auto& kinds = values.list("Flavors");
     const auto& roles = values.list("FamilyInfo.RoleByKind");
-    if (kinds.size() != roles.size()) return;  // then no kind is known, which the Router refuses
+    if (kinds.size() != roles.size()) return;  // leaves the kinds empty, which the Router rejects
     for (std::size_t i = 0; i < kinds.size(); ++i) {
-        const Role role = parse_word("FamilyInfo.RoleByKind", roles[i], kRoleWords);
-        named.settings.kinds.push_back({role, item(values, "FamilyInfo.KindMemoryTokens", i, 0)});
+        const Role role = parse_named_value("FamilyInfo.RoleByKind", roles[i], kRoleWords);
+        named.settings.kinds.push_back({role, list_number(values, "FamilyInfo.KindMemoryTokens", i, 0)});
         named.kinds[kinds[i]] = static_cast<int>(i);
     }
 }
@@ -101,7 +107,7 @@
     settings.poll_interval = values.number_or("Guarantees.AskWithinMs", 0);
 }
 
-// What the Router may do, and how often.
+// What the Router may do, and the limits of it.
 void parse_features(const SettingValues& values, Settings& settings) {
     settings.max_attempts = integer(values, "Ceilings.AttemptsCap", 1);
     settings.cancellation = values.flag("Ceilings.Cancel");
@@ -116,7 +122,7 @@
     settings.over_quota_weight = values.number_or("OverShareWorth", 1);
 }
 
-// What the Router must keep to.
+// The guarantees that the Router must meet.
 void parse_guarantees(const SettingValues& values, Settings& settings) {
     settings.answer_slack = values.number_or("Guarantees.AnswerSlackMs", 0);
     settings.drain_grace = values.number_or("Guarantees.DrainGraceMs", 0);
@@ -129,28 +135,28 @@
 
 }  // namespace
 
-double SettingValues::number_or(const std::string& path, double absent) const {
+double SettingValues::number_or(const std::string& path, double fallback) const {
     const auto it = values_.find(path);
-    if (it == values_.end() || it->second.empty() || it->second[0] == "-") return absent;
+    if (it == values_.end() || it->second.empty() || it->second[0] == "-") return fallback;
     return parse_number(path, it->second[0]);
 }
 
 bool SettingValues::flag(const std::string& path) const {
     const std::string word = text(path, "-");
     const auto value = to_bool(word);
-    if (!value) throw SettingsError(path + ": bad bool '" + word + "'");
+    if (!value) throw SettingsError(path + ": expected 1, true, 0, false or -, got '" + word + "'");
     return *value;
 }
 
-std::string SettingValues::text(const std::string& path, const std::string& absent) const {
+std::string SettingValues::text(const std::string& path, const std::string& fallback) const {
     const auto it = values_.find(path);
-    return it == values_.end() || it->second.empty() ? absent : it->second[0];
+    return it == values_.end() || it->second.empty() ? fallback : it->second[0];
 }
 
 const std::vector<std::string>& SettingValues::list(const std::string& path) const {
-    static const std::vector<std::string> none;
+    static const std::vector<std::string> empty;
     const auto it = values_.find(path);
-    return it == values_.end() ? none : it->second;
+    return it == values_.end() ? empty : it->second;
 }
 
 NamedSettings parse_named_settings(const SettingValues& values) {
--- a/src/settings/deployment_settings.h
+++ b/src/settings/deployment_settings.h
@@ -1,6 +1,6 @@
-// The operators' settings, under their names, as the Router's Settings. Both forms in which they come (the
-// simulator's pairs, the configuration file's JSON) are brought into one SettingValues first, so that the
-// mapping exists once, in the source of this header. Units: the names say them; times become ms. Errors:
+// Converts the operators' settings, by their names, to the Router's Settings. Both formats (the simulator's
+// pairs and the configuration file's JSON) are first converted to SettingValues, so that the mapping exists
+// only once, in the source file of this header. Units: as the settings' names say; times become ms. Errors:
 // SettingsError names the setting.
 #pragma once
 
@@ -14,36 +14,37 @@
 
 namespace gorsenotch::settings {
 
-// A setting that cannot be read; the message names it.
+// Thrown for a setting that cannot be parsed; the message names the setting.
 struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Values by path: `Lanes.0.Name`; a list of plain values is one value of several items, a list of objects
-// has its length under `.count`. The value "-" means absent.
+// Values by path, such as `Lanes.0.Name`. A list of plain values is one value of several items; the length of
+// a list of objects is stored under `.count`. The value "-" means absent.
 class SettingValues {
 public:
     void set(const std::string& path, std::vector<std::string> items) { values_[path] = std::move(items); }
     bool has(const std::string& path) const { return values_.count(path) > 0; }
-    // Throws SettingsError where the value is no number.
-    double number_or(const std::string& path, double absent) const;
-    // False where absent. Throws SettingsError where the value is no bool.
+    // Returns `fallback` if absent. Throws SettingsError if the value is not a number.
+    double number_or(const std::string& path, double fallback) const;
+    // Returns false if absent. Throws SettingsError if the value is not a boolean.
     bool flag(const std::string& path) const;
-    std::string text(const std::string& path, const std::string& absent) const;
-    // Empty where absent; valid as long as this.
+    // Returns `fallback` if absent.
+    std::string text(const std::string& path, const std::string& fallback) const;
+    // Returns an empty list if absent. The reference is valid until the values change.
     const std::vector<std::string>& list(const std::string& path) const;
 
 private:
     std::map<std::string, std::vector<std::string>> values_;
 };
 
-// Settings with the names of what they refer to by index.
+// Settings, with the names of the classes, tenants, zones and kinds that they refer to by index.
 struct NamedSettings {
     Settings settings;
     std::map<std::string, int> classes, tenants, zones, kinds;  // index by name
-    Millis idle_close = 0;  // endpoints close connections that have been idle for so long; 0: unknown
+    Millis idle_close = 0;  // endpoints close connections that have been idle for this time; 0: unknown
 };
-// Throws SettingsError. Settings that contradict each other are for the Router to refuse.
+// Throws SettingsError. Contradictory settings are rejected by the Router, not here.
 NamedSettings parse_named_settings(const SettingValues& values);
 
 }  // namespace gorsenotch::settings
--- a/src/settings/setting_words.h
+++ b/src/settings/setting_words.h
@@ -1,4 +1,4 @@
-// The words of the settings and the values that they stand for, the same in both forms of settings.
+// The words of the settings and the values that they stand for, the same in both settings formats.
 #pragma once
 
 #include <array>
--- a/src/settings/text_values.h
+++ b/src/settings/text_values.h
@@ -1,5 +1,5 @@
-// Values in the operators' texts: numbers, bools, words from a set. Nothing where the text is no such value;
-// the caller, who knows where it was found, reports that.
+// Parses values in operators' texts: numbers, booleans and words from a set. Returns nothing if the text is
+// no such value; the caller, which knows the location of the text, reports the error.
 #pragma once
 
 #include <array>
@@ -19,7 +19,7 @@
     Value value;
 };
 
-// All of the text as a number; a fraction must be finite.
+// Parses the whole text as a number; a floating-point number must be finite.
 template <class Number>
 std::optional<Number> to_number(const std::string& text) {
     Number value{};
@@ -32,13 +32,14 @@
     return value;
 }
 
-// "-" says absent, which is no.
+// "-" stands for an absent value, which is false.
 inline std::optional<bool> to_bool(const std::string& text) {
     if (text == "1" || text == "true") return true;
     if (text == "0" || text == "false" || text == "-") return false;
     return std::nullopt;
 }
 
+// The value of the word that equals `text`.
 template <class Value, std::size_t count>
 std::optional<Value> to_one_of(const std::string& text, const std::array<NamedValue<Value>, count>& words) {
     for (const auto& word : words) {
