--- a/src/settings/fleet_file.cpp
+++ b/src/settings/fleet_file.cpp
@@ -11,6 +11,7 @@
 namespace gorsenotch::settings {
 namespace {
 
+// Values of the attribute `mode`.
 constexpr std::array<NamedValue<EndpointStatus>, 3> kModes = {{{"healthy", EndpointStatus::healthy},
                                                                {"draining", EndpointStatus::draining},
                                                                {"gone", EndpointStatus::removed}}};
@@ -44,10 +45,10 @@
     for (const auto& element : list.children("engine")) {
         const Engine engine = read_engine(reader, element);
         if (!ids.insert(engine.endpoint.id).second)
-            reader.add_fault(element, "id " + element.text("id") + " stands twice");
-        // Two engines behind one address would each be counted for the other's work.
+            reader.add_fault(element, "duplicate id " + element.text("id"));
+        // Of two engines at one address, each would be charged with the other's load.
         if (!addresses.insert(engine.address).second)
-            reader.add_fault(element, "address " + engine.address + " stands twice");
+            reader.add_fault(element, "duplicate address " + engine.address);
         engines.push_back(engine);
     }
     return engines;
@@ -57,8 +58,8 @@
                                                std::vector<FileFault>& faults) {
     const auto document = Document::parse(text, "fleet", faults);
     if (!document) return std::nullopt;
-    Program names = program;
-    SectionReader reader(names, faults);
+    Program known_names = program;
+    SectionReader reader(known_names, faults);
     auto engines = read_engines(reader, document->root());
     if (!faults.empty()) return std::nullopt;
     return engines;
--- a/src/settings/fleet_file.h
+++ b/src/settings/fleet_file.h
@@ -1,4 +1,4 @@
-// The list of engines, in the settings file or in a fleet file of its own.
+// Reads the list of engines, in the settings file or in a separate fleet file.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace gorsenotch::settings {
 
-// The engines of a <fleet> element, by the names of the reader's Program.
+// The engines of a <fleet> element. Kinds and zones are resolved by the names in the reader's Program.
 std::vector<Engine> read_engines(SectionReader& reader, const Element& list);
 
 }  // namespace gorsenotch::settings
--- a/src/settings/section_reader.cpp
+++ b/src/settings/section_reader.cpp
@@ -9,7 +9,7 @@
     const std::string name = element.text(attribute);
     const auto it = std::find(names.begin(), names.end(), name);
     if (it != names.end()) return static_cast<int>(it - names.begin());
-    add_fault(element, std::string(attribute) + ": there is no '" + name + "'");
+    add_fault(element, std::string(attribute) + ": unknown name '" + name + "'");
     return 0;
 }
 
@@ -17,7 +17,7 @@
     for (const auto& element : list.children(child)) {
         const std::string name = element.text("name");
         if (std::find(names.begin(), names.end(), name) != names.end())
-            add_fault(element, "'" + name + "' stands twice");
+            add_fault(element, "duplicate name '" + name + "'");
         names.push_back(name);
     }
 }
--- a/src/settings/section_reader.h
+++ b/src/settings/section_reader.h
@@ -1,5 +1,5 @@
-// What the readers of the settings file's sections share: they fill in a Program and gather faults, each with
-// its element, instead of stopping at the first.
+// Shared by the readers of the settings file's sections, which fill in a Program and collect all faults, each
+// with its element, instead of stopping at the first.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace gorsenotch::settings {
 
-// Refers to the Program and the faults, which its user owns.
+// Refers to the Program and the faults, which the caller owns.
 class SectionReader {
 public:
     SectionReader(Program& program, std::vector<FileFault>& faults) : program_(program), faults_(faults) {}
@@ -21,9 +21,9 @@
     void add_fault(const Element& element, const std::string& reason) {
         faults_.push_back({element.line(), element.name(), reason});
     }
-    // The index of the name in `attribute` among `names`; 0 and a fault if it is not there.
+    // The index in `names` of the name in `attribute`; 0, with a fault added, if the name is unknown.
     int index_of(const Element& element, const char* attribute, const std::vector<std::string>& names);
-    // Appends the names of the list's children; a fault for each that is there already.
+    // Appends the names of the list's children; adds a fault for each duplicate.
     void read_names(const Element& list, const char* child, std::vector<std::string>& names);
 
 private:
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -45,7 +45,7 @@
 
 // ---- <tenants> ----
 
-// The schema has checked that `hex` has two digits a byte.
+// The schema has checked that `hex` has two digits per byte.
 Digest parse_digest(const std::string& hex) {
     Digest digest{};
     for (std::size_t i = 0; i < digest.size(); ++i)
@@ -59,7 +59,7 @@
     std::istringstream words(element.text("models"));
     for (std::string model; words >> model;) {
         if (std::find(known.begin(), known.end(), model) == known.end())
-            reader.add_fault(element, "models: there is no '" + model + "'");
+            reader.add_fault(element, "models: unknown name '" + model + "'");
         models.push_back(model);
     }
     return models;
@@ -75,7 +75,7 @@
         program.tenant_models.push_back(read_tenant_models(reader, element));
         for (const auto& key : element.children("key")) {
             const std::string hex = key.text("sha256");
-            if (!digests.insert(hex).second) reader.add_fault(key, "this key stands twice");
+            if (!digests.insert(hex).second) reader.add_fault(key, "duplicate key");
             program.keys.emplace_back(parse_digest(hex), tenant);
         }
         ++tenant;
@@ -99,15 +99,19 @@
 }
 
 void check_class(SectionReader& reader, const Element& element, const ClassSettings& cls) {
-    if (cls.latency_objective > cls.deadline) reader.add_fault(element, "aim-ms is beyond deadline-ms");
-    // A retry could come after the engines have forgotten the first attempt.
+    if (cls.latency_objective > cls.deadline)
+        reader.add_fault(element, "aim-ms must not exceed deadline-ms, got " + element.text("aim-ms") +
+                                      " and " + element.text("deadline-ms"));
+    // Without a window, a retry could arrive after the engines have forgotten the first attempt.
     if (cls.idempotency == Idempotency::with_key && cls.dedup_window <= 0)
-        reader.add_fault(element, "effect 'by_key' needs window-ms: how long engines remember a key");
+        reader.add_fault(element,
+                         "effect 'by_key' requires window-ms above 0: how long engines remember a key");
     if (cls.idempotency != Idempotency::with_key && cls.dedup_window > 0)
-        reader.add_fault(element, "window-ms is for effect 'by_key' only");
+        reader.add_fault(element, "window-ms is valid only for effect 'by_key', got effect '" +
+                                      element.text("effect") + "'");
 }
 
-// Without a key nothing tells an engine of a repeat: such a request counts as unsafe, in a class of its own.
+// Without a key an engine cannot detect a duplicate: such a request counts as unsafe, in a class of its own.
 void add_unkeyed_classes(Program& program) {
     const std::size_t count = program.router.classes.size();
     for (std::size_t i = 0; i < count; ++i) {
@@ -141,7 +145,9 @@
         const Role role = to_one_of(element.text("role"), kRoleWords).value_or(Role::mixed);
         const double memory_tokens = element.number("memory-tokens");
         program.router.kinds.push_back({role, memory_tokens});
-        if (memory_tokens < 1) reader.add_fault(element, "memory-tokens should be 1 or more");
+        if (memory_tokens < 1)
+            reader.add_fault(element,
+                             "memory-tokens must be 1 or more, got " + element.text("memory-tokens"));
     }
 }
 
@@ -163,7 +169,7 @@
     route.header = lower_case(element.text("header"));
     route.value = element.text("value");
     if (route.header.empty() != !element.has("value"))
-        reader.add_fault(element, "header and value go together");
+        reader.add_fault(element, "header and value must be given together");
     route.min_prompt_tokens = element.number("least-prompt-tokens");
     return route;
 }
@@ -173,11 +179,11 @@
     std::vector<Route>& routes = reader.program().routes;
     for (const auto& element : elements) {
         routes.push_back(read_route(reader, element));
-        if (routes.back().any() && &element != &elements.back())
-            reader.add_fault(element, "matches all, so no later route is ever reached");
+        if (routes.back().matches_every_request() && &element != &elements.back())
+            reader.add_fault(element, "matches every request, so no later route is ever reached");
     }
-    if (!routes.back().any())
-        reader.add_fault(elements.back(), "the last route must match all: give it a class only");
+    if (!routes.back().matches_every_request())
+        reader.add_fault(elements.back(), "the last route must match every request: give it a class only");
 }
 
 // ---- <routing> and <guarantees> ----
@@ -196,7 +202,7 @@
     settings.overload_window = 2000;
     settings.initial_capacity = 0.3;
     settings.slow_start_duration = 10000;
-    settings.event_interval = 2;  // the loop's timers are whole milliseconds; events come at once
+    settings.event_interval = 2;  // the event loop's timers have whole milliseconds; events are not delayed
 }
 
 void read_routing(SectionReader& reader, const Element& element) {
@@ -217,8 +223,8 @@
         std::any_of(settings.classes.begin(), settings.classes.end(),
                     [&](const ClassSettings& cls) { return settings.connect_timeout >= cls.deadline; });
     if (reaches_deadline)
-        reader.add_fault(element,
-                         "dial-timeout-ms reaches a class's deadline-ms: no second server could be tried");
+        reader.add_fault(element, "dial-timeout-ms must be below every class's deadline-ms, got " +
+                                      element.text("dial-timeout-ms") + ": no second server could be tried");
 }
 
 void read_guarantees(SectionReader& reader, const Element& element) {
@@ -231,19 +237,21 @@
     settings.overload_window = element.number("fall-window-ms");
     settings.initial_capacity = element.number("start-capacity");
     settings.slow_start_duration = element.number("warm-ms");
-    if (settings.initial_capacity <= 0) reader.add_fault(element, "start-capacity should be above 0");
-    if (settings.overload_factor < 1) reader.add_fault(element, "fall-multiple should be 1 or more");
+    if (settings.initial_capacity <= 0)
+        reader.add_fault(element, "start-capacity must be above 0, got " + element.text("start-capacity"));
+    if (settings.overload_factor < 1)
+        reader.add_fault(element, "fall-multiple must be 1 or more, got " + element.text("fall-multiple"));
 }
 
 // ---- <fleet> ----
 
-// `file`: the settings file, from whose folder a relative path of the fleet file counts.
+// `file`: the settings file; a relative path of the fleet file is resolved against its directory.
 void read_fleet(SectionReader& reader, const Element& element, const std::string& file) {
     Program& program = reader.program();
     program.engines = read_engines(reader, element);
     program.fleet_file = element.text("file");
     if (program.fleet_file.empty() && program.engines.empty())
-        reader.add_fault(element, "give engines, a file, or both");
+        reader.add_fault(element, "no engines: give engine elements, a file, or both");
     if (program.fleet_file.empty() || program.fleet_file.front() == '/') return;
     program.fleet_file = (std::filesystem::path(file).parent_path() / program.fleet_file).string();
 }
@@ -271,11 +279,11 @@
     for (const auto& element : list.children("standin")) {
         const int kind = reader.index_of(element, "kind", program.kinds);
         if (!program.fake_engines.emplace(kind, read_fake_engine(element)).second)
-            reader.add_fault(element, "this kind stands twice");
+            reader.add_fault(element, "duplicate kind '" + element.text("kind") + "'");
     }
 }
 
-// ---- all of them, in an order in which names are known before they are referred to ----
+// ---- all sections, in an order in which names are defined before they are referred to ----
 
 void read_all(SectionReader& reader, const Element& root, const std::string& file) {
     Program& program = reader.program();
@@ -297,7 +305,7 @@
     read_fake_engines(reader, root.child("standins"));
 }
 
-// What the Router itself refuses.
+// Adds a fault for settings that the Router itself rejects.
 void check_with_router(const Program& program, const Element& root, std::vector<FileFault>& faults) {
     try {
         const Router router(program.router, 1);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,5 +1,5 @@
-// A gateway's settings at start: the settings file, checked and resolved to indices. Times are ms, sizes
-// bytes. Errors: all faults of a file, each with its line.
+// A gateway's settings at start: the settings file, validated, with names resolved to indices. Times are ms,
+// sizes bytes. Errors: all faults of a file, each with its line.
 #pragma once
 
 #include <array>
@@ -14,21 +14,24 @@
 
 namespace gorsenotch::settings {
 
-// An engine of the settings or of the fleet file.
+// An engine of the settings file or of the fleet file.
 struct Engine {
-    Endpoint endpoint;    // `started` in ms since 1970 here; the gateway turns it into its own clock
+    Endpoint endpoint;    // `started_at` in ms since 1970; the gateway converts it to its own clock
     std::string address;  // "host:port", numeric
 };
 
-struct Route {  // a request matches if all that is given matches
+// Assigns a class to the requests that match all given conditions.
+struct Route {
     int cls = 0;
     std::string model, header, value;  // header name in lower case
-    int tenant = -1;
+    int tenant = -1;                   // -1: any
     double min_prompt_tokens = 0;
-    bool any() const { return model.empty() && header.empty() && tenant < 0 && min_prompt_tokens <= 0; }
+    bool matches_every_request() const {
+        return model.empty() && header.empty() && tenant < 0 && min_prompt_tokens <= 0;
+    }
 };
 
-// Bounds of a gateway; names say the units.
+// Limits of a gateway: sizes in bytes, times in ms, and counts.
 struct Limits {
     std::size_t header_bytes = 16384, headers = 100, body_bytes = 4194304, open_requests = 20000;
     std::size_t stream_buffer = 32768, whole_answer = 4194304, event_bytes = 1048576;
@@ -37,7 +40,7 @@
     std::size_t engine_idle = 64;
 };
 
-// Pace of a fake engine of one kind.
+// Capacity and speed of the fake engines of one kind. Times are ms, rates are tokens per second.
 struct FakeEngineSettings {
     int slots = 16, queue = 64, answer_tokens = 60;
     double read_per_s = 20000, fetch_per_s = 300000, kept_tokens = 50000;
@@ -45,17 +48,18 @@
     bool cancels = true;
 };
 
+// A SHA-256 digest.
 using Digest = std::array<unsigned char, 32>;
 
-// A settings file's contents, validated.
+// The contents of a valid settings file.
 struct Program {
     std::string listen, log_level = "info", fleet_file, source;
     Limits limits;
     std::vector<std::string> models, tenants, classes, zones, kinds;  // names, by index
-    std::vector<std::pair<Digest, int>> keys;                         // SHA-256 of a key, its tenant
+    std::vector<std::pair<Digest, int>> keys;                         // digest of a key, and its tenant
     std::vector<std::vector<std::string>> tenant_models;              // by tenant; empty: all
-    std::map<int, int>
-        unkeyed_class;  // class with_key -> its twin of effect once, for requests without a key
+    // For each class with idempotency with_key, its unsafe copy for requests without a key.
+    std::map<int, int> unkeyed_class;
     std::vector<Route> routes;
     std::vector<Engine> engines;
     Settings router;
@@ -64,16 +68,19 @@
 };
 
 Digest sha256(std::string_view text);
-// The tenant whose key this is, -1 if none. Takes the same time whichever matches.
+// The tenant that the key belongs to; -1 if none. Takes the same time whichever key matches.
 int tenant_of(const Program& program, std::string_view key);
 
-// Null and faults if anything is wrong. `file` serves for the fleet file's folder.
+// Nothing, with faults added, if the settings are invalid. `file`: the settings file, to whose directory the
+// fleet file's path is relative.
 std::optional<Program> parse(std::string_view text, const std::string& file, std::vector<FileFault>& faults);
 std::optional<Program> load(const std::string& file, std::vector<FileFault>& faults);
 
-// A fleet file's engines, by the names of `p`.
+// The engines of a fleet file, whose kinds and zones are resolved by the names in `program`. Nothing, with
+// faults added, if the text is invalid.
 std::optional<std::vector<Engine>> parse_fleet(std::string_view text, const Program& program,
                                                std::vector<FileFault>& faults);
+// The text of a fleet file with these engines.
 std::string write_fleet(const std::vector<Engine>& engines, const Program& program);
 
 }  // namespace gorsenotch::settings
--- a/src/settings/tenant_keys.cpp
+++ b/src/settings/tenant_keys.cpp
@@ -1,4 +1,4 @@
-// Tenants' keys, of which only digests are kept: see settings/settings.h.
+// Tenants' keys, of which only digests are stored: see settings/settings.h.
 #include <openssl/sha.h>
 
 #include "settings/settings.h"
@@ -14,13 +14,13 @@
 int tenant_of(const Program& program, std::string_view key) {
     const Digest digest = sha256(key);
     int found = -1;
-    // Guards against keys guessed by time: every stored digest is compared, and all of it.
+    // Guards against timing attacks on keys: every stored digest is compared completely.
     for (const auto& [stored, tenant] : program.keys) {
-        unsigned differ = 0;
+        unsigned difference = 0;
         for (std::size_t i = 0; i < digest.size(); ++i)
-            differ |= static_cast<unsigned>(stored[i] ^ digest[i]);
-        const int same = differ == 0 ? -1 : 0;
-        found = (tenant & same) | (found & ~same);
+            difference |= static_cast<unsigned>(stored[i] ^ digest[i]);
+        const int match_mask = difference == 0 ? -1 : 0;
+        found = (tenant & match_mask) | (found & ~match_mask);
     }
     return found;
 }
