--- a/src/settings/xml.cpp
+++ b/src/settings/xml.cpp
@@ -15,15 +15,15 @@
 namespace gorsenotch::settings {
 namespace {
 
-constexpr std::size_t kMaxFaults = 100;  // of one file, so that a broken one does not fill the log
+constexpr std::size_t kMaxFaults = 100;  // per file, so that a broken file does not fill the log
 constexpr std::size_t kMaxFileMib = 16;
 constexpr std::size_t kMaxFileBytes = kMaxFileMib * 1024 * 1024;
 
 xmlNode* node(void* untyped) { return static_cast<xmlNode*>(untyped); }
 const xmlChar* xml_text(const char* text) { return reinterpret_cast<const xmlChar*>(text); }
 
-// Without the line's end, and without the schema's namespace, which says nothing to a reader.
-std::string trimmed(std::string message) {
+// Removes the line end and the schema's namespace, which is of no use to the reader.
+std::string trim_message(std::string message) {
     while (!message.empty() && (message.back() == '\n' || message.back() == ' ')) message.pop_back();
     const std::string name_space = "{urn:gorsenotch:1}";
     for (auto at = message.find(name_space); at != std::string::npos; at = message.find(name_space))
@@ -31,36 +31,36 @@
     return message;
 }
 
-// libxml2's callback; `into` is the vector of faults.
-void add_fault(void* into, xmlErrorPtr error) {
-    auto& faults = *static_cast<std::vector<FileFault>*>(into);
+// Error callback for libxml2; `fault_list` is the vector of faults.
+void add_fault(void* fault_list, xmlErrorPtr error) {
+    auto& faults = *static_cast<std::vector<FileFault>*>(fault_list);
     if (faults.size() >= kMaxFaults) return;
-    std::string reason = trimmed(error->message ? error->message : "unknown fault");
+    std::string reason = trim_message(error->message ? error->message : "unknown XML error");
     std::string element;
     if (error->node) element = reinterpret_cast<const char*>(static_cast<xmlNode*>(error->node)->name);
     const std::string prefix = "Element '" + element + "'";
     if (!element.empty() && reason.rfind(prefix, 0) == 0)
-        reason.erase(0, prefix.size() + 2);  // and ": " or ", "
+        reason.erase(0, prefix.size() + 2);  // with ": " or ", "
     faults.push_back({error->line, element, reason});
 }
 
-// Parsed once, and kept for the life of the process.
+// The schema, parsed once and kept for the lifetime of the process.
 xmlSchemaPtr schema() {
     static xmlSchemaPtr parsed = [] {
         auto* parser = xmlSchemaNewMemParserCtxt(kSchema, static_cast<int>(std::strlen(kSchema)));
-        auto* made = xmlSchemaParse(parser);
+        auto* compiled = xmlSchemaParse(parser);
         xmlSchemaFreeParserCtxt(parser);
-        return made;
+        return compiled;
     }();
     return parsed;
 }
 
 void validate(xmlDoc* document, std::vector<FileFault>& faults) {
-    auto* valid = xmlSchemaNewValidCtxt(schema());
-    xmlSchemaSetValidStructuredErrors(valid, add_fault, &faults);
-    xmlSchemaSetValidOptions(valid, XML_SCHEMA_VAL_VC_I_CREATE);  // fill in defaults
-    xmlSchemaValidateDoc(valid, document);
-    xmlSchemaFreeValidCtxt(valid);
+    auto* context = xmlSchemaNewValidCtxt(schema());
+    xmlSchemaSetValidStructuredErrors(context, add_fault, &faults);
+    xmlSchemaSetValidOptions(context, XML_SCHEMA_VAL_VC_I_CREATE);  // fill in defaults
+    xmlSchemaValidateDoc(context, document);
+    xmlSchemaFreeValidCtxt(context);
 }
 
 }  // namespace
@@ -139,7 +139,7 @@
                                           std::vector<FileFault>& faults) {
     const std::size_t before = faults.size();
     auto* context = xmlNewParserCtxt();
-    // The errors of this parse alone are gathered; nothing is printed.
+    // Collects the errors of this parse only; libxml2 prints nothing.
     xmlSetStructuredErrorFunc(&faults, add_fault);
     xmlDoc* parsed = xmlCtxtReadMemory(context, text.data(), static_cast<int>(text.size()), nullptr, nullptr,
                                        XML_PARSE_NONET | XML_PARSE_BIG_LINES);
@@ -149,10 +149,10 @@
     if (!parsed && faults.size() == before) faults.push_back({0, "", "not an XML document"});
     if (parsed && parsed->intSubset) faults.push_back({0, "", "a document type declaration is not allowed"});
     if (faults.size() == before) {
-        const Element top = document->root();
-        if (!top || top.name() != root) {
-            faults.push_back({top ? top.line() : 0, top ? top.name() : "",
-                              std::string("the outermost element should be '") + root + "'"});
+        const Element found = document->root();
+        if (!found || found.name() != root) {
+            faults.push_back({found ? found.line() : 0, found ? found.name() : "",
+                              std::string("expected root element '") + root + "'"});
         } else {
             validate(parsed, faults);
         }
@@ -175,14 +175,15 @@
 
 bool read_file(const std::string& file, std::string& out, std::string& why) {
     std::ifstream in(file, std::ios::binary);
-    std::ostringstream all;
-    if (!in || !(all << in.rdbuf())) {
+    std::ostringstream content;
+    if (!in || !(content << in.rdbuf())) {
         why = "the file can't be read or is empty";
         return false;
     }
-    out = all.str();
+    out = content.str();
     if (out.size() <= kMaxFileBytes) return true;
-    why = "the file is larger than " + std::to_string(kMaxFileMib) + " MiB";
+    why = "the file has " + std::to_string(out.size()) + " bytes, more than the limit of " +
+          std::to_string(kMaxFileMib) + " MiB";
     return false;
 }
 
--- a/src/settings/xml.h
+++ b/src/settings/xml.h
@@ -1,7 +1,7 @@
-// XML files checked by a schema: libxml2, wrapped once. The schema is compiled into the program.
+// Reads XML files and validates them by a schema, with libxml2. The schema is compiled into the program.
 //
-// External entities, DTDs from outside and the network are off; a document type declaration is refused.
-// All faults of a file are reported at once, each with its line.
+// External entities, external DTDs and network access are disabled; a document type declaration is rejected.
+// All faults of a file are reported together, each with its line.
 #pragma once
 
 #include <memory>
@@ -11,14 +11,14 @@
 
 namespace gorsenotch::settings {
 
-// What is wrong with a file.
+// A fault in a file.
 struct FileFault {
-    int line = 0;         // 0: of the whole file
-    std::string element;  // its name; empty: of the whole file
+    int line = 0;         // 0: concerns the whole file
+    std::string element;  // name of the element; empty: concerns the whole file
     std::string reason;
 };
 
-// "FILE:LINE: element: reason", a line each.
+// Formats the faults as "FILE:LINE: element: reason", one per line.
 std::string render(const std::string& file, const std::vector<FileFault>& faults);
 
 // A view of an element; valid as long as its Document.
@@ -29,20 +29,20 @@
     std::string name() const;
     int line() const;
     bool has(const char* attribute) const;
-    // Defaults of the schema are filled in. Empty if absent.
+    // The attribute's value, or the schema's default; empty if absent.
     std::string text(const char* attribute) const;
-    double number(const char* attribute) const;  // the schema has checked it; 0 if absent
+    double number(const char* attribute) const;  // validated by the schema; 0 if absent
     int whole(const char* attribute) const { return static_cast<int>(number(attribute)); }
     std::uint64_t large(const char* attribute) const;
     bool yes(const char* attribute) const;
     Element child(const char* name) const;
-    std::vector<Element> children(const char* name = nullptr) const;  // all elements, or those so named
+    std::vector<Element> children(const char* name = nullptr) const;  // all, or those with this name
 
 private:
     void* node_;
 };
 
-// Owns a parsed document that the schema allows.
+// Owns a parsed document that is valid by the schema.
 class Document {
 public:
     ~Document();
@@ -50,7 +50,8 @@
     Document& operator=(Document&&) noexcept;
     Element root() const;
 
-    // Reads and checks `text`; `root` is the element wanted. Null and faults if anything is wrong.
+    // Parses and validates `text`; `root` is the name of the expected root element. Null, with faults added,
+    // if the text is invalid.
     static std::unique_ptr<Document> parse(std::string_view text, const char* root,
                                            std::vector<FileFault>& faults);
     static std::unique_ptr<Document> load(const std::string& file, const char* root,
@@ -61,7 +62,7 @@
     void* doc_ = nullptr;
 };
 
-// Reads all of a file; false and `why` if it can't be read or is larger than 16 MiB.
+// Reads a whole file. False, with the error in `why`, if it can't be read or is larger than 16 MiB.
 bool read_file(const std::string& file, std::string& out, std::string& why);
 
 }  // namespace gorsenotch::settings
