--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -9,13 +9,13 @@
 
 }  // namespace
 
-UpstreamExchange::UpstreamExchange(const engine::Dialect& dialect, bool is_prefill, std::size_t max_event,
-                                   std::size_t max_body)
+UpstreamExchange::UpstreamExchange(const engine::Dialect& dialect, bool is_prefill,
+                                   std::size_t max_event_bytes, std::size_t max_body_bytes)
     : dialect_(dialect),
       is_prefill_(is_prefill),
-      max_body_(max_body),
+      max_body_bytes_(max_body_bytes),
       parser_(http::Parser::Kind::response, kResponseLimits),
-      sse_(max_event) {
+      sse_(max_event_bytes) {
     parser_.on_headers = [this] { on_headers(); };
     parser_.on_body = [this](std::string_view bytes) { on_body(bytes); };
     parser_.on_complete = [this] { on_message_complete(); };
@@ -29,17 +29,17 @@
 
 void UpstreamExchange::on_data(std::string_view bytes) {
     if (connection_ == ConnectionUse::unusable) return;
-    // Bytes after the end of the answer belong to no request: the sender cannot be trusted with another.
+    // Bytes after the end of the response belong to no request, so the connection must not be reused.
     if (connection_ == ConnectionUse::reusable) {
         connection_ = ConnectionUse::unusable;
         return;
     }
-    const std::size_t taken = parser_.feed(bytes);
+    const std::size_t consumed = parser_.feed(bytes);
     if (parser_.fault() != http::Fault::none) {
         connection_ = ConnectionUse::unusable;
-        return fail_response("the engine's answer is malformed");
+        return fail_response("malformed HTTP response from the engine");
     }
-    if (parser_.complete() && taken < bytes.size()) connection_ = ConnectionUse::unusable;
+    if (parser_.complete() && consumed < bytes.size()) connection_ = ConnectionUse::unusable;
 }
 
 void UpstreamExchange::on_headers() {
@@ -54,22 +54,22 @@
 void UpstreamExchange::on_body(std::string_view bytes) {
     if (body_kind_ == BodyKind::event_stream) return on_stream_body(bytes);
     if (over_) return;
-    if (body_.size() + bytes.size() > max_body_) {
+    if (body_.size() + bytes.size() > max_body_bytes_) {
         connection_ = ConnectionUse::unusable;
-        return fail_attempt(AttemptResult::error, "an answer longer than the limit");
+        return fail_attempt(AttemptResult::error, "response body exceeds the size limit");
     }
     body_.append(bytes);
 }
 
 void UpstreamExchange::on_stream_body(std::string_view bytes) {
     if (over_) {
-        // Read on for events that must not come any more.
+        // Keeps parsing to detect events after the last one, which make the connection unusable.
         if (awaits_message_end_) sse_.feed(bytes);
         return;
     }
     if (sse_.feed(bytes) || over_) return;
     connection_ = ConnectionUse::unusable;
-    fail_response("an event longer than the limit");
+    fail_response("stream event exceeds the size limit");
 }
 
 void UpstreamExchange::on_stream_event(std::string_view data) {
@@ -100,7 +100,7 @@
             return on_stream_done();
         case Kind::broken:
             connection_ = ConnectionUse::unusable;
-            return fail_response("the engine broke the stream: " + piece.text);
+            return fail_response("error in the engine's stream: " + piece.text);
     }
 }
 
@@ -128,18 +128,18 @@
 }
 
 void UpstreamExchange::on_stream_done() {
-    if (progress_ != StreamProgress::stopped) return fail_response("a stream without its end");
+    if (progress_ != StreamProgress::stopped) return fail_response("stream ended without a stop reason");
     awaits_message_end_ = true;
     finish_served();
 }
 
 void UpstreamExchange::on_message_complete() {
-    const bool keeps_connection = parser_.keep_alive && parser_.status >= 200;
-    if (keeps_connection && connection_ != ConnectionUse::unusable) connection_ = ConnectionUse::reusable;
+    const bool allows_keep_alive = parser_.keep_alive && parser_.status >= 200;
+    if (allows_keep_alive && connection_ != ConnectionUse::unusable) connection_ = ConnectionUse::reusable;
     if (over_) return;
     if (body_kind_ == BodyKind::event_stream) {
-        // All text has come when the stop has, even if the engine leaves out the last marker.
-        if (progress_ != StreamProgress::stopped) return fail_response("a stream without its end");
+        // All text precedes the stop reason, so the response is complete even without the [DONE] marker.
+        if (progress_ != StreamProgress::stopped) return fail_response("stream ended without a stop reason");
         return finish_served();
     }
     const auto parsed = is_prefill_ ? dialect_.judge_prefill(parser_.status, body_)
@@ -157,21 +157,20 @@
     if (over_) return;
     if (parser_.finish() && over_) return;
     if (progress_ == StreamProgress::stopped) return finish_served();
-    // Guards against a repeat of what may have been delivered: only if no byte was written is it sure that
-    // nothing came to the engine. A reused connection that dies before its first byte is no exception.
+    // Guards against sending again a request that may have been delivered: only if no byte was written is it
+    // certain that the engine received nothing. This also holds for a reused connection that is closed before
+    // the first byte of the response.
     fail_attempt(sent_ ? AttemptResult::reset : AttemptResult::unreachable,
-                 "the engine closed the connection");
+                 "connection closed before the response was complete");
 }
 
-void UpstreamExchange::on_connect_failed() { fail_attempt(AttemptResult::unreachable, "no connection"); }
-void UpstreamExchange::on_not_sent() { fail_attempt(AttemptResult::not_sent, "not sent"); }
+void UpstreamExchange::on_connect_failed() { fail_attempt(AttemptResult::unreachable, "connection failed"); }
+void UpstreamExchange::on_not_sent() { fail_attempt(AttemptResult::not_sent, "request not sent"); }
 void UpstreamExchange::time_out() {
-    fail_attempt(sent_ ? AttemptResult::timed_out : AttemptResult::unreachable, "no answer in time");
-}
-void UpstreamExchange::cancel() { fail_attempt(AttemptResult::cancelled, "no longer wanted"); }
-void UpstreamExchange::on_stream_stalled() {
-    fail_attempt(AttemptResult::timed_out, "the stream fell silent");
+    fail_attempt(sent_ ? AttemptResult::timed_out : AttemptResult::unreachable, "attempt timed out");
 }
+void UpstreamExchange::cancel() { fail_attempt(AttemptResult::cancelled, "attempt cancelled"); }
+void UpstreamExchange::on_stream_stalled() { fail_attempt(AttemptResult::timed_out, "stream idle timeout"); }
 
 void UpstreamExchange::finish_served() {
     AttemptOutcome outcome;
@@ -179,7 +178,7 @@
     finish(std::move(outcome));
 }
 
-// The engine's answer is wrong: a begun stream is broken off, else the whole attempt was an error.
+// Ends the attempt after an invalid response: as a reset if the stream has begun, else as an error.
 void UpstreamExchange::fail_response(std::string why) {
     fail_attempt(begun() ? AttemptResult::reset : AttemptResult::error, std::move(why));
 }
@@ -201,7 +200,7 @@
     outcome.sequence = sequence_;
     outcome.usage = usage_;
     outcome.report = report_;
-    // An engine that reports no usage: each piece of text counts as one token.
+    // If the engine reports no usage, each piece of text counts as one token.
     if (outcome.result == AttemptResult::served && outcome.usage.output == 0)
         outcome.usage.output = text_pieces_;
     body_.clear();
--- a/src/gateway/upstream_exchange.h
+++ b/src/gateway/upstream_exchange.h
@@ -1,4 +1,4 @@
-// One attempt at an engine, from its connection to its end: what the bytes of the answer mean.
+// Interprets the response to one attempt at an engine.
 #pragma once
 
 #include <functional>
@@ -13,44 +13,45 @@
 
 namespace gorsenotch::gateway {
 
-// How an attempt ended, and what its answer said.
+// The result of an attempt and the data of its response.
 struct AttemptOutcome {
     AttemptResult result = AttemptResult::error;
-    double detail = 0;       // as AttemptEnded::detail
-    std::string parameters;  // prefill_done: of the state, for the decode request
-    std::string why;         // for the log
+    double detail = 0;       // see AttemptEnded::detail
+    std::string parameters;  // of prefill_done: KV transfer parameters for the decode request
+    std::string why;         // the reason, for the log
     api::StopReason stop = api::StopReason::end;
-    std::string sequence;  // of StopReason::sequence
-    api::Usage usage;      // of a decode attempt that was served
+    std::string sequence;  // of StopReason::sequence: the stop sequence
+    api::Usage usage;      // of a served decode attempt
     LoadReport report;
     bool begun = false;  // the stream had begun
 };
 
-// Reads the answer of one attempt. The connection that carries it makes the calls of UpstreamCall; the owner
-// sets the callbacks first, and gets on_sent and on_stream_begun at most once each, on_text after
-// on_stream_begun, and on_ended exactly once and last. After on_ended no call has any effect for the owner,
-// so what a superseded attempt still sends is dropped. No I/O and no clock.
+// Parses the response to one attempt. The connection that carries the attempt makes the calls of
+// UpstreamCall. The owner sets the callbacks before the first of them. on_sent and on_stream_begun are called
+// at most once each, on_text only after on_stream_begun, and on_ended exactly once and last. After on_ended
+// no call reaches the owner, so anything that a superseded attempt still sends is discarded. Does no I/O and
+// uses no clock.
 class UpstreamExchange : public proxy::UpstreamCall {
 public:
-    std::function<void()> on_sent;  // its first byte may have been handed to the kernel
+    std::function<void()> on_sent;  // the first byte may have been handed to the kernel
     std::function<void()> on_stream_begun;
     std::function<void(std::string_view)> on_text;
     std::function<void(AttemptOutcome)> on_ended;
 
-    // `is_prefill`: a prefill request, else a decode request. `max_event`: bytes of one event of a stream;
-    // `max_body`: bytes of an answer that is no stream.
-    UpstreamExchange(const engine::Dialect& dialect, bool is_prefill, std::size_t max_event,
-                     std::size_t max_body);
+    // `is_prefill`: whether this is a prefill or a decode request. `max_event_bytes` limits one event of a
+    // stream, `max_body_bytes` a response body that is not streamed.
+    UpstreamExchange(const engine::Dialect& dialect, bool is_prefill, std::size_t max_event_bytes,
+                     std::size_t max_body_bytes);
 
     void on_first_byte_sent() override;
     void on_data(std::string_view bytes) override;
     void on_connection_closed() override;
     void on_connect_failed() override;
     void on_not_sent() override;
-    // Each of these ends the attempt from the owner's side.
+    // Each of the following ends the attempt on behalf of its owner.
     void time_out();
     void cancel();
-    void on_stream_stalled();  // a begun stream has been silent for too long
+    void on_stream_stalled();  // no data within the idle timeout of a begun stream
 
     bool is_over() const override { return over_; }
     bool begun() const { return progress_ != StreamProgress::waiting; }
@@ -61,10 +62,10 @@
 
 private:
     enum class BodyKind { complete, event_stream };
-    // `stopped`: the reason of the stop has come; text after it is dropped.
+    // `stopped`: the stop reason was received; text after it is discarded.
     enum class StreamProgress { waiting, begun, stopped };
-    // What may become of the connection. `unusable` is final: the answer did not end cleanly, or something
-    // came after its end.
+    // Whether the connection can be reused. `unusable` is final: the response did not end cleanly, or further
+    // bytes followed its end.
     enum class ConnectionUse { message_open, reusable, unusable };
 
     void on_headers();
@@ -84,7 +85,7 @@
 
     const engine::Dialect& dialect_;
     const bool is_prefill_;
-    const std::size_t max_body_;
+    const std::size_t max_body_bytes_;
     http::Parser parser_;
     http::SseReader sse_;
     std::string body_;
@@ -94,12 +95,12 @@
     ConnectionUse connection_ = ConnectionUse::message_open;
     bool sent_ = false;
     bool over_ = false;
-    bool awaits_message_end_ = false;  // the stream's last event came before the end of the HTTP message
+    bool awaits_message_end_ = false;  // the last event was received, the end of the HTTP message not yet
     api::StopReason stop_ = api::StopReason::end;
     std::string sequence_;
     api::Usage usage_;
     long text_pieces_ = 0;
-    std::vector<engine::StreamPiece> event_pieces_;  // of the current event; kept for its memory
+    std::vector<engine::StreamPiece> event_pieces_;  // of the current event; a member to reuse its memory
 };
 
 }  // namespace gorsenotch::gateway
