--- a/src/gateway/environment.h
+++ b/src/gateway/environment.h
@@ -1,4 +1,4 @@
-// What a RequestLifecycle acts on: its clients, and the world outside this process.
+// The interfaces through which RequestLifecycle reaches its clients, the engines, the clocks and the log.
 #pragma once
 
 #include <memory>
@@ -12,45 +12,49 @@
 
 namespace gorsenotch::gateway {
 
-// Client::send_complete() without the header retry-after.
+// Passed to Client::send_complete() to leave out the retry-after header.
 constexpr Millis kNoRetryAfter = -1;
 
-// Where a request's answer goes; owned by the front end. Called until finish_stream() or send_complete(), or
-// until RequestLifecycle::on_client_disconnected().
+// The receiver of one request's response, owned by the front end. It is not called any more after
+// finish_stream(), send_complete() or RequestLifecycle::on_client_disconnected().
 class Client {
 public:
     virtual ~Client() = default;
-    // Status 200, an event stream.
+    // Sends the head of a response with status 200 and an event stream as its body.
     virtual void begin_stream() = 0;
-    // Bytes of the stream, after begin_stream().
+    // Sends bytes of the event stream; called only after begin_stream().
     virtual void send_body(std::string bytes) = 0;
-    // The stream has ended; last call.
+    // Ends the event stream. No call follows.
     virtual void finish_stream() = 0;
-    // A complete answer; last call. `pause`: ms for the header retry-after, kNoRetryAfter for none. `retry`:
-    // the header x-should-retry.
-    virtual void send_complete(int status, std::string bytes, Millis pause, std::optional<bool> retry) = 0;
+    // Sends a complete response. No call follows. `retry_after`: ms for the retry-after header, 0 for the
+    // front end's default, kNoRetryAfter to leave the header out. `should_retry`: value of the x-should-retry
+    // header; the header is left out without a value.
+    virtual void send_complete(int status, std::string bytes, Millis retry_after,
+                               std::optional<bool> should_retry) = 0;
 };
 
-// Clocks, connections and the log.
+// Clocks, connections to engines and the log.
 class Environment {
 public:
     virtual ~Environment() = default;
     virtual Millis now() = 0;      // ms on a monotonic clock
     virtual Millis wall_ms() = 0;  // ms since 1970
-    // Carries an attempt to an engine. Calls into the exchange come later, never from within
-    // start_exchange().
-    virtual void start_exchange(const std::string& address, proxy::UpstreamRequest wanted,
+    // Sends an attempt to an engine. The exchange is called after this function has returned, never from
+    // within it.
+    virtual void start_exchange(const std::string& address, proxy::UpstreamRequest request,
                                 std::shared_ptr<UpstreamExchange> exchange) = 0;
-    // Stops or resumes reading from the engine.
-    virtual void pause(const UpstreamExchange& exchange, bool on) = 0;
-    // The exchange was ended from this side: its connection cannot be kept.
+    // Stops reading the engine's response if `paused`, else resumes it.
+    virtual void pause(const UpstreamExchange& exchange, bool paused) = 0;
+    // Closes the connection of an exchange that the gateway itself has ended: the connection cannot be
+    // reused.
     virtual void close(const UpstreamExchange& exchange) = 0;
-    // Sends a request whose answer nobody waits for; connecting is tried again until it succeeds or `limit`
-    // ms have passed.
-    virtual void send_detached(const std::string& address, proxy::UpstreamRequest wanted, Millis limit) = 0;
+    // Sends a request and ignores its response. Retries to connect until it succeeds or `timeout` ms have
+    // passed.
+    virtual void send_detached(const std::string& address, proxy::UpstreamRequest request,
+                               Millis timeout) = 0;
     virtual void log(const char* level, const char* event, api::Json fields) = 0;
-    // This process has just found that it stalled for so many ms. What it may have missed, such as a new list
-    // of engines, is to be read now, before anything is decided.
+    // Called when this process detects that it has stalled, with the length in ms. The implementation reads
+    // now what it may have missed, such as a new endpoint list, before any further decision is made.
     virtual void on_stall(Millis) {}
 };
 
--- a/src/gateway/open_request.cpp
+++ b/src/gateway/open_request.cpp
@@ -59,7 +59,7 @@
     });
 }
 
-void OpenRequest::forget_kv_state() {
+void OpenRequest::clear_kv_state() {
     if (!kv_state) return;
     std::erase(prefill_attempts, kv_state->attempt);
     kv_state.reset();
--- a/src/gateway/request_attempts.cpp
+++ b/src/gateway/request_attempts.cpp
@@ -1,5 +1,5 @@
-// The attempts of requests and the leases on what they leave: the part of RequestLifecycle between the
-// Router's actions and the engines.
+// The part of RequestLifecycle that starts and ends attempts at engines and manages the KV leases of prefill
+// attempts.
 #include <algorithm>
 #include <utility>
 
@@ -8,13 +8,12 @@
 namespace gorsenotch::gateway {
 namespace {
 
-// For a client whose stream has begun.
-const api::ApiError kBroken{500, "api_error", "the engine that wrote this answer was lost"};
+// Sent where the engine fails after the response has begun.
+const api::ApiError kStreamBroken{500, "api_error", "the engine failed while it generated the response"};
 
-// Of an answer that is no stream.
-constexpr std::size_t kMaxResponseBody = std::size_t{256} * 1024;
-// AttemptEnded::detail of a decode attempt that was rejected as there was no state to fetch.
-constexpr double kNoStateToFetch = 1;
+constexpr std::size_t kMaxResponseBodyBytes = std::size_t{256} * 1024;  // of responses that are not streamed
+// Value of AttemptEnded::detail where a decode attempt was rejected because its KV cache was missing.
+constexpr double kDetailKvCacheMissing = 1;
 
 }  // namespace
 
@@ -28,11 +27,11 @@
     AttemptState attempt;
     attempt.endpoint = start.endpoint;
     attempt.id = start.request + "." + std::to_string(number);
-    attempt.sent = now;
-    attempt.last_heard = now;
+    attempt.started_at = now;
+    attempt.last_data_at = now;
     attempt.clock = driver_.start_clock(start.timeout, request->deadline);
     const auto found = endpoints_.find(start.endpoint);
-    // Guards against a send to an endpoint that the latest list no longer has.
+    // Guards against sending to an endpoint that the latest endpoint list no longer contains.
     if (found == endpoints_.end() || found->second.endpoint.status == EndpointStatus::removed ||
         request->closed)
         return report_not_sent(*request, std::move(attempt), number);
@@ -40,7 +39,7 @@
     const Role role = program_.router.kinds[static_cast<std::size_t>(engine.endpoint.kind)].role;
     attempt.is_prefill = role == Role::prefill;
     attempt.address = engine.address;
-    auto wanted = upstream_request(*request, attempt, now);
+    auto upstream_request = make_upstream_request(*request, attempt, now);
     attempt.exchange = make_exchange(start.request, number, attempt.is_prefill);
     if (attempt.is_prefill) request->prefill_attempts.push_back(number);
     request->lease.on_attempt_begun(now, start.endpoint, !attempt.is_prefill);
@@ -49,7 +48,7 @@
     const auto exchange = attempt.exchange;
     const std::string address = attempt.address;
     request->attempts.push_back(std::move(attempt));
-    environment_.start_exchange(address, std::move(wanted), exchange);
+    environment_.start_exchange(address, std::move(upstream_request), exchange);
 }
 
 void RequestLifecycle::report_not_sent(OpenRequest& request, AttemptState attempt, int number) {
@@ -64,8 +63,9 @@
     feed(std::move(ended));
 }
 
-proxy::UpstreamRequest RequestLifecycle::upstream_request(const OpenRequest& request,
-                                                          const AttemptState& attempt, Millis now) const {
+proxy::UpstreamRequest RequestLifecycle::make_upstream_request(const OpenRequest& request,
+                                                               const AttemptState& attempt,
+                                                               Millis now) const {
     const engine::AttemptInfo info{attempt.id, request.request.key,
                                    program_.classes[static_cast<std::size_t>(request.request.cls)],
                                    request.deadline - now};
@@ -77,7 +77,7 @@
 std::shared_ptr<UpstreamExchange> RequestLifecycle::make_exchange(const std::string& id, int number,
                                                                   bool is_prefill) {
     auto exchange = std::make_shared<UpstreamExchange>(*dialect_, is_prefill, program_.limits.event_bytes,
-                                                       kMaxResponseBody);
+                                                       kMaxResponseBodyBytes);
     exchange->on_sent = [this, id, number] { on_attempt_sent(id, number); };
     exchange->on_stream_begun = [this, id, number] { on_stream_begun(id, number); };
     exchange->on_text = [this, id, number](std::string_view piece) { on_stream_text(id, number, piece); };
@@ -93,7 +93,7 @@
         end_exchange(*attempt, &UpstreamExchange::cancel);
 }
 
-// Ends a stream that nobody reads any more.
+// Cancels the request's stream; called once its client has no more use for it.
 void RequestLifecycle::cancel_stream(const std::string& id) {
     OpenRequest* request = find(id);
     if (!request) return;
@@ -102,10 +102,10 @@
     }
 }
 
-// Ends an attempt from this side; its connection is closed, so nothing more comes on it.
-void RequestLifecycle::end_exchange(AttemptState& attempt, void (UpstreamExchange::*how)()) {
+// Ends an attempt from the gateway's side. Its connection is closed, so it receives nothing more.
+void RequestLifecycle::end_exchange(AttemptState& attempt, void (UpstreamExchange::*end_method)()) {
     const auto exchange = attempt.exchange;
-    ((*exchange).*how)();
+    ((*exchange).*end_method)();
     environment_.close(*exchange);
 }
 
@@ -117,7 +117,7 @@
     if (!attempt) return;
     driver_.on_request_written(attempt->clock);
     if (attempt->phase == AttemptState::Phase::not_written) attempt->phase = AttemptState::Phase::written;
-    // Counts as arrived at the engine; on_lease_timer() says why that is enough.
+    // A written request counts as received by the engine; see on_lease_timer() for the reason.
     request->lease.on_attempt_answered(environment_.now());
 }
 
@@ -127,16 +127,17 @@
     AttemptState* attempt = find_attempt(request, number);
     if (!attempt || !attempt->in_flight()) return;
     attempt->phase = AttemptState::Phase::streaming;
-    attempt->last_heard = environment_.now();
-    // The decode engine has fetched the state: there is nothing of it to release any more.
-    request->forget_kv_state();
+    attempt->last_data_at = environment_.now();
+    // The decode engine has fetched the KV cache, so there is nothing to release.
+    request->clear_kv_state();
     request->lease.on_taken();
-    set_timer(TimerKind::stream_idle, attempt->last_heard + program_.limits.stream_idle_ms, request, number);
+    set_timer(TimerKind::stream_idle, attempt->last_data_at + program_.limits.stream_idle_ms, request,
+              number);
     const auto exchange = attempt->exchange;
-    feed(FirstToken{id, number, attempt->endpoint, attempt->last_heard - attempt->sent});
+    feed(FirstToken{id, number, attempt->endpoint, attempt->last_data_at - attempt->started_at});
     request = find(id);
     if (!request) return;
-    if (request->closed) {  // its client left before the first token
+    if (request->closed) {  // the client disconnected before the first token
         exchange->cancel();
         return environment_.close(*exchange);
     }
@@ -153,10 +154,10 @@
     AttemptState* attempt = find_attempt(request, number);
     if (!attempt || !attempt->in_flight() || request->closed) return;
     const Millis now = environment_.now();
-    attempt->last_heard = now;
+    attempt->last_data_at = now;
     request->last_sent_at = now;
     std::string bytes = request->request.answer->text(piece);
-    if (request->request.answer->ended()) {  // a complete answer that is too long to gather
+    if (request->request.answer->ended()) {  // a complete answer longer than limits.whole_answer
         Client* client = std::exchange(request->request.client, nullptr);
         close_request(*request, 500, EndReason::too_long);
         if (client) client->send_complete(500, std::move(bytes), kNoRetryAfter, false);
@@ -181,7 +182,7 @@
     ended.attempt = number;
     ended.endpoint = attempt->endpoint;
     ended.result = outcome.result;
-    ended.took = now - attempt->sent;
+    ended.took = now - attempt->started_at;
     ended.detail = outcome.detail;
     ended.report = outcome.report;
     if (outcome.begun && !request->closed) {
@@ -195,7 +196,7 @@
     feed(std::move(ended));
 }
 
-// What the end of an attempt says of the states at prefill engines.
+// Updates the lease and the KV caches at prefill engines after an attempt has ended.
 void RequestLifecycle::update_leases(OpenRequest& request, int number, const AttemptOutcome& outcome,
                                      Millis now) {
     const AttemptState& attempt = request.attempts[static_cast<std::size_t>(number)];
@@ -212,18 +213,19 @@
     } else if (attempt.is_prefill && never_ran(outcome.result)) {
         std::erase(request.prefill_attempts, number);
     }
-    if (!attempt.is_prefill && outcome.result == AttemptResult::rejected && outcome.detail == kNoStateToFetch)
-        request.forget_kv_state();
+    if (!attempt.is_prefill && outcome.result == AttemptResult::rejected &&
+        outcome.detail == kDetailKvCacheMissing)
+        request.clear_kv_state();
 }
 
-// Gives the client the end of the answer that this attempt has begun.
+// Ends the client's response that this attempt has begun.
 void RequestLifecycle::finish_response(OpenRequest& request, const AttemptOutcome& outcome) {
     const bool served = outcome.result == AttemptResult::served;
     const EndReason reason = served ? EndReason::served : EndReason::broken;
     Client* client = std::exchange(request.request.client, nullptr);
     request.usage = outcome.usage;
     std::string bytes = served ? request.request.answer->finish(outcome.stop, outcome.usage, outcome.sequence)
-                               : request.request.answer->fail(kBroken);
+                               : request.request.answer->fail(kStreamBroken);
     if (request.request.chat.stream) {
         close_request(request, 200, reason);
         if (!client) return;
@@ -233,9 +235,9 @@
         close_request(request, 200, reason);
         if (client) client->send_complete(200, std::move(bytes), kNoRetryAfter, std::nullopt);
     } else {
-        const bool harmless = is_idempotent(request);
+        const bool should_retry = is_idempotent(request);
         close_request(request, 500, reason);
-        if (client) client->send_complete(500, std::move(bytes), kNoRetryAfter, harmless);
+        if (client) client->send_complete(500, std::move(bytes), kNoRetryAfter, should_retry);
     }
 }
 
@@ -252,50 +254,51 @@
 
 // ---- leases ---------------------------------------------------------------------------------------------
 
-// Guards against states that stay at an engine: whatever a prefill attempt may have left is released by the
-// attempt's own id, even if its answer was lost. Unless `all`, skips what an attempt in flight still needs.
-void RequestLifecycle::release_leases(OpenRequest& request, bool all) {
+// Guards against leaked KV caches: whatever a prefill attempt may have left at its engine is released by the
+// attempt's id, even if its response was lost. Skips what an attempt in flight still needs, unless
+// `include_needed`.
+void RequestLifecycle::release_leases(OpenRequest& request, bool include_needed) {
     const bool decode_pending = request.has_decode_pending();
-    std::vector<int> kept;
+    std::vector<int> remaining;
     for (const int number : request.prefill_attempts) {
         const AttemptState& attempt = request.attempts[static_cast<std::size_t>(number)];
-        const bool holds_state = request.kv_state && request.kv_state->attempt == number;
-        if (!all && (attempt.in_flight() || (decode_pending && holds_state))) {
-            kept.push_back(number);
+        const bool is_current_state = request.kv_state && request.kv_state->attempt == number;
+        if (!include_needed && (attempt.in_flight() || (decode_pending && is_current_state))) {
+            remaining.push_back(number);
             continue;
         }
         environment_.send_detached(attempt.address, dialect_->release_request(attempt.id),
                                    program_.router.lease_release_timeout);
-        if (holds_state) request.kv_state.reset();
+        if (is_current_state) request.kv_state.reset();
     }
-    request.prefill_attempts = std::move(kept);
+    request.prefill_attempts = std::move(remaining);
 }
 
 void RequestLifecycle::schedule_lease_check(OpenRequest& request) {
     if (const auto at = request.lease.release_at()) set_timer(TimerKind::lease, *at, &request);
 }
 
-// Guards against a state that stays while one connection after another does not come up. A decode request
-// whose bytes were written counts as arrived here: a release ends the fetch of one that has, and engines of
-// this kind free by a lease of their own what nobody fetches. May do harm by a second prefill where the next
-// connection would have come up.
+// Guards against a KV cache that is never released while connection attempts to decode engines keep failing.
+// A decode request whose bytes were written counts as received: a release would abort the fetch of one that
+// was received, and these engines free a KV cache that nobody fetches by a lease of their own. The cost is a
+// second prefill where the next connection attempt would have succeeded.
 void RequestLifecycle::on_lease_timer(OpenRequest& request) {
     const auto at = request.lease.release_at();
     if (!at) return;
     if (*at > environment_.now()) return schedule_lease_check(request);
     request.lease.on_release_begun(environment_.now());
-    // Environment::send_detached() tries until a connection takes the release: it counts as answered.
+    // Environment::send_detached() retries until a connection accepts the release, so it counts as answered.
     request.lease.on_release_answered(environment_.now());
     const std::string id = request.request.id;
     feed(LeaseReleased{id});
-    OpenRequest* released = find(id);
-    if (!released) return;
-    if (!released->attempts.empty()) {
-        AttemptState& latest = released->attempts.back();
+    OpenRequest* found = find(id);
+    if (!found) return;
+    if (!found->attempts.empty()) {
+        AttemptState& latest = found->attempts.back();
         if (!latest.is_prefill && latest.phase == AttemptState::Phase::not_written)
             end_exchange(latest, &UpstreamExchange::cancel);
     }
-    if ((released = find(id))) release_leases(*released, false);
+    if ((found = find(id))) release_leases(*found, false);
 }
 
 }  // namespace gorsenotch::gateway
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -10,11 +10,12 @@
 namespace {
 
 const api::ApiError kOverloaded{529, "overloaded_error", "Overloaded"};
-const api::ApiError kFailed{500, "api_error", "the request may have run and could not be answered"};
-const api::ApiError kTooSlow{504, "timeout_error", "the answer took longer than the client waits"};
+const api::ApiError kRequestFailed{500, "api_error",
+                                   "the request may have been executed and cannot be retried safely"};
+const api::ApiError kAnswerTimeout{504, "timeout_error",
+                                   "the response was not complete within the time limit"};
 
-// A start time of 0 means an unknown one.
-constexpr Millis kEarliestStart = 1e-3;
+constexpr Millis kEarliestStart = 1e-3;  // above 0, which stands for an unknown start time
 
 }  // namespace
 
@@ -33,7 +34,7 @@
         if (observer) observer->on_action(action);
     };
     driver_.execute = [this](const Action& action) { execute(action); };
-    driver_.on_idle = [this] { forget_closed_requests(); };
+    driver_.on_idle = [this] { remove_closed_requests(); };
     driver_.on_timer = [this](const Driver::Timer& timer) { on_timer(timer); };
     driver_.on_stall = [this](Millis ms) { environment_.on_stall(ms); };
     driver_.on_wake = [this] {
@@ -53,16 +54,16 @@
     return settings.idempotency == Idempotency::idempotent;
 }
 
-// ---- events from outside --------------------------------------------------------------------------------
+// ---- events ---------------------------------------------------------------------------------------------
 
-void RequestLifecycle::on_endpoint_list(const std::vector<settings::Engine>& engines, bool saved) {
+void RequestLifecycle::on_endpoint_list(const std::vector<settings::Engine>& engines, bool cached) {
     EndpointUpdate update;
-    update.kind = saved ? EndpointUpdate::Kind::cached : EndpointUpdate::Kind::full;
+    update.kind = cached ? EndpointUpdate::Kind::cached : EndpointUpdate::Kind::full;
     endpoints_.clear();
     const Millis now = environment_.now();
     const Millis wall = environment_.wall_ms();
     for (auto engine : engines) {
-        // Clocks of machines differ a little: a start in the future is taken for one just now.
+        // Clocks of hosts differ slightly: a start time in the future counts as now.
         if (engine.endpoint.started_at > 0)
             engine.endpoint.started_at =
                 std::max(kEarliestStart, now - std::max(0.0, wall - engine.endpoint.started_at));
@@ -76,28 +77,28 @@
     if (requests_.size() >= program_.limits.open_requests) return false;
     driver_.catch_up();
     const Millis now = environment_.now();
-    const Millis asked = now - request.age;  // its client has waited since then
-    Arrival arrival = make_arrival(request, asked);
+    const Millis received_at = now - request.age;  // the client's waiting time counts from here
+    Arrival arrival = make_arrival(request, received_at);
     OpenRequest& opened =
         requests_.try_emplace(request.id, program_.router.lease_release_timeout).first->second;
     opened.request = std::move(request);
-    opened.arrived = now;
+    opened.arrived_at = now;
     opened.last_sent_at = now;
     opened.deadline = arrival.deadline;
     if (!opened.request.chat.stream) {
-        // The Router's deadline ends with the first token; a client that gets nothing before the complete
-        // answer still needs one while it waits.
-        const Millis longest = program_.limits.whole_answer_ms;
+        // The Router's deadline covers the time to the first token only. A client that does not stream gets
+        // nothing before the complete answer, so that has a timeout of its own.
+        const Millis limit = program_.limits.whole_answer_ms;
         const Millis patience = opened.request.patience;
-        const Millis answer_within = patience > 0 ? std::min(patience, longest) : longest;
-        set_timer(TimerKind::complete_answer, asked + answer_within - program_.router.event_interval,
+        const Millis timeout = patience > 0 ? std::min(patience, limit) : limit;
+        set_timer(TimerKind::complete_answer, received_at + timeout - program_.router.event_interval,
                   &opened);
     }
     feed(std::move(arrival));
     return true;
 }
 
-Arrival RequestLifecycle::make_arrival(const NewRequest& request, Millis asked) const {
+Arrival RequestLifecycle::make_arrival(const NewRequest& request, Millis received_at) const {
     const auto& settings = program_.router.classes[static_cast<std::size_t>(request.cls)];
     Arrival arrival;
     arrival.request = request.id;
@@ -109,8 +110,8 @@
     arrival.shared_prefix_tokens = request.chat.prefix_tokens;
     arrival.max_tokens = static_cast<double>(request.chat.max_tokens);
     arrival.client_retry = request.client_retry;
-    arrival.deadline = asked + settings.deadline;
-    if (request.patience > 0) arrival.deadline = std::min(arrival.deadline, asked + request.patience);
+    arrival.deadline = received_at + settings.deadline;
+    if (request.patience > 0) arrival.deadline = std::min(arrival.deadline, received_at + request.patience);
     return arrival;
 }
 
@@ -130,7 +131,7 @@
     request->congested = congested;
     for (auto& attempt : request->attempts) {
         if (!attempt.streaming()) continue;
-        attempt.last_heard = environment_.now();
+        attempt.last_data_at = environment_.now();
         environment_.pause(*attempt.exchange, congested);
     }
 }
@@ -150,7 +151,7 @@
         }
         if (!find(id)) continue;
         closed_requests_.push_back(id);
-        forget_closed_requests();
+        remove_closed_requests();
     }
 }
 
@@ -158,31 +159,32 @@
 
 void RequestLifecycle::execute(const Action& action) {
     std::visit(
-        Overloaded{[&](const StartAttempt& start) { start_attempt(start); },
-                   [&](const StopAttempt& stop) { stop_attempt(stop); },
-                   [&](const ReleaseLease& release) {
-                       if (OpenRequest* request = find(release.request)) release_leases(*request, false);
-                   },
-                   [&](const Reject& rejection) {
-                       if (OpenRequest* request = find(rejection.request))
-                           reject(*request, kOverloaded, rejection.retry_after, true);
-                   },
-                   [&](const Fail& fail) {
-                       if (OpenRequest* request = find(fail.request))
-                           reject(*request, kFailed, kNoRetryAfter, false);
-                   },
-                   [&](const Log& line) {
-                       environment_.log("info", "router", {{"text", line.text}});
-                   },
-                   // The driver sets timers. The settings of this program do not allow the rest.
-                   [&](const SetTimer&) {}, [&](const ReserveSlot&) {}, [&](const MigrateStream&) {},
-                   [&](const HealthCheck&) {}, [&](const WatchEndpoints&) {}, [&](const PollEndpoints&) {}},
+        Overloaded{
+            [&](const StartAttempt& start) { start_attempt(start); },
+            [&](const StopAttempt& stop) { stop_attempt(stop); },
+            [&](const ReleaseLease& release) {
+                if (OpenRequest* request = find(release.request)) release_leases(*request, false);
+            },
+            [&](const Reject& rejection) {
+                if (OpenRequest* request = find(rejection.request))
+                    reject(*request, kOverloaded, rejection.retry_after, true);
+            },
+            [&](const Fail& fail) {
+                if (OpenRequest* request = find(fail.request))
+                    reject(*request, kRequestFailed, kNoRetryAfter, false);
+            },
+            [&](const Log& line) {
+                environment_.log("info", "router", {{"text", line.text}});
+            },
+            // RouterDriver handles SetTimer itself. The settings of this program never lead to the others.
+            [&](const SetTimer&) {}, [&](const ReserveSlot&) {}, [&](const MigrateStream&) {},
+            [&](const HealthCheck&) {}, [&](const WatchEndpoints&) {}, [&](const PollEndpoints&) {}},
         action);
 }
 
 // ---- final answers --------------------------------------------------------------------------------------
 
-// From here on nothing is owed to the client; the request stays known while attempts are in flight.
+// Records that the client's response has ended. The request stays in the table while attempts are in flight.
 void RequestLifecycle::close_request(OpenRequest& request, int status, EndReason reason) {
     request.closed = true;
     request.status = status;
@@ -191,8 +193,8 @@
     closed_requests_.push_back(request.request.id);
 }
 
-void RequestLifecycle::forget_closed_requests() {
-    // By index: what follows from a release may close further requests.
+void RequestLifecycle::remove_closed_requests() {
+    // By index, since releasing a lease may append further closed requests.
     for (std::size_t i = 0; i < closed_requests_.size(); ++i) {
         OpenRequest* request = find(closed_requests_[i]);
         if (!request || !request->closed || request->has_attempt_in_flight()) continue;
@@ -204,7 +206,8 @@
     closed_requests_.clear();
 }
 
-void RequestLifecycle::reject(OpenRequest& request, const api::ApiError& error, Millis pause, bool retry) {
+void RequestLifecycle::reject(OpenRequest& request, const api::ApiError& error, Millis retry_after,
+                              bool should_retry) {
     if (request.closed) return;
     const bool streaming = request.request.chat.stream && request.request.answer->begun();
     if (streaming) return fail_stream(request, error);
@@ -212,15 +215,17 @@
     request.request.answer->fail(error);
     const bool overloaded = error.status == kOverloaded.status;
     close_request(request, error.status, overloaded ? EndReason::refused : EndReason::failed);
-    if (client) client->send_complete(error.status, error_body_(error, request.request.id), pause, retry);
+    if (client)
+        client->send_complete(error.status, error_body_(error, request.request.id), retry_after,
+                              should_retry);
 }
 
-// The client may repeat the request only where that is sure to do no harm.
+// The client is told to retry only where a second execution is certain to be harmless.
 void RequestLifecycle::reject_at_shutdown(OpenRequest& request) {
     const bool decode_sent = std::any_of(request.attempts.begin(), request.attempts.end(),
                                          [](const AttemptState& attempt) { return !attempt.is_prefill; });
     if (!decode_sent || is_idempotent(request)) return reject(request, kOverloaded, 0, true);
-    reject(request, kFailed, kNoRetryAfter, false);
+    reject(request, kRequestFailed, kNoRetryAfter, false);
 }
 
 void RequestLifecycle::fail_stream(OpenRequest& request, const api::ApiError& error) {
@@ -235,16 +240,17 @@
 // ---- timers ---------------------------------------------------------------------------------------------
 
 void RequestLifecycle::set_timer(TimerKind kind, Millis at, OpenRequest* owner, int attempt) {
-    // Timeouts of engines are judged only after the sockets have been polled; the rest is on time.
-    const bool timeout = kind == TimerKind::attempt_timeout || kind == TimerKind::stream_idle;
-    driver_.set_timer(kind, at, owner, attempt, 0, timeout);
+    // Timeouts of engines fire only after the sockets have been polled since they were due, so that an answer
+    // that already waits in a socket is read first; other timers fire at their time.
+    const bool is_engine_timeout = kind == TimerKind::attempt_timeout || kind == TimerKind::stream_idle;
+    driver_.set_timer(kind, at, owner, attempt, 0, is_engine_timeout);
 }
 
 void RequestLifecycle::on_timer(const Driver::Timer& timer) {
     OpenRequest& request = *timer.owner;
     switch (timer.kind) {
         case TimerKind::router:
-            return;  // the driver's own
+            return;  // handled by RouterDriver
         case TimerKind::attempt_timeout:
             return on_attempt_timeout(request, timer.attempt);
         case TimerKind::stream_idle:
@@ -267,13 +273,13 @@
                                                               : &UpstreamExchange::cancel);
 }
 
-// Guards against a begun stream whose engine has gone silent: nothing else would end it.
+// Guards against an engine that stops sending in the middle of a stream: nothing else would end the attempt.
 void RequestLifecycle::on_stream_idle(OpenRequest& request, int number) {
     const Millis now = environment_.now();
     AttemptState* attempt = find_attempt(&request, number);
     if (!attempt || !attempt->in_flight()) return;
-    if (request.congested) attempt->last_heard = now;
-    const Millis due = attempt->last_heard + program_.limits.stream_idle_ms;
+    if (request.congested) attempt->last_data_at = now;
+    const Millis due = attempt->last_data_at + program_.limits.stream_idle_ms;
     if (due > now) return set_timer(TimerKind::stream_idle, due, &request, number);
     end_exchange(*attempt, &UpstreamExchange::on_stream_stalled);
 }
@@ -281,7 +287,7 @@
 void RequestLifecycle::on_complete_answer_timeout(OpenRequest& request) {
     if (request.closed) return;
     const std::string id = request.request.id;
-    reject(request, kTooSlow, kNoRetryAfter, false);
+    reject(request, kAnswerTimeout, kNoRetryAfter, false);
     feed(ClientDisconnected{id});
     cancel_stream(id);
 }
@@ -301,7 +307,7 @@
                         {"class", program_.classes[static_cast<std::size_t>(request.request.cls)]},
                         {"ending", name(request.end_reason)},
                         {"status", request.status},
-                        {"ms", std::round(1000 * (request.closed_at - request.arrived)) / 1000},
+                        {"ms", std::round(1000 * (request.closed_at - request.arrived_at)) / 1000},
                         {"attempts", request.attempts.size()},
                         {"output_tokens", request.usage.output}};
     if (request.request.tenant >= 0)
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -1,4 +1,4 @@
-// The life of every request of the gateway, from its arrival to its one final answer.
+// Manages every request of the gateway from its arrival to its final answer.
 #pragma once
 
 #include <functional>
@@ -18,40 +18,45 @@
 
 namespace gorsenotch::gateway {
 
-// Feeds the Router every event and carries out its actions through an Environment. It chooses nothing that
-// the Router chooses; it adds duties without a choice: one final answer for each client, an end for a stream
-// that breaks, and a release of every state that a prefill may have left.
+// Feeds every event to the Router and executes the Router's actions through an Environment. All routing
+// decisions are the Router's. RequestLifecycle itself guarantees that each client gets exactly one final
+// answer, that an interrupted stream is ended with an error, and that every KV cache that a prefill may have
+// left at an engine is released.
 //
-// Owns all open requests and their attempts. No I/O; the clock is handed in. Times are ms on the clock of
-// Environment::now(). Threading: one thread; the environment and clients may call back from within calls to
-// them, except where said.
+// Owns all open requests and their attempts. Does no I/O and reads the clock through Environment::now();
+// times are ms on that clock. Threading: one thread. The environment and the clients may call back from
+// within calls to them, except where their documentation says otherwise.
 class RequestLifecycle {
 public:
-    // Writes an error in the form of the front end's API: (error, request id).
+    // Renders an error in the format of the front end's API: (error, request id).
     using ErrorBody = std::function<std::string(const api::ApiError&, const std::string&)>;
     // `program` and `environment` must outlive the object.
     RequestLifecycle(const settings::Program& program, std::uint64_t seed, Environment& environment,
                      ErrorBody error_body);
     ~RequestLifecycle();
 
-    // A complete new list; `saved`: as saved by an earlier process, perhaps out of date.
-    void on_endpoint_list(const std::vector<settings::Engine>& engines, bool saved);
-    // False: too many requests are open; nothing was taken and the client was not called.
+    // Replaces the endpoint list. `cached`: the list was saved by an earlier process and may be out of date.
+    void on_endpoint_list(const std::vector<settings::Engine>& engines, bool cached);
+    // Returns false if too many requests are open; the request is then not accepted and its client not
+    // called.
     bool on_request(NewRequest request);
     void on_client_disconnected(const std::string& id);
-    // Whether the client reads more slowly than the engine writes: the engine is not read meanwhile.
+    // Back-pressure: while `congested`, the client reads more slowly than the engine writes, and the engine's
+    // response is not read.
     void on_client_congested(const std::string& id, bool congested);
-    // Does what is due; returns the time at which it is to be called next.
+    // Handles the timers that are due; returns the time at which to call it again.
     Millis tick() { return driver_.tick(); }
-    // The event loop is about to wait until `due` at most, and has polled its sockets at `at`.
+    // Called by the event loop before it waits for its sockets, until `due` at most, and after it has polled
+    // them at `at`.
     void before_poll(Millis due) { driver_.before_poll(due); }
     void after_poll(Millis at) { driver_.after_poll(at); }
-    // Gives every open request its final answer and releases all states: the gateway is about to stop.
+    // Gives every open request its final answer and releases all KV caches; called before the gateway stops.
     void end_all();
 
     std::size_t open() const { return requests_.size(); }
     std::size_t pending_timers() const { return driver_.pending_timers(); }
-    std::function<void()> on_wake;  // a timer was set that is earlier than what tick() last returned
+    // Called when a timer is set that is due before the time that tick() last returned. May be empty.
+    std::function<void()> on_wake;
     state::DecisionObserver* observer = nullptr;  // not owned; may be null
 
 private:
@@ -59,11 +64,11 @@
     void feed(Event event) { driver_.feed(std::move(event)); }
     bool is_idempotent(const OpenRequest& request) const;
 
-    // Requests
-    Arrival make_arrival(const NewRequest& request, Millis asked) const;
+    // Requests and their final answers
+    Arrival make_arrival(const NewRequest& request, Millis received_at) const;
     void close_request(OpenRequest& request, int status, EndReason reason);
-    void forget_closed_requests();
-    void reject(OpenRequest& request, const api::ApiError& error, Millis pause, bool retry);
+    void remove_closed_requests();
+    void reject(OpenRequest& request, const api::ApiError& error, Millis retry_after, bool should_retry);
     void reject_at_shutdown(OpenRequest& request);
     void fail_stream(OpenRequest& request, const api::ApiError& error);
     void log_request(const OpenRequest& request);
@@ -73,12 +78,12 @@
     // Attempts, in request_attempts.cpp
     void start_attempt(const StartAttempt& start);
     void report_not_sent(OpenRequest& request, AttemptState attempt, int number);
-    proxy::UpstreamRequest upstream_request(const OpenRequest& request, const AttemptState& attempt,
-                                            Millis now) const;
+    proxy::UpstreamRequest make_upstream_request(const OpenRequest& request, const AttemptState& attempt,
+                                                 Millis now) const;
     std::shared_ptr<UpstreamExchange> make_exchange(const std::string& id, int number, bool is_prefill);
     void stop_attempt(const StopAttempt& stop);
     void cancel_stream(const std::string& id);
-    void end_exchange(AttemptState& attempt, void (UpstreamExchange::*how)());
+    void end_exchange(AttemptState& attempt, void (UpstreamExchange::*end_method)());
     void on_attempt_sent(const std::string& id, int number);
     void on_stream_begun(const std::string& id, int number);
     void on_stream_text(const std::string& id, int number, std::string_view piece);
@@ -89,7 +94,7 @@
                             const AttemptOutcome& outcome);
 
     // Leases, in request_attempts.cpp
-    void release_leases(OpenRequest& request, bool all);
+    void release_leases(OpenRequest& request, bool include_needed);
     void schedule_lease_check(OpenRequest& request);
     void on_lease_timer(OpenRequest& request);
 
@@ -108,7 +113,7 @@
     Driver driver_;
     std::unordered_map<std::string, OpenRequest> requests_;
     std::map<EndpointId, settings::Engine> endpoints_;
-    std::vector<std::string> closed_requests_;  // to be forgotten once the Router is idle
+    std::vector<std::string> closed_requests_;  // ids; removed once the Router is idle
 };
 
 }  // namespace gorsenotch::gateway
