--- a/src/cli/client_command.cpp
+++ b/src/cli/client_command.cpp
@@ -31,7 +31,7 @@
     options.load.stream = !arguments.complete_responses;
     options.gateways = split_at_commas(arguments.gateways);
     net::EventLoop loop;
-    int exit_code = kExitDone;
+    int exit_code = kExitSuccess;
     fault_scenario::ScriptedClients clients(loop, std::move(options));
     const StopSignals stop_signals(loop, [&] {
         exit_code = kExitInterrupted;
@@ -65,7 +65,7 @@
 
 Command add_client_command(CLI::App& app) {
     const auto arguments = std::make_shared<ClientArguments>();
-    CLI::App* command = app.add_subcommand("client", "scripted clients, as a scenario starts them");
+    CLI::App* command = app.add_subcommand("client", "run scripted clients, as a scenario does");
     command->add_option("--gateways", arguments->gateways)->required();
     fault_scenario::ClientOptions& options = arguments->options;
     add_load_options(*command, options.load);
--- a/src/cli/exit_code.h
+++ b/src/cli/exit_code.h
@@ -1,13 +1,14 @@
-// The program's exit codes; scripts of users depend on them.
+// The program's exit codes. Users' scripts depend on them.
 #pragma once
 
 namespace gorsenotch::cli {
 
-constexpr int kExitDone = 0;
-constexpr int kExitViolation = 1;    // an invariant was violated, or a replay differed
-constexpr int kExitUsage = 2;        // wrong use of the command line
-constexpr int kExitRefused = 3;      // a file was refused
-constexpr int kExitSystem = 4;       // the system refused: an address in use, a process that can't be started
-constexpr int kExitInterrupted = 5;  // stopped by a signal before its job was done
+constexpr int kExitSuccess = 0;
+constexpr int kExitViolation = 1;     // an invariant was violated, or a replay gave different decisions
+constexpr int kExitUsageError = 2;    // invalid command line
+constexpr int kExitInvalidInput = 3;  // invalid settings, scenario or journal file
+constexpr int kExitSystemError =
+    4;  // system error, such as an address in use or a process that cannot be started
+constexpr int kExitInterrupted = 5;  // stopped by a signal before its work was complete
 
 }  // namespace gorsenotch::cli
--- a/src/cli/fake_engine_command.cpp
+++ b/src/cli/fake_engine_command.cpp
@@ -19,14 +19,14 @@
     fake_engine::EngineOptions options;
 };
 
-// Completes the engine's options by the settings. False, with a line on standard error, if these have no fake
-// engine of the kind.
+// Fills in the engine's options from the settings. Returns false and reports the fault on standard error if
+// the settings define no fake engine of the kind.
 bool apply_settings(const settings::Program& program, const std::string& kind_name,
                     fake_engine::EngineOptions& options) {
     const auto it = std::find(program.kinds.begin(), program.kinds.end(), kind_name);
     const int kind = static_cast<int>(it - program.kinds.begin());
     if (it == program.kinds.end() || !program.fake_engines.count(kind)) {
-        std::cerr << "--kind: the settings have no stand-in of kind '" << kind_name << "'\n";
+        std::cerr << "--kind: the settings define no fake engine of kind '" << kind_name << "'\n";
         return false;
     }
     const auto& router = program.router;
@@ -43,21 +43,21 @@
 
 int run_fake_engine(const FakeEngineArguments& arguments) {
     const auto program = load_settings(arguments.settings_file);
-    if (!program) return kExitRefused;
+    if (!program) return kExitInvalidInput;
     fake_engine::EngineOptions options = arguments.options;
-    if (!apply_settings(*program, arguments.kind, options)) return kExitRefused;
+    if (!apply_settings(*program, arguments.kind, options)) return kExitInvalidInput;
     const std::string address = options.address;
     net::EventLoop loop;
     const StopSignals stop_signals(loop, [&] { loop.stop(); });
     fake_engine::Engine engine(loop, std::move(options));
-    std::string refused_address;
-    if (const int error = engine.start(refused_address)) {
-        std::cerr << refused_address << ": " << net::error_text(error) << '\n';
-        return kExitSystem;
+    std::string failed_address;
+    if (const int error = engine.start(failed_address)) {
+        std::cerr << failed_address << ": " << net::error_text(error) << '\n';
+        return kExitSystemError;
     }
     std::cout << "ready " << base_url(address, engine.port()) << std::endl;
     loop.run();
-    return kExitDone;
+    return kExitSuccess;
 }
 
 }  // namespace
@@ -69,13 +69,14 @@
     CLI::App* command = app.add_subcommand("fake-engine", "run one fake engine");
     command->alias("standin");
     command->add_option("settings", parsed->settings_file)->required();
-    command->add_option("--kind", parsed->kind, "kind, as in the settings")->required();
+    command->add_option("--kind", parsed->kind, "kind, as named in the settings")->required();
     command->add_option("--address", options.address)->required();
     command->add_option("--control", options.control, "address of the control port");
-    command->add_option("--server", options.server, "its endpoint id");
-    command->add_option("--record", options.record, "file for what its sockets carry");
-    command->add_option("--keys", options.keys, "folder shared by engines that drop each other's duplicates");
-    command->add_flag("--cold", options.cold, "begins with a slow start");
+    command->add_option("--server", options.server, "endpoint id of the engine");
+    command->add_option("--record", options.record, "file to record the traffic of its sockets in");
+    command->add_option("--keys", options.keys,
+                        "folder shared by engines that deduplicate requests together");
+    command->add_flag("--cold", options.cold, "start with a slow start");
     return {command, [parsed] { return run_fake_engine(*parsed); }};
 }
 
--- a/src/cli/gateway_overrides.cpp
+++ b/src/cli/gateway_overrides.cpp
@@ -14,7 +14,7 @@
     if (zone.empty()) return true;
     const auto it = std::find(program.zones.begin(), program.zones.end(), zone);
     if (it == program.zones.end()) {
-        std::cerr << "--zone: the settings have no '" << zone << "'\n";
+        std::cerr << "--zone: the settings define no zone '" << zone << "'\n";
         return false;
     }
     program.router.own_zone = static_cast<int>(it - program.zones.begin());
@@ -22,9 +22,9 @@
 }
 
 void add_decision_overrides(CLI::App& command, GatewayOverrides& overrides) {
-    command.add_option("--zone", overrides.zone, "own zone, in place of the settings'");
-    command.add_option("--gateways", overrides.gateways, "how many gateways there are");
-    command.add_option("--seed", overrides.seed, "seed of the decisions");
+    command.add_option("--zone", overrides.zone, "own zone, overrides the settings");
+    command.add_option("--gateways", overrides.gateways, "number of gateways, overrides the settings");
+    command.add_option("--seed", overrides.seed, "random seed of the decisions, overrides the settings");
 }
 
 }  // namespace gorsenotch::cli
--- a/src/cli/gateway_overrides.h
+++ b/src/cli/gateway_overrides.h
@@ -1,4 +1,4 @@
-// Command line options that stand in place of the settings' values.
+// Command-line options that override values of the settings.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -10,7 +10,7 @@
 
 namespace gorsenotch::cli {
 
-// Empty or zero: the settings' value holds.
+// An empty, zero or unset member leaves the value of the settings.
 struct GatewayOverrides {
     std::string listen;
     std::string zone;
@@ -19,11 +19,12 @@
     int gateways = 0;
     std::optional<std::uint64_t> seed;
 
-    // False, with a line on standard error, if the settings don't have the zone.
+    // Returns false and reports the fault on standard error if the settings do not define the zone.
     bool apply_to(settings::Program& program) const;
 };
 
-// The options that change what the Router decides; `overrides` must outlive the parsing of the command line.
+// Adds the options that influence the Router's decisions. `overrides` must outlive the parsing of the command
+// line.
 void add_decision_overrides(CLI::App& command, GatewayOverrides& overrides);
 
 }  // namespace gorsenotch::cli
--- a/src/cli/gateway_process.h
+++ b/src/cli/gateway_process.h
@@ -1,4 +1,4 @@
-// A gateway in this process, from its start to the end of its drain.
+// Runs a gateway in this process, from its start to the end of its drain.
 #pragma once
 
 #include <string>
@@ -8,11 +8,12 @@
 
 namespace gorsenotch::cli {
 
-// `http://HOST:PORT`, with the host of `listen` (HOST:PORT) and the port that was given.
+// Returns `http://HOST:PORT` with the host of `listen` (HOST:PORT) and the given port, which may differ from
+// the one in `listen` if that is 0.
 std::string base_url(const std::string& listen, int port);
 
-// The log's thread, for as long as it lives. To be declared before the event loop: what ends with the loop
-// still logs.
+// Runs the log's thread for the life of this object. Must be declared before the event loop, because objects
+// destroyed together with the loop still write to the log.
 class LogThread {
 public:
     explicit LogThread(const std::string& level);
@@ -21,13 +22,14 @@
     LogThread& operator=(const LogThread&) = delete;
 };
 
-// Ends the loop once the gateway has drained. The loop must outlive it.
+// Runs a gateway and stops the loop once it has drained. The loop must outlive this object.
 class GatewayProcess {
 public:
     GatewayProcess(net::EventLoop& loop, settings::Program program, const gateway::ServeOptions& options);
-    // Prints `ready http://ADDRESS` once it listens. False, with a line on standard error, if it can't.
+    // Prints `ready http://ADDRESS` once the gateway listens. Returns false and reports the error on standard
+    // error if it cannot listen.
     bool start();
-    // Drains; a second call ends at once.
+    // Starts the drain; a second call stops the loop immediately.
     void stop();
 
 private:
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -7,13 +7,14 @@
 
 int main(int argc, char** argv) {
     using namespace gorsenotch::cli;
-    if (!gorsenotch::net::die_with_parent()) return kExitSystem;
+    if (!gorsenotch::net::die_with_parent()) return kExitSystemError;
     CLI::App app{"gorsenotch: a router for language-model serving with separate prefill and decode engines"};
     app.require_subcommand(1);
     app.footer(
-        "Exit codes: 0 done, 1 an invariant was violated or a replay differed, 2 wrong use, 3 a file was\n"
-        "refused, 4 the system refused (an address in use, a process that can't be started), 5 stopped by a\n"
-        "signal before its job was done.\n\n"
+        "Exit codes: 0 success, 1 an invariant was violated or a replay differed, 2 invalid command line,\n"
+        "3 invalid input file, 4 system error (such as an address in use or a process that cannot be "
+        "started),\n"
+        "5 stopped by a signal before its work was complete.\n\n"
         "Examples:\n"
         "  gorsenotch check examples/local.xml\n"
         "  gorsenotch up examples/local.xml\n"
@@ -27,10 +28,10 @@
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? kExitDone : kExitUsage;
+        return app.exit(error) == 0 ? kExitSuccess : kExitUsageError;
     }
     for (const Command& command : commands) {
         if (command.app->parsed()) return command.run();
     }
-    return kExitUsage;
+    return kExitUsageError;
 }
--- a/src/cli/replay_command.cpp
+++ b/src/cli/replay_command.cpp
@@ -21,21 +21,21 @@
 
 int run_replay(const ReplayArguments& arguments) {
     auto program = load_settings(arguments.settings_file);
-    if (!program || !arguments.overrides.apply_to(*program)) return kExitRefused;
+    if (!program || !arguments.overrides.apply_to(*program)) return kExitInvalidInput;
     std::ifstream journal(arguments.journal_file);
     if (!journal) {
-        std::cerr << arguments.journal_file << ": can't be read\n";
-        return kExitRefused;
+        std::cerr << arguments.journal_file << ": cannot be opened for reading\n";
+        return kExitInvalidInput;
     }
     try {
         const auto result = state::replay(journal, program->router);
-        const bool is_same = result.difference.empty();
+        const bool is_identical = result.difference.empty();
         std::cout << result.events << " events, " << result.actions
-                  << " actions: " << (is_same ? "the same" : "DIFFERENT, " + result.difference) << '\n';
-        return is_same ? kExitDone : kExitViolation;
+                  << " actions: " << (is_identical ? "the same" : "DIFFERENT, " + result.difference) << '\n';
+        return is_identical ? kExitSuccess : kExitViolation;
     } catch (const std::exception& error) {
         std::cerr << arguments.journal_file << ": " << error.what() << '\n';
-        return kExitRefused;
+        return kExitInvalidInput;
     }
 }
 
@@ -43,8 +43,8 @@
 
 Command add_replay_command(CLI::App& app) {
     const auto arguments = std::make_shared<ReplayArguments>();
-    CLI::App* command =
-        app.add_subcommand("replay", "feed a journal's events to the Router again and compare its decisions");
+    CLI::App* command = app.add_subcommand(
+        "replay", "replay a journal's events through the Router and compare its decisions");
     command->add_option("settings", arguments->settings_file)->required();
     command->add_option("journal", arguments->journal_file)->required();
     add_decision_overrides(*command, arguments->overrides);
--- a/src/cli/scenario_command.cpp
+++ b/src/cli/scenario_command.cpp
@@ -18,42 +18,42 @@
     int seeds = 1;
 };
 
-// Prints the verdict of one run; returns its exit code.
+// Prints the verdict of one run and returns its exit code.
 int report(const fault_scenario::ScenarioPlan& plan, const fault_scenario::ScenarioOptions& options,
            const fault_scenario::ScenarioResult& result) {
     if (result.interrupted || result.system) {
-        std::cerr << "day " << plan.name << ": " << result.error << '\n';
-        return result.interrupted ? kExitInterrupted : kExitSystem;
+        std::cerr << "scenario " << plan.name << ": " << result.error << '\n';
+        return result.interrupted ? kExitInterrupted : kExitSystemError;
     }
-    std::printf("day %s, seed %llu, %.1f s, records in %s\n%s", plan.name.c_str(),
+    std::printf("scenario %s, seed %llu, %.1f s, records in %s\n%s", plan.name.c_str(),
                 static_cast<unsigned long long>(*options.seed), result.seconds, options.out.c_str(),
                 invariants::format_verdict(result.verdict).c_str());
-    const bool was_played = result.error.empty();
-    if (!was_played) std::printf("not played through: %s\n", result.error.c_str());
-    const char* summary = result.verdict.kept() ? "all rules kept" : "A RULE BROKE";
-    std::printf("%s\n", was_played ? summary : "NOT PLAYED");
+    const bool completed = result.error.empty();
+    if (!completed) std::printf("not completed: %s\n", result.error.c_str());
+    const char* summary = result.verdict.kept() ? "all invariants kept" : "INVARIANT VIOLATED";
+    std::printf("%s\n", completed ? summary : "NOT COMPLETED");
     std::fflush(stdout);
-    return was_played && result.verdict.kept() ? kExitDone : kExitViolation;
+    return completed && result.verdict.kept() ? kExitSuccess : kExitViolation;
 }
 
-// Plays the scenario with one seed after another. An interrupt or a refusal of the system ends it at once.
+// Runs the scenario with consecutive seeds. An interrupt or a system error ends the series immediately.
 int run_scenario(const ScenarioArguments& arguments) {
     std::string faults;
     const auto plan = fault_scenario::load_plan(arguments.file, faults);
     if (!plan) {
         std::cerr << faults;
-        return kExitRefused;
+        return kExitInvalidInput;
     }
     fault_scenario::ScenarioOptions options = arguments.options;
     options.self = own_executable();
     const std::uint64_t first_seed = options.seed.value_or(plan->seed);
-    int exit_code = kExitDone;
+    int exit_code = kExitSuccess;
     for (int i = 0; i < arguments.seeds; ++i) {
         options.seed = first_seed + static_cast<std::uint64_t>(i);
         if (arguments.seeds > 1) options.out = arguments.options.out + "/" + std::to_string(*options.seed);
         const int code = report(*plan, options, fault_scenario::Scenario(*plan, options).run());
-        if (code == kExitInterrupted || code == kExitSystem) return code;
-        if (code != kExitDone) exit_code = code;
+        if (code == kExitInterrupted || code == kExitSystemError) return code;
+        if (code != kExitSuccess) exit_code = code;
     }
     return exit_code;
 }
@@ -64,13 +64,14 @@
     const auto arguments = std::make_shared<ScenarioArguments>();
     arguments->options.out = (std::filesystem::temp_directory_path() / "gorsenotch-day").string();
     CLI::App* command =
-        app.add_subcommand("scenario", "play a fault scenario on loopback and check the invariants");
+        app.add_subcommand("scenario", "run a fault scenario on loopback and check the invariants");
     command->alias("day");
     command->add_option("scenario", arguments->file, "scenario file")->required();
-    command->add_option("--seed", arguments->options.seed, "in place of the scenario's");
-    command->add_option("--seeds", arguments->seeds, "play it so often, with one seed after another")
+    command->add_option("--seed", arguments->options.seed, "random seed, overrides the scenario's");
+    command->add_option("--seeds", arguments->seeds, "number of runs, with consecutive seeds")
         ->check(CLI::Range(1, 1000));
-    command->add_option("--out", arguments->options.out, "folder for records and logs; emptied first");
+    command->add_option("--out", arguments->options.out,
+                        "folder for records and logs; its content is deleted first");
     return {command, [arguments] { return run_scenario(*arguments); }};
 }
 
--- a/src/cli/serve_command.cpp
+++ b/src/cli/serve_command.cpp
@@ -20,14 +20,14 @@
 
 int run_serve(const ServeArguments& arguments) {
     auto program = load_settings(arguments.settings_file);
-    if (!program || !arguments.overrides.apply_to(*program)) return kExitRefused;
+    if (!program || !arguments.overrides.apply_to(*program)) return kExitInvalidInput;
     const LogThread log_thread(program->log_level);
     net::EventLoop loop;
     GatewayProcess gateway(loop, std::move(*program), arguments.options);
     const StopSignals stop_signals(loop, [&] { gateway.stop(); });
-    if (!gateway.start()) return kExitSystem;
+    if (!gateway.start()) return kExitSystemError;
     loop.run();
-    return kExitDone;
+    return kExitSuccess;
 }
 
 }  // namespace
@@ -38,17 +38,18 @@
     command->add_option("settings", arguments->settings_file, "settings file")->required();
     GatewayOverrides& overrides = arguments->overrides;
     add_decision_overrides(*command, overrides);
-    command->add_option("--listen", overrides.listen, "address, in place of the settings'");
+    command->add_option("--listen", overrides.listen, "address to listen on, overrides the settings");
     command->add_option("--source", overrides.source, "local address for connections to engines");
-    command->add_option("--fleet", overrides.fleet_file, "fleet file, in place of the settings'");
+    command->add_option("--fleet", overrides.fleet_file, "fleet file, overrides the settings");
     command->add_option("--state", arguments->options.state,
-                        "folder that keeps the endpoint list over restarts");
-    command->add_option("--journal", arguments->options.journal, "file for each event and decision");
+                        "folder that stores the endpoint list across restarts");
+    command->add_option("--journal", arguments->options.journal, "file to record each event and decision in");
     return {command, [arguments] { return run_serve(*arguments); }};
 }
 
 Command add_node_command(CLI::App& app) {
-    CLI::App* command = app.add_subcommand("node", "one gateway on the platform; reads the GW_ variables");
+    CLI::App* command = app.add_subcommand(
+        "node", "run a gateway on the platform, configured by the GW_ environment variables");
     return {command, [] { return platform::run_node(); }};
 }
 
--- a/src/cli/settings_file.h
+++ b/src/cli/settings_file.h
@@ -1,4 +1,4 @@
-// What several sub-commands need of files: the settings, and this program's own file.
+// File functions shared by several sub-commands: the settings file and the program's executable.
 #pragma once
 
 #include <optional>
@@ -8,10 +8,10 @@
 
 namespace gorsenotch::cli {
 
-// The settings, or nothing after every fault has been written to standard error.
+// Loads the settings. If they are invalid, writes every fault to standard error and returns no value.
 std::optional<settings::Program> load_settings(const std::string& file);
 
-// Path of this program's executable, to start it as another process.
+// Path of this program's executable, used to start further processes of it.
 std::string own_executable();
 
 }  // namespace gorsenotch::cli
--- a/src/cli/stop_signals.h
+++ b/src/cli/stop_signals.h
@@ -9,8 +9,9 @@
 
 namespace gorsenotch::cli {
 
-// Calls `on_signal` for each SIGTERM, SIGINT and SIGHUP, in the loop. To be made before anything that takes
-// time: a signal that comes while the process starts is then kept, and delivered in the loop's first turn.
+// Calls `on_signal` on the loop's thread for each SIGTERM, SIGINT and SIGHUP. Should be constructed before
+// any slow part of the start: signals that arrive during the start are then delivered in the loop's first
+// turn.
 class StopSignals {
 public:
     StopSignals(net::EventLoop& loop, const std::function<void()>& on_signal)
--- a/src/cli/up_command.cpp
+++ b/src/cli/up_command.cpp
@@ -14,9 +14,10 @@
 
 namespace {
 
-constexpr net::Millis kStartTimeout = 20000;  // for all fake engines together, until they listen
+constexpr net::Millis kStartTimeout = 20000;  // until all fake engines listen
 
-// The engines of the settings as processes of their own, and the gateway in this one once all of them listen.
+// Runs each engine of the settings as a fake-engine process, and the gateway in this process once all of them
+// listen.
 class LocalDeployment {
 public:
     LocalDeployment(settings::Program program, std::string settings_file)
@@ -28,10 +29,10 @@
             if (!start_engine(engine)) break;
         }
         if (program_.engines.empty()) {
-            std::cerr << settings_file_ << ": fleet: lists no engines to stand in for\n";
-            return kExitRefused;
+            std::cerr << settings_file_ << ": fleet: expected at least one engine, found none\n";
+            return kExitInvalidInput;
         }
-        if (exit_code_ == kExitDone) loop_.run();
+        if (exit_code_ == kExitSuccess) loop_.run();
         return exit_code_;
     }
 
@@ -40,10 +41,10 @@
         const auto on_exit = [this, engine](int status, int signal) {
             on_engine_exit(engine, status, signal);
         };
-        engines_.push_back(std::make_unique<net::ChildProcess>(loop_, on_exit));
-        engines_.back()->on_line = [this](const std::string& line) { on_engine_line(line); };
+        engine_processes_.push_back(std::make_unique<net::ChildProcess>(loop_, on_exit));
+        engine_processes_.back()->on_line = [this](const std::string& line) { on_engine_line(line); };
         const auto& kind = program_.kinds[static_cast<std::size_t>(engine.endpoint.kind)];
-        const int error = engines_.back()->spawn(
+        const int error = engine_processes_.back()->spawn(
             {own_executable(), "fake-engine", settings_file_, "--server", std::to_string(engine.endpoint.id),
              "--kind", kind, "--address", engine.address},
             "");
@@ -53,10 +54,10 @@
     }
 
     void on_engine_line(const std::string& line) {
-        if (line.rfind("ready ", 0) != 0 || ++listening_ < program_.engines.size()) return;
+        if (line.rfind("ready ", 0) != 0 || ++listening_engines_ < program_.engines.size()) return;
         start_timer_.stop();
         gateway_ = std::make_unique<GatewayProcess>(loop_, program_, gateway::ServeOptions{});
-        if (!gateway_->start()) end_with(kExitSystem);
+        if (!gateway_->start()) stop_with(kExitSystemError);
     }
 
     void on_engine_exit(const settings::Engine& engine, int status, int signal) {
@@ -69,15 +70,15 @@
     }
 
     void fail_start(const settings::Engine& engine, const std::string& reason) {
-        if (exit_code_ != kExitDone) return;
-        std::cerr << "stand-in " << engine.endpoint.id << " at " << engine.address
+        if (exit_code_ != kExitSuccess) return;
+        std::cerr << "fake engine " << engine.endpoint.id << " at " << engine.address
                   << " did not start: " << reason << '\n';
-        end_with(kExitSystem);
+        stop_with(kExitSystemError);
     }
 
     void on_start_timeout() {
-        std::cerr << "the stand-ins did not all listen within " << kStartTimeout / 1000 << " s\n";
-        end_with(kExitSystem);
+        std::cerr << "the fake engines did not all listen within " << kStartTimeout / 1000 << " s\n";
+        stop_with(kExitSystemError);
     }
 
     void on_stop_signal() {
@@ -85,18 +86,18 @@
         loop_.stop();
     }
 
-    void end_with(int exit_code) {
+    void stop_with(int exit_code) {
         exit_code_ = exit_code;
         loop_.stop();
     }
 
     const settings::Program program_;
     const std::string settings_file_;
-    int exit_code_ = kExitDone;
-    std::size_t listening_ = 0;
-    // The order matters: what is declared later is gone before the loop and before the processes are.
+    int exit_code_ = kExitSuccess;
+    std::size_t listening_engines_ = 0;
+    // The order matters: members declared later are destroyed before the loop and before the processes.
     net::EventLoop loop_;
-    std::vector<std::unique_ptr<net::ChildProcess>> engines_;
+    std::vector<std::unique_ptr<net::ChildProcess>> engine_processes_;
     std::unique_ptr<GatewayProcess> gateway_;
     StopSignals stop_signals_{loop_, [this] { on_stop_signal(); }};
     net::Timer start_timer_{loop_, [this] { on_start_timeout(); }};
@@ -104,7 +105,7 @@
 
 int run_up(const std::string& settings_file, const std::string& listen) {
     auto program = load_settings(settings_file);
-    if (!program) return kExitRefused;
+    if (!program) return kExitInvalidInput;
     if (!listen.empty()) program->listen = listen;
     const LogThread log_thread(program->log_level);
     return LocalDeployment(std::move(*program), settings_file).run();
@@ -120,9 +121,9 @@
 Command add_up_command(CLI::App& app) {
     const auto arguments = std::make_shared<UpArguments>();
     CLI::App* command =
-        app.add_subcommand("up", "run the settings' engines as fake engines, and the gateway");
+        app.add_subcommand("up", "run the engines of the settings as fake engines, and the gateway");
     command->add_option("settings", arguments->settings_file)->required();
-    command->add_option("--listen", arguments->listen, "address, in place of the settings'");
+    command->add_option("--listen", arguments->listen, "address to listen on, overrides the settings");
     return {command, [arguments] { return run_up(arguments->settings_file, arguments->listen); }};
 }
 
