--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -22,8 +22,8 @@
 Command add_node_command(CLI::App& app);
 // Checks a settings file.
 Command add_check_command(CLI::App& app);
-// Runs one fake engine. `arguments` is this process's command line; the engine uses it to restart itself
-// after a simulated crash.
+// Runs one fake engine. `arguments` is this process's command line, with which the engine restarts itself
+// when its control port receives `restart`.
 Command add_fake_engine_command(CLI::App& app, std::vector<std::string> arguments);
 // Runs the engines listed in the settings as fake engines, and the gateway.
 Command add_up_command(CLI::App& app);
