--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -320,129 +320,193 @@
     EXPECT_EQ(core->open(), 0u);
 }
 
-// Anything may happen at any time; whatever does, each client has exactly one answer in time, nothing is sent
-// after it, never are two attempts out at once, and each read's state is taken or let go of.
-void run_random(std::uint64_t seed) {
-    std::mt19937_64 random(seed);
-    const auto dice = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
-    CoreBench bench;
-    bench.p.router.cancellation = dice(4) > 0;
-    bench.begin(seed);
-    struct Known {
+// Applies random events to a RequestLifecycle: requests, responses and faults of engines, disconnecting and
+// slow clients, new endpoint lists and the passing of time. Checks that each client gets exactly one answer
+// in time and nothing after it, that no request has two attempts in flight, and that each KV cache that a
+// prefill has left is fetched or released.
+class RandomRun {
+public:
+    explicit RandomRun(std::uint64_t seed) : random_(seed) {
+        bench_.p.router.cancellation = draw(4) > 0;
+        bench_.begin(seed);
+    }
+
+    // Stops at the first failed expectation.
+    void run() {
+        for (int i = 0; i < kEvents; ++i) {
+            apply_random_event();
+            expect_one_attempt_in_flight();
+            expect_answers_in_time();
+            if (::testing::Test::HasFailure()) return;
+        }
+        bench_.core->end_all();
+        bench_.advance(6000);
+        EXPECT_EQ(bench_.core->open(), 0u);
+        for (const auto& known : requests_)
+            EXPECT_EQ(known.client->finals + (known.client->disconnected ? 1 : 0), 1) << known.id;
+        expect_kv_caches_fetched_or_released();
+    }
+
+private:
+    static constexpr int kEvents = 400;
+    static constexpr std::size_t kMaxRequests = 40;
+    static constexpr Millis kClassDeadline = 3000;  // as in test_program()
+
+    // A request that was sent.
+    struct KnownRequest {
         std::unique_ptr<FakeClient> client = std::make_unique<FakeClient>();
         std::string id;
-        Millis deadline = 0, ended = -1;
-        bool stream = true, patient = false;
+        Millis deadline = 0;
+        bool stream = true;
+        bool has_timeout = false;  // the client has stated a timeout of its own
     };
-    std::vector<Known> all;
-    std::map<std::string, std::size_t> settled;  // reads whose state went: by a write's first token or let go
-    std::map<std::string, int> script;           // what an attempt's engine has done so far
-    const auto step = [&](SentAttempt& sent, int what) {
+
+    // A random number from 0 to `bound` - 1.
+    int draw(int bound) { return static_cast<int>(random_() % static_cast<std::uint64_t>(bound)); }
+    std::size_t draw_index(std::size_t size) {
+        return static_cast<std::size_t>(draw(static_cast<int>(size)));
+    }
+
+    void apply_random_event() {
+        const int event = draw(20);
+        if (event < 4 && requests_.size() < kMaxRequests) {
+            send_request();
+        } else if (event < 13 && !bench_.world.sent.empty()) {
+            SentAttempt sent = bench_.world.sent[draw_index(bench_.world.sent.size())];
+            advance_engine(sent, 4 + draw(3) - (draw(6) ? 0 : 4 + draw(3)));
+        } else if (event == 13 && !requests_.empty()) {
+            auto& known = requests_[draw_index(requests_.size())];
+            if (known.client->finals == 0) known.client->disconnected = true;
+            bench_.core->on_client_disconnected(known.id);
+        } else if (event == 14) {
+            send_endpoint_list();
+        } else if (event == 15 && !requests_.empty()) {
+            bench_.core->on_client_congested(requests_[draw_index(requests_.size())].id, draw(2));
+        } else {
+            bench_.advance(draw(4) ? draw(30) : draw(600));
+        }
+    }
+
+    void send_request() {
+        auto& known = requests_.emplace_back();
+        known.stream = draw(3) > 0;
+        const int cls = draw(3);
+        const Millis patience = draw(3) ? 0 : 200 + draw(2000);
+        known.has_timeout = patience > 0;
+        known.deadline =
+            bench_.world.clock + (patience > 0 ? std::min(patience, kClassDeadline) : kClassDeadline);
+        known.id = bench_.arrive(*known.client, cls, known.stream, patience);
+    }
+
+    // The attempt's engine fails in the way `step` says, or sends the next part of its response.
+    void advance_engine(SentAttempt& sent, int step) {
         const auto exchange = sent.exchange;
         if (exchange->is_over() || sent.closed) return;
-        int& at = script[sent.id()];
-        if (what == 0) return at == 0 ? exchange->on_connect_failed() : exchange->on_connection_closed();
-        if (what == 1) return exchange->on_first_byte_sent(), exchange->on_connection_closed();
+        int& parts_sent = parts_sent_[sent.id()];
+        if (step == 0)
+            return parts_sent == 0 ? exchange->on_connect_failed() : exchange->on_connection_closed();
+        if (step == 1) return exchange->on_first_byte_sent(), exchange->on_connection_closed();
         exchange->on_first_byte_sent();
-        if (what == 2) return exchange->on_data(http_response(dice(2) ? 500 : 429, "application/json", "{}"));
-        if (what == 3 && at == 0) return exchange->on_data("HTTP/1.1 200 OK\r\ncontent-le");
-        if (sent.read()) return exchange->on_data(at++ ? "" : read_answer(sent.id()));
-        switch (at++) {
+        if (step == 2) return exchange->on_data(http_response(draw(2) ? 500 : 429, "application/json", "{}"));
+        if (step == 3 && parts_sent == 0) return exchange->on_data("HTTP/1.1 200 OK\r\ncontent-le");
+        if (sent.read()) return exchange->on_data(parts_sent++ ? "" : read_answer(sent.id()));
+        exchange->on_data(stream_part(parts_sent++));
+    }
+
+    static std::string stream_part(int number) {
+        switch (number) {
             case 0:
-                return exchange->on_data(stream_head());
+                return stream_head();
             case 1:
-                return exchange->on_data(delta("a"));
+                return delta("a");
             case 2:
-                return exchange->on_data(delta("b") + delta("c"));
+                return delta("b") + delta("c");
             case 3:
-                return exchange->on_data(stop_event());
+                return stop_event();
             case 4:
-                return exchange->on_data(usage_event(3) + done_event());
+                return usage_event(3) + done_event();
             default:
-                return exchange->on_data(delta("late"));
+                return delta("late");
         }
-    };
-    for (int i = 0; i < 400; ++i) {
-        const int what = dice(20);
-        if (what < 4 && all.size() < 40) {
-            all.emplace_back();
-            auto& known = all.back();
-            known.stream = dice(3) > 0;
-            const int cls = dice(3);
-            const Millis patience = dice(3) ? 0 : 200 + dice(2000);
-            known.patient = patience > 0;
-            known.deadline = bench.world.clock + (patience > 0 ? std::min(patience, 3000.0) : 3000.0);
-            known.id = bench.arrive(*known.client, cls, known.stream, patience);
-        } else if (what < 13 && !bench.world.sent.empty()) {
-            const auto n = static_cast<std::size_t>(dice(static_cast<int>(bench.world.sent.size())));
-            SentAttempt sent = bench.world.sent[n];
-            step(sent, 4 + dice(3) - (dice(6) ? 0 : 4 + dice(3)));
-        } else if (what == 13 && !all.empty()) {
-            auto& known = all[static_cast<std::size_t>(dice(static_cast<int>(all.size())))];
-            if (known.client->finals == 0) known.client->disconnected = true;
-            bench.core->on_client_disconnected(known.id);
-        } else if (what == 14) {
-            auto engines = bench.engines;
-            for (auto& engine : engines) {
-                if (dice(3) == 0)
-                    engine.endpoint.status = dice(2) ? EndpointStatus::removed : EndpointStatus::draining;
-            }
-            bench.core->on_endpoint_list(engines, dice(2));
-        } else if (what == 15 && !all.empty()) {
-            bench.core->on_client_congested(
-                all[static_cast<std::size_t>(dice(static_cast<int>(all.size())))].id, dice(2));
-        } else {
-            bench.advance(dice(4) ? dice(30) : dice(600));
+    }
+
+    void send_endpoint_list() {
+        auto engines = bench_.engines;
+        for (auto& engine : engines) {
+            if (draw(3) == 0)
+                engine.endpoint.status = draw(2) ? EndpointStatus::removed : EndpointStatus::draining;
         }
-        std::map<std::string, int> out;
-        for (const auto& sent : bench.world.sent) {
-            const auto request = sent.id().substr(0, sent.id().rfind('.'));
-            if (!sent.exchange->is_over() && ++out[request] > 1) FAIL() << "two attempts out for " << request;
+        bench_.core->on_endpoint_list(engines, draw(2));
+    }
+
+    void expect_one_attempt_in_flight() const {
+        std::map<std::string, int> in_flight;
+        for (const auto& sent : bench_.world.sent) {
+            const auto request = request_of(sent);
+            if (!sent.exchange->is_over() && ++in_flight[request] > 1)
+                FAIL() << "two attempts in flight for " << request;
         }
-        for (const auto& known : all) {
+    }
+
+    void expect_answers_in_time() const {
+        for (const auto& known : requests_) {
             EXPECT_LE(known.client->finals, 1) << known.id;
-            // A whole answer that has begun counts as long as its client waits, which it may not have said.
-            const bool writing =
-                !known.stream && !known.patient &&
-                std::any_of(bench.world.sent.begin(), bench.world.sent.end(), [&](const SentAttempt& sent) {
-                    return sent.id().rfind(known.id + ".", 0) == 0 && sent.exchange->begun();
-                });
-            const bool heard =
-                known.client->finals > 0 || known.client->begun > 0 || known.client->disconnected || writing;
-            if (!heard) {
-                EXPECT_LE(bench.world.clock, known.deadline + bench.p.router.answer_slack)
+            const bool is_answered = known.client->finals > 0 || known.client->begun > 0 ||
+                                     known.client->disconnected || is_decoding_without_timeout(known);
+            if (!is_answered) {
+                EXPECT_LE(bench_.world.clock, known.deadline + bench_.p.router.answer_slack)
                     << known.id << " unanswered";
             }
         }
-        if (::testing::Test::HasFailure()) return;
     }
-    bench.core->end_all();
-    bench.advance(6000);
-    EXPECT_EQ(bench.core->open(), 0u);
-    for (const auto& known : all)
-        EXPECT_EQ(known.client->finals + (known.client->disconnected ? 1 : 0), 1) << known.id;
-    // A read that was delivered leaves no state: its request's write started_at, or it was let go of by its
-    // id.
-    for (const auto& sent : bench.world.sent) {
-        if (!sent.read() || script[sent.id()] == 0) continue;
-        const auto request = sent.id().substr(0, sent.id().rfind('.'));
-        bool gone =
-            std::any_of(bench.world.let_go.begin(), bench.world.let_go.end(), [&](const auto& release) {
-                return release.second == sent.id() && release.first == sent.address;
-            });
-        for (const auto& decode : bench.world.sent) {
-            if (decode.id().rfind(request + ".", 0) == 0 && !decode.read() &&
-                decode.request.body.find("\"" + sent.id() + "\"") != std::string::npos &&
-                (decode.exchange->begun() || script[decode.id()] >= 2))
-                gone = true;
+
+    // A complete response that an engine has begun is in time as long as its client waits, and this client
+    // has not stated for how long it does.
+    bool is_decoding_without_timeout(const KnownRequest& known) const {
+        return !known.stream && !known.has_timeout &&
+               std::any_of(bench_.world.sent.begin(), bench_.world.sent.end(), [&](const SentAttempt& sent) {
+                   return sent.id().rfind(known.id + ".", 0) == 0 && sent.exchange->begun();
+               });
+    }
+
+    void expect_kv_caches_fetched_or_released() {
+        for (const auto& sent : bench_.world.sent) {
+            if (!sent.read() || parts_sent_[sent.id()] == 0) continue;  // no response, so no KV cache
+            EXPECT_TRUE(is_released(sent) || is_fetched(sent))
+                << sent.id() << " may have leaked its KV cache";
         }
-        EXPECT_TRUE(gone) << sent.id() << " may be pinned";
     }
-}
 
-TEST(CoreRandom, RulesHoldInEveryOrder) {
+    bool is_released(const SentAttempt& prefill) const {
+        const auto& releases = bench_.world.let_go;
+        return std::any_of(releases.begin(), releases.end(), [&](const auto& release) {
+            return release.second == prefill.id() && release.first == prefill.address;
+        });
+    }
+
+    // Whether the stream of a decode attempt that was given this KV cache has begun.
+    bool is_fetched(const SentAttempt& prefill) {
+        const auto& sent = bench_.world.sent;
+        return std::any_of(sent.begin(), sent.end(), [&](const SentAttempt& decode) {
+            return request_of(decode) == request_of(prefill) && !decode.read() &&
+                   decode.request.body.find("\"" + prefill.id() + "\"") != std::string::npos &&
+                   (decode.exchange->begun() || parts_sent_[decode.id()] >= 2);
+        });
+    }
+
+    static std::string request_of(const SentAttempt& sent) {
+        return sent.id().substr(0, sent.id().rfind('.'));
+    }
+
+    std::mt19937_64 random_;
+    CoreBench bench_;
+    std::vector<KnownRequest> requests_;
+    std::map<std::string, int> parts_sent_;  // by attempt id
+};
+
+TEST(RequestLifecycleRandomTest, InvariantsHoldInRandomOrdersOfEvents) {
     for (std::uint64_t seed = 1; seed <= 80; ++seed) {
-        run_random(seed);
+        RandomRun(seed).run();
         if (::testing::Test::HasFailure()) FAIL() << "seed " << seed;
     }
 }
