--- a/src/cli/serve_command.cpp
+++ b/src/cli/serve_command.cpp
@@ -39,11 +39,12 @@
     GatewayOverrides& overrides = arguments->overrides;
     add_decision_overrides(*command, overrides);
     command->add_option("--listen", overrides.listen, "address to listen on, overrides the settings");
-    command->add_option("--source", overrides.source, "local address for connections to engines");
+    command->add_option("--source", overrides.source_address, "local address for connections to engines");
     command->add_option("--fleet", overrides.fleet_file, "fleet file, overrides the settings");
-    command->add_option("--state", arguments->options.state,
+    command->add_option("--state", arguments->options.state_folder,
                         "folder that stores the endpoint list across restarts");
-    command->add_option("--journal", arguments->options.journal, "file to record each event and decision in");
+    command->add_option("--journal", arguments->options.journal_file,
+                        "file to record each event and decision in");
     return {command, [arguments] { return run_serve(*arguments); }};
 }
 
--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -117,7 +117,7 @@
     if (std::exchange(flush_scheduled_, false)) owner_.cancel_flush(*this);
     if (!stream_) return;
     stream_->write(std::exchange(output_, {}));
-    owner_.record_queued(stream_->queued());
+    owner_.record_queued_bytes(stream_->queued());
     if (state_ == State::closing && stream_->queued() == 0) return stream_->shutdown_write();
     // Back-pressure: the engine's socket is not read while this client lags behind.
     const bool streaming = stream_begun_ && state_ == State::in_lifecycle;
--- a/src/gateway/client_connection.h
+++ b/src/gateway/client_connection.h
@@ -29,7 +29,7 @@
     virtual void schedule_flush(ClientConnection& connection) = 0;
     virtual void cancel_flush(ClientConnection& connection) = 0;
     // Reports the number of bytes queued for the client, beyond the kernel's buffers.
-    virtual void record_queued(std::size_t bytes) = 0;
+    virtual void record_queued_bytes(std::size_t bytes) = 0;
     // The connection has closed; the owner destroys it in a later loop turn.
     virtual void on_closed(ClientConnection& connection) = 0;
 };
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -37,7 +37,7 @@
                     }),
       drain_timer_(loop, [this] { continue_drain(); }),
       save_retry_timer_(loop, [this] {
-          if (unsaved_list_) save_list(std::move(*unsaved_list_));
+          if (unsaved_endpoint_list_) save_endpoint_list(std::move(*unsaved_endpoint_list_));
       }) {
     std::random_device device;
     const auto random = [&] { return (std::uint64_t{device()} << 32) | device(); };
@@ -52,8 +52,8 @@
     };
     loop_.before_poll = [this](Millis due) { lifecycle_->before_poll(due); };
     loop_.after_poll = [this] { lifecycle_->after_poll(loop_.last_poll()); };
-    if (!options_.journal.empty()) {
-        journal_ = state::open_journal(options_.journal, seed, [this](const std::string& why) {
+    if (!options_.journal_file.empty()) {
+        journal_ = state::open_journal(options_.journal_file, seed, [this](const std::string& why) {
             log("error", "journal", {{"why", why}});
         });
         lifecycle_->observer = journal_.get();
@@ -104,7 +104,7 @@
     // The first digest makes the crypto library load its configuration; done here so that it does not delay
     // the first client.
     settings::tenant_of(program_, "");
-    load_initial_list();
+    load_initial_endpoint_list();
     if (!program_.fleet_file.empty())
         fleet_watcher_ = std::make_unique<net::FileWatcher>(
             loop_, program_.fleet_file, kFleetFilePollInterval, [this] { reload_fleet(); });
@@ -114,11 +114,11 @@
 
 // Uses the endpoint list saved by an earlier process until the fleet file is read. The Router treats it as
 // possibly out of date.
-void Gateway::load_initial_list() {
+void Gateway::load_initial_endpoint_list() {
     std::vector<settings::FileFault> faults;
     std::optional<std::vector<settings::Engine>> engines;
-    if (!options_.state.empty()) {
-        snapshot_store_ = std::make_shared<state::SnapshotStore>(options_.state, "fleet");
+    if (!options_.state_folder.empty()) {
+        snapshot_store_ = std::make_shared<state::SnapshotStore>(options_.state_folder, "fleet");
         const state::LoadedSnapshot snapshot = snapshot_store_->load();
         std::string why = snapshot.error ? snapshot.error->message : "";
         if (snapshot.text) engines = settings::parse_fleet(*snapshot.text, program_, faults);
@@ -153,17 +153,17 @@
                    {{"faults", settings::render(program_.fleet_file, faults)}});
     lifecycle_->on_endpoint_list(*engines, false);
     log("info", "endpoint_list", {{"engines", engines->size()}});
-    if (snapshot_store_) save_list(std::move(text));
+    if (snapshot_store_) save_endpoint_list(std::move(text));
 }
 
 // Saves on the thread pool, since syncing a file may take as long as a time to first token. If further lists
 // arrive meanwhile, only the latest of them is saved next.
-void Gateway::save_list(std::string text) {
-    unsaved_list_ = std::move(text);
+void Gateway::save_endpoint_list(std::string text) {
+    unsaved_endpoint_list_ = std::move(text);
     if (saving_) return;
     saving_ = true;
     const auto why = std::make_shared<std::string>();
-    const auto list = std::make_shared<std::string>(*std::exchange(unsaved_list_, std::nullopt));
+    const auto list = std::make_shared<std::string>(*std::exchange(unsaved_endpoint_list_, std::nullopt));
     net::run_on_thread_pool(
         loop_,
         [store = snapshot_store_, list, why] {
@@ -177,11 +177,11 @@
             if (!why->empty()) {
                 if (!std::exchange(save_failed_, true))
                     log("warn", "cached_endpoint_list", {{"why", *why + "; will retry"}});
-                if (!unsaved_list_) unsaved_list_ = std::move(*list);
+                if (!unsaved_endpoint_list_) unsaved_endpoint_list_ = std::move(*list);
                 return save_retry_timer_.fire_after(kSaveRetryDelay);
             }
             save_failed_ = false;
-            if (unsaved_list_) save_list(std::move(*unsaved_list_));
+            if (unsaved_endpoint_list_) save_endpoint_list(std::move(*unsaved_endpoint_list_));
         });
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -19,8 +19,8 @@
 
 // The paths under which a gateway stores data beyond the life of its process.
 struct ServeOptions {
-    std::string state;    // folder for the latest endpoint list; empty: it is not saved
-    std::string journal;  // file for the Router's events and actions; empty: none
+    std::string state_folder;  // stores the latest endpoint list; empty: it is not saved
+    std::string journal_file;  // records the Router's events and actions; empty: none
 };
 
 // Owns all parts of the process. Installs its hooks in the event loop and removes them on destruction.
@@ -52,9 +52,9 @@
     void log(const char* level, const char* event, api::Json fields) override;
     void on_stall(Millis duration) override;
 
-    void load_initial_list();
+    void load_initial_endpoint_list();
     void reload_fleet();
-    void save_list(std::string text);
+    void save_endpoint_list(std::string text);
     void on_slow_turn(Millis length, const net::EventLoop::Activities& activities);
     void continue_drain();
 
@@ -63,7 +63,7 @@
     const ServeOptions options_;
     std::unique_ptr<state::DecisionObserver> journal_;
     std::shared_ptr<state::SnapshotStore> snapshot_store_;  // shared with the thread pool
-    std::optional<std::string> unsaved_list_;               // newer than the one being saved
+    std::optional<std::string> unsaved_endpoint_list_;      // newer than the one being saved
     bool saving_ = false;
     bool save_failed_ = false;            // at the latest attempt
     bool fleet_file_unreadable_ = false;  // at the latest attempt
--- a/src/gateway/http_server.cpp
+++ b/src/gateway/http_server.cpp
@@ -87,7 +87,7 @@
     for (auto* connection : queued) connection->flush();
 }
 
-void HttpServer::record_queued(std::size_t bytes) {
+void HttpServer::record_queued_bytes(std::size_t bytes) {
     peak_queued_bytes_ = std::max(peak_queued_bytes_, bytes);
 }
 
--- a/src/gateway/http_server.h
+++ b/src/gateway/http_server.h
@@ -42,7 +42,7 @@
     bool is_draining() const override { return draining_; }
     void schedule_flush(ClientConnection& connection) override;
     void cancel_flush(ClientConnection& connection) override;
-    void record_queued(std::size_t bytes) override;
+    void record_queued_bytes(std::size_t bytes) override;
     void on_closed(ClientConnection& connection) override;
 
     void on_accepted(std::unique_ptr<net::TcpStream> stream);
--- a/src/gateway/request_attempts.cpp
+++ b/src/gateway/request_attempts.cpp
@@ -224,8 +224,9 @@
     const EndReason reason = served ? EndReason::served : EndReason::broken;
     Client* client = std::exchange(request.request.client, nullptr);
     request.usage = outcome.usage;
-    std::string bytes = served ? request.request.answer->finish(outcome.stop, outcome.usage, outcome.sequence)
-                               : request.request.answer->fail(kStreamBroken);
+    std::string bytes =
+        served ? request.request.answer->finish(outcome.stop_reason, outcome.usage, outcome.stop_sequence)
+               : request.request.answer->fail(kStreamBroken);
     if (request.request.chat.stream) {
         close_request(request, 200, reason);
         if (!client) return;
--- a/src/gateway/request_intake.cpp
+++ b/src/gateway/request_intake.cpp
@@ -43,7 +43,7 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-int class_of(const settings::Program& program, const NewRequest& request, const http::Headers& headers) {
+int select_class(const settings::Program& program, const NewRequest& request, const http::Headers& headers) {
     for (const auto& route : program.routes) {
         if (!route.model.empty() && route.model != request.chat.model) continue;
         if (route.tenant >= 0 && route.tenant != request.tenant) continue;
@@ -159,7 +159,7 @@
         return error_reply(403, "permission_error", "the API key is not allowed to use model " + model, id);
     if (count_only) return Reply{200, api::messages::count_body(accepted.chat), std::nullopt, kNoRetryAfter};
 
-    accepted.cls = class_of(program, accepted, request.headers);
+    accepted.cls = select_class(program, accepted, request.headers);
     if (const auto* key = http::find(request.headers, "idempotency-key")) {
         if (!is_valid_idempotency_key(*key))
             return error_reply(400, "invalid_request_error",
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -40,6 +40,7 @@
     // Returns false if too many requests are open; the request is then not accepted and its client not
     // called.
     bool on_request(NewRequest request);
+    // Closes the request and cancels its attempts.
     void on_client_disconnected(const std::string& id);
     // Back-pressure: while `congested`, the client reads more slowly than the engine writes, and the engine's
     // response is not read.
--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -23,7 +23,7 @@
 }
 
 void UpstreamExchange::on_first_byte_sent() {
-    sent_ = true;
+    first_byte_sent_ = true;
     if (on_sent) on_sent();
 }
 
@@ -117,8 +117,8 @@
     begin_stream();
     if (over_) return;
     progress_ = StreamProgress::stopped;
-    stop_ = piece.stop;
-    sequence_ = piece.text;
+    stop_reason_ = piece.stop;
+    stop_sequence_ = piece.text;
 }
 
 void UpstreamExchange::begin_stream() {
@@ -160,14 +160,15 @@
     // Guards against sending again a request that may have been delivered: only if no byte was written is it
     // certain that the engine received nothing. This also holds for a reused connection that is closed before
     // the first byte of the response.
-    fail_attempt(sent_ ? AttemptResult::reset : AttemptResult::unreachable,
+    fail_attempt(first_byte_sent_ ? AttemptResult::reset : AttemptResult::unreachable,
                  "connection closed before the response was complete");
 }
 
 void UpstreamExchange::on_connect_failed() { fail_attempt(AttemptResult::unreachable, "connection failed"); }
 void UpstreamExchange::on_not_sent() { fail_attempt(AttemptResult::not_sent, "request not sent"); }
 void UpstreamExchange::time_out() {
-    fail_attempt(sent_ ? AttemptResult::timed_out : AttemptResult::unreachable, "attempt timed out");
+    fail_attempt(first_byte_sent_ ? AttemptResult::timed_out : AttemptResult::unreachable,
+                 "attempt timed out");
 }
 void UpstreamExchange::cancel() { fail_attempt(AttemptResult::cancelled, "attempt cancelled"); }
 void UpstreamExchange::on_stream_stalled() { fail_attempt(AttemptResult::timed_out, "stream idle timeout"); }
@@ -196,8 +197,8 @@
     if (over_) return;
     over_ = true;
     outcome.begun = begun();
-    outcome.stop = stop_;
-    outcome.sequence = sequence_;
+    outcome.stop_reason = stop_reason_;
+    outcome.stop_sequence = stop_sequence_;
     outcome.usage = usage_;
     outcome.report = report_;
     // If the engine reports no usage, each piece of text counts as one token.
--- a/src/gateway/upstream_exchange.h
+++ b/src/gateway/upstream_exchange.h
@@ -19,9 +19,9 @@
     double detail = 0;       // see AttemptEnded::detail
     std::string parameters;  // of prefill_done: KV transfer parameters for the decode request
     std::string why;         // the reason, for the log
-    api::StopReason stop = api::StopReason::end;
-    std::string sequence;  // of StopReason::sequence: the stop sequence
-    api::Usage usage;      // of a served decode attempt
+    api::StopReason stop_reason = api::StopReason::end;
+    std::string stop_sequence;  // if `stop_reason` is StopReason::sequence
+    api::Usage usage;           // of a served decode attempt
     LoadReport report;
     bool begun = false;  // the stream had begun
 };
@@ -93,11 +93,11 @@
     BodyKind body_kind_ = BodyKind::complete;
     StreamProgress progress_ = StreamProgress::waiting;
     ConnectionUse connection_ = ConnectionUse::message_open;
-    bool sent_ = false;
+    bool first_byte_sent_ = false;
     bool over_ = false;
     bool awaits_message_end_ = false;  // the last event was received, the end of the HTTP message not yet
-    api::StopReason stop_ = api::StopReason::end;
-    std::string sequence_;
+    api::StopReason stop_reason_ = api::StopReason::end;
+    std::string stop_sequence_;
     api::Usage usage_;
     long text_pieces_ = 0;
     std::vector<engine::StreamPiece> event_pieces_;  // of the current event; a member to reuse its memory
