--- a/src/cli/gateway_overrides.cpp
+++ b/src/cli/gateway_overrides.cpp
@@ -7,7 +7,7 @@
 
 bool GatewayOverrides::apply_to(settings::Program& program) const {
     if (!listen.empty()) program.listen = listen;
-    if (!source.empty()) program.source = source;
+    if (!source_address.empty()) program.source = source_address;
     if (!fleet_file.empty()) program.fleet_file = fleet_file;
     if (gateways > 0) program.router.gateways = gateways;
     if (seed) program.seed = *seed;
--- a/src/cli/gateway_overrides.h
+++ b/src/cli/gateway_overrides.h
@@ -14,7 +14,7 @@
 struct GatewayOverrides {
     std::string listen;
     std::string zone;
-    std::string source;
+    std::string source_address;
     std::string fleet_file;
     int gateways = 0;
     std::optional<std::uint64_t> seed;
