--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -394,7 +394,7 @@
     EXPECT_LT(net::now() - started_at, 3100);
 }
 
-TEST_F(GatewayTest, DrainFinishesStreamsAndRejectsNewConnections) {
+TEST_F(GatewayTest, DrainFinishesStreamsAndRefusesNewConnections) {
     RawEngine::Connection* open_stream = nullptr;
     decode_engine.on_request = [&](RawEngine&, RawEngine::Connection& connection) {
         open_stream = &connection;
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -178,7 +178,7 @@
     expect_no_more_attempts(0);
 }
 
-TEST_F(RequestLifecycleTest, UnresponsiveEnginesLeadToOneRejectionWithinTheDeadline) {
+TEST_F(RequestLifecycleTest, UnresponsiveEnginesLeadToOneAnswerWithinTheDeadline) {
     const Millis started_at = world.clock;
     arrive(client);
     for (int i = 0; i < 4000 && client.finals == 0; ++i) {
