--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -1,4 +1,5 @@
-// The life of a request in every order that a test can think of, without sockets and with a clock in hand.
+// Tests of RequestLifecycle without sockets and on a clock that the test sets: single sequences of events,
+// then random ones.
 #include <random>
 
 #include "gateway/fakes.h"
@@ -6,11 +7,11 @@
 namespace gorsenotch::test {
 namespace {
 
-struct CoreTest : ::testing::Test, CoreBench {
-    CoreTest() { begin(); }
+struct RequestLifecycleTest : ::testing::Test, CoreBench {
+    RequestLifecycleTest() { begin(); }
     FakeClient client;
-    // All states that reads may have left are gone: taken by a write or let go of.
-    void expect_no_more(std::size_t sends) {
+    // Expects that no request is open, that `sends` attempts were sent in all, and that no more follow.
+    void expect_no_more_attempts(std::size_t sends) {
         EXPECT_EQ(core->open(), 0u);
         const auto before = world.sent.size();
         advance(10000);
@@ -19,14 +20,14 @@
     }
 };
 
-TEST_F(CoreTest, StreamedOnTheOrdinaryPath) {
+TEST_F(RequestLifecycleTest, StreamedRequestIsPrefilledThenDecoded) {
     arrive(client);
     ASSERT_EQ(world.sent.size(), 1u);
     EXPECT_TRUE(last().read());
     read_done();
     ASSERT_EQ(world.sent.size(), 2u);
     EXPECT_FALSE(last().read());
-    EXPECT_NE(last().wanted.body.find("remote_request_id"), std::string::npos);
+    EXPECT_NE(last().request.body.find("remote_request_id"), std::string::npos);
     answer(last(), stream_head() + delta("a") + delta("b") + stop_event() + usage_event(2) + done_event());
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.begun, 1);
@@ -34,10 +35,10 @@
     EXPECT_NE(client.stream.find("\"output_tokens\":2"), std::string::npos);
     EXPECT_TRUE(last().exchange->is_reusable());
     EXPECT_TRUE(world.let_go.empty());
-    expect_no_more(2);
+    expect_no_more_attempts(2);
 }
 
-TEST_F(CoreTest, WholeAnswerComesOnceAtTheEnd) {
+TEST_F(RequestLifecycleTest, CompleteResponseIsSentOnceAtTheEnd) {
     arrive(client, 0, false);
     read_done();
     answer(last(), stream_head() + delta("a") + delta("b"));
@@ -46,84 +47,84 @@
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 200);
     EXPECT_NE(client.stream.find("\"text\":\"ab\""), std::string::npos);
-    expect_no_more(2);
+    expect_no_more_attempts(2);
 }
 
-TEST_F(CoreTest, ClientGoesDuringTheRead) {
+TEST_F(RequestLifecycleTest, ClientDisconnectsDuringPrefill) {
     const auto id = arrive(client);
-    client.gone = true;
+    client.disconnected = true;
     core->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
     ASSERT_EQ(world.let_go.size(), 1u);
     EXPECT_EQ(world.let_go[0].second, id + ".0");
-    last().exchange->on_data(read_answer(last().id()));  // its answer was on the way: too late for anyone
-    expect_no_more(1);
+    last().exchange->on_data(read_answer(last().id()));  // the response arrives after the cancellation
+    expect_no_more_attempts(1);
 }
 
-TEST_F(CoreTest, ClientGoesBetweenReadAndFirstToken) {
+TEST_F(RequestLifecycleTest, ClientDisconnectsBetweenPrefillAndFirstToken) {
     const auto id = arrive(client);
     read_done();
-    client.gone = true;
+    client.disconnected = true;
     core->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
     ASSERT_EQ(world.let_go.size(), 1u);
     EXPECT_EQ(world.let_go[0].second, id + ".0");
-    expect_no_more(2);
+    expect_no_more_attempts(2);
 }
 
-TEST_F(CoreTest, ClientGoesMidStream) {
+TEST_F(RequestLifecycleTest, ClientDisconnectsDuringTheStream) {
     const auto id = arrive(client);
     read_done();
     answer(last(), stream_head() + delta("a"));
-    client.gone = true;
+    client.disconnected = true;
     core->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
-    EXPECT_TRUE(world.let_go.empty());  // the write had taken the state
+    EXPECT_TRUE(world.let_go.empty());  // the decode engine had fetched the KV cache
     answer(last(), delta("b"));
-    expect_no_more(2);
+    expect_no_more_attempts(2);
 }
 
-TEST_F(CoreTest, ClientGoesInTheSameTurnAsTheLastEvent) {
+TEST_F(RequestLifecycleTest, ClientDisconnectsInTheSameTurnAsTheLastEvent) {
     const auto id = arrive(client);
     read_done();
     answer(last(), stream_head() + delta("a") + stop_event() + done_event());
     EXPECT_EQ(client.finals, 1);
-    client.gone = true;
+    client.disconnected = true;
     core->on_client_disconnected(id);
-    expect_no_more(2);
+    expect_no_more_attempts(2);
 }
 
-TEST_F(CoreTest, ReadWithoutTransferParametersIsNotWrittenFrom) {
+TEST_F(RequestLifecycleTest, PrefillWithoutTransferParametersIsReleasedAndRepeated) {
     arrive(client);
     const auto first = last().id();
-    answer(last(), http_answer(200, "application/json", "{\"choices\":[]}"));
+    answer(last(), http_response(200, "application/json", "{\"choices\":[]}"));
     ASSERT_EQ(world.sent.size(), 2u);
     EXPECT_TRUE(last().read());
-    ASSERT_EQ(world.let_go.size(), 1u);  // it may have left a state all the same
+    ASSERT_EQ(world.let_go.size(), 1u);  // it may still have left a KV cache
     EXPECT_EQ(world.let_go[0].second, first);
 }
 
-TEST_F(CoreTest, StateGoneMeansReadAgain) {
+TEST_F(RequestLifecycleTest, MissingKvCacheLeadsToAnotherPrefill) {
     arrive(client);
     read_done();
-    answer(last(), http_answer(424, "application/json", "{\"error\":{\"type\":\"kv_transfer_error\"}}"));
+    answer(last(), http_response(424, "application/json", "{\"error\":{\"type\":\"kv_transfer_error\"}}"));
     ASSERT_EQ(world.sent.size(), 3u);
     EXPECT_TRUE(last().read());
 }
 
-TEST_F(CoreTest, FullWriterIsFollowedByAnotherWithTheSameState) {
+TEST_F(RequestLifecycleTest, RejectedDecodeIsRetriedElsewhereWithTheSameKvCache) {
     arrive(client);
     read_done();
     const std::string first = last().address;
-    answer(last(), http_answer(429, "application/json", "{}"));
+    answer(last(), http_response(429, "application/json", "{}"));
     ASSERT_EQ(world.sent.size(), 3u);
     EXPECT_FALSE(last().read());
     EXPECT_NE(last().address, first);
-    EXPECT_NE(last().wanted.body.find("remote_request_id"), std::string::npos);
+    EXPECT_NE(last().request.body.find("remote_request_id"), std::string::npos);
     EXPECT_TRUE(world.let_go.empty());
 }
 
-TEST_F(CoreTest, StreamThatBreaksEndsOnceAndIsNotSentAgain) {
+TEST_F(RequestLifecycleTest, BrokenStreamEndsOnceAndIsNotRetried) {
     arrive(client);
     read_done();
     answer(last(), stream_head() + delta("a"));
@@ -131,34 +132,34 @@
     EXPECT_EQ(client.finals, 1);
     EXPECT_NE(client.stream.find("event: error"), std::string::npos);
     EXPECT_EQ(client.stream.find("message_stop"), std::string::npos);
-    expect_no_more(2);
+    expect_no_more_attempts(2);
 }
 
-TEST_F(CoreTest, WholeAnswerThatBreaksIsAnError) {
+TEST_F(RequestLifecycleTest, BrokenCompleteResponseIsAnError) {
     arrive(client, 0, false);
     read_done();
     answer(last(), stream_head() + delta("a"));
     last().exchange->on_connection_closed();
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 500);
-    EXPECT_EQ(client.retry, true);
-    expect_no_more(2);
+    EXPECT_EQ(client.should_retry, true);
+    expect_no_more_attempts(2);
 }
 
-TEST_F(CoreTest, OnceThatMayHaveRunIsFailedNotRepeated) {
+TEST_F(RequestLifecycleTest, UnsafeRequestThatMayHaveRunFailsWithoutRetry) {
     arrive(client, 1);
     read_done();
     last().exchange->on_first_byte_sent();
-    last().exchange->on_connection_closed();  // reset after the bytes were out
+    last().exchange->on_connection_closed();  // reset after the request was sent
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 500);
-    EXPECT_EQ(client.retry, false);
+    EXPECT_EQ(client.should_retry, false);
     EXPECT_EQ(world.sent.size(), 2u);
     EXPECT_EQ(world.let_go.size(), 1u);
-    expect_no_more(2);
+    expect_no_more_attempts(2);
 }
 
-TEST_F(CoreTest, OnceThatNeverLeftGoesToAnother) {
+TEST_F(RequestLifecycleTest, UnsafeRequestThatWasNeverSentIsRetriedElsewhere) {
     arrive(client, 1);
     read_done();
     last().exchange->on_connect_failed();
@@ -166,77 +167,77 @@
     EXPECT_FALSE(last().read());
 }
 
-TEST_F(CoreTest, RefusalHasARetryAfter) {
+TEST_F(RequestLifecycleTest, RejectionHasARetryAfter) {
     engines = {engine(1, 0), engine(11, 1, EndpointStatus::draining)};
     core->on_endpoint_list(engines, false);
     arrive(client);
     EXPECT_EQ(client.status, 529);
-    EXPECT_EQ(client.retry, true);
-    EXPECT_GE(client.pause, 0);
+    EXPECT_EQ(client.should_retry, true);
+    EXPECT_GE(client.retry_after, 0);
     EXPECT_TRUE(world.sent.empty());
-    expect_no_more(0);
+    expect_no_more_attempts(0);
 }
 
-TEST_F(CoreTest, SilentEnginesEndInTimeWithOneAnswer) {
-    const Millis began = world.clock;
+TEST_F(RequestLifecycleTest, UnresponsiveEnginesLeadToOneAnswerWithinTheDeadline) {
+    const Millis started_at = world.clock;
     arrive(client);
     for (int i = 0; i < 4000 && client.finals == 0; ++i) {
         for (auto& sent : world.sent) sent.exchange->on_first_byte_sent();
         advance(1);
     }
     EXPECT_EQ(client.finals, 1);
-    EXPECT_LE(world.clock - began, p.router.classes[0].deadline + p.router.answer_slack);
+    EXPECT_LE(world.clock - started_at, p.router.classes[0].deadline + p.router.answer_slack);
     EXPECT_GE(world.sent.size(), 2u);
-    std::size_t reads = 0;
-    for (const auto& sent : world.sent) reads += sent.read();
-    EXPECT_EQ(world.let_go.size(), reads);
-    expect_no_more(world.sent.size());
+    std::size_t prefills = 0;
+    for (const auto& sent : world.sent) prefills += sent.read();
+    EXPECT_EQ(world.let_go.size(), prefills);
+    expect_no_more_attempts(world.sent.size());
 }
 
-TEST_F(CoreTest, PatienceShorterThanTheDeadlineCounts) {
-    const Millis began = world.clock;
+TEST_F(RequestLifecycleTest, ClientTimeoutShorterThanTheDeadlineApplies) {
+    const Millis started_at = world.clock;
     arrive(client, 0, true, 300);
     while (client.finals == 0) advance(1);
-    EXPECT_LE(world.clock - began, 300 + p.router.answer_slack);
+    EXPECT_LE(world.clock - started_at, 300 + p.router.answer_slack);
     EXPECT_EQ(client.status, 529);
 }
 
-TEST_F(CoreTest, WholeAnswerTooSlowForItsClientEndsInTime) {
-    const Millis began = world.clock;
+TEST_F(RequestLifecycleTest, CompleteResponseBeyondTheClientTimeoutFailsInTime) {
+    const Millis started_at = world.clock;
     arrive(client, 0, false, 1000);
     read_done();
     answer(last(), stream_head() + delta("a"));
     while (client.finals == 0) advance(1);
-    EXPECT_LE(world.clock - began, 1000);
+    EXPECT_LE(world.clock - started_at, 1000);
     EXPECT_EQ(client.status, 504);
     EXPECT_TRUE(last().closed);
-    expect_no_more(2);
+    expect_no_more_attempts(2);
 }
 
-TEST_F(CoreTest, OutcomeAndTimeOutInTheSameTurn) {
+TEST_F(RequestLifecycleTest, ResponseReadBeforeItsTimeoutFiresInTheSameTurn) {
     arrive(client);
-    Sent read = last();
-    // The time-out is due, but the answer's bytes are taken first, then the timer fires in the same turn.
+    SentAttempt prefill = last();
+    // The timeout is due, but the response is read first; then the timer fires in the same turn.
     world.clock += 2500;
-    answer(read, read_answer(read.id()));
+    answer(prefill, read_answer(prefill.id()));
     core->tick();
     EXPECT_EQ(world.sent.size(), 2u);
     EXPECT_FALSE(last().read());
 }
 
-TEST_F(CoreTest, DecisionForAServerJustTakenOffTheList) {
+TEST_F(RequestLifecycleTest, DecodeEnginesRemovedDuringPrefillLeadToRejection) {
     arrive(client);
-    const std::string reader = last().address;
-    engines = {engine(reader == "10.0.0.1:80" ? 1 : 2, 0)};  // both writers are gone
+    const std::string prefill_address = last().address;
+    engines = {engine(prefill_address == "10.0.0.1:80" ? 1 : 2, 0)};  // both decode engines are removed
     core->on_endpoint_list(engines, false);
     read_done();
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 529);
     EXPECT_EQ(world.let_go.size(), 1u);
-    expect_no_more(1);
+    expect_no_more_attempts(1);
 }
 
-TEST_F(CoreTest, StalledStreamEnds) {
+TEST_F(RequestLifecycleTest, StreamWithoutDataTimesOut) {
     p.limits.stream_idle_ms = 1000;
     arrive(client);
     read_done();
@@ -252,22 +253,24 @@
     EXPECT_TRUE(last().closed);
 }
 
-TEST_F(CoreTest, IdleStreamIsPinged) {
-    p.limits.ping_ms = 300, p.limits.stream_idle_ms = 5000;
+TEST_F(RequestLifecycleTest, IdleStreamGetsKeepalivePings) {
+    p.limits.ping_ms = 300;
+    p.limits.stream_idle_ms = 5000;
     arrive(client);
     read_done();
     answer(last(), stream_head() + delta("a"));
     const auto pings = [&] {
-        std::size_t n = 0;
-        for (std::size_t at = 0; (at = client.stream.find("event: ping", at)) != std::string::npos; ++at) ++n;
-        return n;
+        std::size_t matches = 0;
+        for (std::size_t at = 0; (at = client.stream.find("event: ping", at)) != std::string::npos; ++at)
+            ++matches;
+        return matches;
     };
     EXPECT_EQ(pings(), 1u);
     advance(1000);
     EXPECT_EQ(pings(), 4u);
 }
 
-TEST_F(CoreTest, SlowClientPausesItsEngineAndIsNotTakenForAStall) {
+TEST_F(RequestLifecycleTest, SlowClientPausesItsEngineWithoutStreamTimeout) {
     p.limits.stream_idle_ms = 1000;
     const auto id = arrive(client);
     read_done();
@@ -282,161 +285,228 @@
     EXPECT_EQ(client.finals, 1);
 }
 
-TEST_F(CoreTest, LimitOfOpenRequests) {
+TEST_F(RequestLifecycleTest, RequestBeyondTheLimitOfOpenRequestsIsNotAccepted) {
     p.limits.open_requests = 1;
     arrive(client);
-    gateway::NewRequest n;
-    n.id = "req_more", n.chat.messages = {{"user", "x"}}, n.client = &client;
-    EXPECT_FALSE(core->on_request(std::move(n)));
+    gateway::NewRequest request;
+    request.id = "req_more";
+    request.chat.messages = {{"user", "x"}};
+    request.client = &client;
+    EXPECT_FALSE(core->on_request(std::move(request)));
     EXPECT_EQ(client.finals, 0);
 }
 
-TEST_F(CoreTest, EndAllGivesEachItsAnswerAndLetsGo) {
-    FakeClient reading;
-    FakeClient waiting;
+TEST_F(RequestLifecycleTest, EndAllAnswersEveryRequestAndReleasesItsLeases) {
+    FakeClient prefilling;
+    FakeClient waiting_for_decode;
     FakeClient streaming;
-    FakeClient once;
+    FakeClient unsafe;
     arrive(streaming);
     read_done();
     answer(last(), stream_head() + delta("a"));
-    arrive(waiting);
+    arrive(waiting_for_decode);
     read_done();
-    arrive(once, 1);
+    arrive(unsafe, 1);
     read_done();
     last().exchange->on_first_byte_sent();
-    arrive(reading);
+    arrive(prefilling);
     core->end_all();
-    for (auto* each : {&reading, &waiting, &streaming, &once}) EXPECT_EQ(each->finals, 1);
-    EXPECT_EQ(reading.status, 529);
-    EXPECT_EQ(once.status, 500);
-    EXPECT_EQ(once.retry, false);
+    for (auto* each : {&prefilling, &waiting_for_decode, &streaming, &unsafe}) EXPECT_EQ(each->finals, 1);
+    EXPECT_EQ(prefilling.status, 529);
+    EXPECT_EQ(unsafe.status, 500);
+    EXPECT_EQ(unsafe.should_retry, false);
     EXPECT_NE(streaming.stream.find("event: error"), std::string::npos);
     EXPECT_EQ(world.let_go.size(), 3u);
     EXPECT_EQ(core->open(), 0u);
 }
 
-// Anything may happen at any time; whatever does, each client has exactly one answer in time, nothing is sent
-// after it, never are two attempts out at once, and each read's state is taken or let go of.
-void run_random(std::uint64_t seed) {
-    std::mt19937_64 random(seed);
-    const auto dice = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
-    CoreBench bench;
-    bench.p.router.cancellation = dice(4) > 0;
-    bench.begin(seed);
-    struct Known {
+// Applies random events to a RequestLifecycle: requests, responses and faults of engines, disconnecting and
+// slow clients, new endpoint lists and the passing of time. Checks that each client gets exactly one answer
+// in time and nothing after it, that no request has two attempts in flight, and that each KV cache that a
+// prefill has left is fetched or released.
+class RandomRun {
+public:
+    explicit RandomRun(std::uint64_t seed) : random_(seed) {
+        bench_.p.router.cancellation = draw(4) > 0;
+        bench_.begin(seed);
+    }
+
+    // Stops at the first failed expectation.
+    void run() {
+        for (int i = 0; i < kEvents; ++i) {
+            apply_random_event();
+            expect_one_attempt_in_flight();
+            expect_answers_in_time();
+            if (::testing::Test::HasFailure()) return;
+        }
+        bench_.core->end_all();
+        bench_.advance(6000);
+        EXPECT_EQ(bench_.core->open(), 0u);
+        for (const auto& known : requests_)
+            EXPECT_EQ(known.client->finals + (known.client->disconnected ? 1 : 0), 1) << known.id;
+        expect_kv_caches_fetched_or_released();
+    }
+
+private:
+    static constexpr int kEvents = 400;
+    static constexpr std::size_t kMaxRequests = 40;
+    static constexpr Millis kClassDeadline = 3000;  // as in test_program()
+
+    // A request that was sent.
+    struct KnownRequest {
         std::unique_ptr<FakeClient> client = std::make_unique<FakeClient>();
         std::string id;
-        Millis deadline = 0, ended = -1;
-        bool stream = true, patient = false;
+        Millis deadline = 0;
+        bool stream = true;
+        bool has_timeout = false;  // the client has stated a timeout of its own
     };
-    std::vector<Known> all;
-    std::map<std::string, std::size_t> settled;  // reads whose state went: by a write's first token or let go
-    std::map<std::string, int> script;           // what an attempt's engine has done so far
-    const auto step = [&](Sent& sent, int what) {
+
+    // A random number from 0 to `bound` - 1.
+    int draw(int bound) { return static_cast<int>(random_() % static_cast<std::uint64_t>(bound)); }
+    std::size_t draw_index(std::size_t size) {
+        return static_cast<std::size_t>(draw(static_cast<int>(size)));
+    }
+
+    void apply_random_event() {
+        const int event = draw(20);
+        if (event < 4 && requests_.size() < kMaxRequests) {
+            send_request();
+        } else if (event < 13 && !bench_.world.sent.empty()) {
+            SentAttempt sent = bench_.world.sent[draw_index(bench_.world.sent.size())];
+            advance_engine(sent, 4 + draw(3) - (draw(6) ? 0 : 4 + draw(3)));
+        } else if (event == 13 && !requests_.empty()) {
+            auto& known = requests_[draw_index(requests_.size())];
+            if (known.client->finals == 0) known.client->disconnected = true;
+            bench_.core->on_client_disconnected(known.id);
+        } else if (event == 14) {
+            send_endpoint_list();
+        } else if (event == 15 && !requests_.empty()) {
+            bench_.core->on_client_congested(requests_[draw_index(requests_.size())].id, draw(2));
+        } else {
+            bench_.advance(draw(4) ? draw(30) : draw(600));
+        }
+    }
+
+    void send_request() {
+        auto& known = requests_.emplace_back();
+        known.stream = draw(3) > 0;
+        const int cls = draw(3);
+        const Millis patience = draw(3) ? 0 : 200 + draw(2000);
+        known.has_timeout = patience > 0;
+        known.deadline =
+            bench_.world.clock + (patience > 0 ? std::min(patience, kClassDeadline) : kClassDeadline);
+        known.id = bench_.arrive(*known.client, cls, known.stream, patience);
+    }
+
+    // The attempt's engine fails in the way `step` says, or sends the next part of its response.
+    void advance_engine(SentAttempt& sent, int step) {
         const auto exchange = sent.exchange;
         if (exchange->is_over() || sent.closed) return;
-        int& at = script[sent.id()];
-        if (what == 0) return at == 0 ? exchange->on_connect_failed() : exchange->on_connection_closed();
-        if (what == 1) return exchange->on_first_byte_sent(), exchange->on_connection_closed();
+        int& parts_sent = parts_sent_[sent.id()];
+        if (step == 0)
+            return parts_sent == 0 ? exchange->on_connect_failed() : exchange->on_connection_closed();
+        if (step == 1) return exchange->on_first_byte_sent(), exchange->on_connection_closed();
         exchange->on_first_byte_sent();
-        if (what == 2) return exchange->on_data(http_answer(dice(2) ? 500 : 429, "application/json", "{}"));
-        if (what == 3 && at == 0) return exchange->on_data("HTTP/1.1 200 OK\r\ncontent-le");
-        if (sent.read()) return exchange->on_data(at++ ? "" : read_answer(sent.id()));
-        switch (at++) {
+        if (step == 2) return exchange->on_data(http_response(draw(2) ? 500 : 429, "application/json", "{}"));
+        if (step == 3 && parts_sent == 0) return exchange->on_data("HTTP/1.1 200 OK\r\ncontent-le");
+        if (sent.read()) return exchange->on_data(parts_sent++ ? "" : read_answer(sent.id()));
+        exchange->on_data(stream_part(parts_sent++));
+    }
+
+    static std::string stream_part(int number) {
+        switch (number) {
             case 0:
-                return exchange->on_data(stream_head());
+                return stream_head();
             case 1:
-                return exchange->on_data(delta("a"));
+                return delta("a");
             case 2:
-                return exchange->on_data(delta("b") + delta("c"));
+                return delta("b") + delta("c");
             case 3:
-                return exchange->on_data(stop_event());
+                return stop_event();
             case 4:
-                return exchange->on_data(usage_event(3) + done_event());
+                return usage_event(3) + done_event();
             default:
-                return exchange->on_data(delta("late"));
+                return delta("late");
         }
-    };
-    for (int i = 0; i < 400; ++i) {
-        const int what = dice(20);
-        if (what < 4 && all.size() < 40) {
-            all.emplace_back();
-            auto& known = all.back();
-            known.stream = dice(3) > 0;
-            const int cls = dice(3);
-            const Millis patience = dice(3) ? 0 : 200 + dice(2000);
-            known.patient = patience > 0;
-            known.deadline = bench.world.clock + (patience > 0 ? std::min(patience, 3000.0) : 3000.0);
-            known.id = bench.arrive(*known.client, cls, known.stream, patience);
-        } else if (what < 13 && !bench.world.sent.empty()) {
-            const auto n = static_cast<std::size_t>(dice(static_cast<int>(bench.world.sent.size())));
-            Sent sent = bench.world.sent[n];
-            step(sent, 4 + dice(3) - (dice(6) ? 0 : 4 + dice(3)));
-        } else if (what == 13 && !all.empty()) {
-            auto& known = all[static_cast<std::size_t>(dice(static_cast<int>(all.size())))];
-            if (known.client->finals == 0) known.client->gone = true;
-            bench.core->on_client_disconnected(known.id);
-        } else if (what == 14) {
-            auto engines = bench.engines;
-            for (auto& engine : engines) {
-                if (dice(3) == 0)
-                    engine.endpoint.status = dice(2) ? EndpointStatus::removed : EndpointStatus::draining;
-            }
-            bench.core->on_endpoint_list(engines, dice(2));
-        } else if (what == 15 && !all.empty()) {
-            bench.core->on_client_congested(
-                all[static_cast<std::size_t>(dice(static_cast<int>(all.size())))].id, dice(2));
-        } else {
-            bench.advance(dice(4) ? dice(30) : dice(600));
+    }
+
+    void send_endpoint_list() {
+        auto engines = bench_.engines;
+        for (auto& engine : engines) {
+            if (draw(3) == 0)
+                engine.endpoint.status = draw(2) ? EndpointStatus::removed : EndpointStatus::draining;
         }
-        std::map<std::string, int> out;
-        for (const auto& sent : bench.world.sent) {
-            const auto request = sent.id().substr(0, sent.id().rfind('.'));
-            if (!sent.exchange->is_over() && ++out[request] > 1) FAIL() << "two attempts out for " << request;
+        bench_.core->on_endpoint_list(engines, draw(2));
+    }
+
+    void expect_one_attempt_in_flight() const {
+        std::map<std::string, int> in_flight;
+        for (const auto& sent : bench_.world.sent) {
+            const auto request = request_of(sent);
+            if (!sent.exchange->is_over() && ++in_flight[request] > 1)
+                FAIL() << "two attempts in flight for " << request;
         }
-        for (const auto& known : all) {
+    }
+
+    void expect_answers_in_time() const {
+        for (const auto& known : requests_) {
             EXPECT_LE(known.client->finals, 1) << known.id;
-            // A whole answer that has begun counts as long as its client waits, which it may not have said.
-            const bool writing =
-                !known.stream && !known.patient &&
-                std::any_of(bench.world.sent.begin(), bench.world.sent.end(), [&](const Sent& sent) {
-                    return sent.id().rfind(known.id + ".", 0) == 0 && sent.exchange->begun();
-                });
-            const bool heard =
-                known.client->finals > 0 || known.client->begun > 0 || known.client->gone || writing;
-            if (!heard) {
-                EXPECT_LE(bench.world.clock, known.deadline + bench.p.router.answer_slack)
+            const bool is_answered = known.client->finals > 0 || known.client->begun > 0 ||
+                                     known.client->disconnected || is_decoding_without_timeout(known);
+            if (!is_answered) {
+                EXPECT_LE(bench_.world.clock, known.deadline + bench_.p.router.answer_slack)
                     << known.id << " unanswered";
             }
         }
-        if (::testing::Test::HasFailure()) return;
     }
-    bench.core->end_all();
-    bench.advance(6000);
-    EXPECT_EQ(bench.core->open(), 0u);
-    for (const auto& known : all)
-        EXPECT_EQ(known.client->finals + (known.client->gone ? 1 : 0), 1) << known.id;
-    // A read that was delivered leaves no state: its request's write began, or it was let go of by its id.
-    for (const auto& sent : bench.world.sent) {
-        if (!sent.read() || script[sent.id()] == 0) continue;
-        const auto request = sent.id().substr(0, sent.id().rfind('.'));
-        bool gone =
-            std::any_of(bench.world.let_go.begin(), bench.world.let_go.end(), [&](const auto& release) {
-                return release.second == sent.id() && release.first == sent.address;
-            });
-        for (const auto& decode : bench.world.sent) {
-            if (decode.id().rfind(request + ".", 0) == 0 && !decode.read() &&
-                decode.wanted.body.find("\"" + sent.id() + "\"") != std::string::npos &&
-                (decode.exchange->begun() || script[decode.id()] >= 2))
-                gone = true;
+
+    // A complete response that an engine has begun is in time as long as its client waits, and this client
+    // has not stated for how long it does.
+    bool is_decoding_without_timeout(const KnownRequest& known) const {
+        return !known.stream && !known.has_timeout &&
+               std::any_of(bench_.world.sent.begin(), bench_.world.sent.end(), [&](const SentAttempt& sent) {
+                   return sent.id().rfind(known.id + ".", 0) == 0 && sent.exchange->begun();
+               });
+    }
+
+    void expect_kv_caches_fetched_or_released() {
+        for (const auto& sent : bench_.world.sent) {
+            if (!sent.read() || parts_sent_[sent.id()] == 0) continue;  // no response, so no KV cache
+            EXPECT_TRUE(is_released(sent) || is_fetched(sent))
+                << sent.id() << " may have leaked its KV cache";
         }
-        EXPECT_TRUE(gone) << sent.id() << " may be pinned";
     }
-}
 
-TEST(CoreRandom, RulesHoldInEveryOrder) {
+    bool is_released(const SentAttempt& prefill) const {
+        const auto& releases = bench_.world.let_go;
+        return std::any_of(releases.begin(), releases.end(), [&](const auto& release) {
+            return release.second == prefill.id() && release.first == prefill.address;
+        });
+    }
+
+    // Whether the stream of a decode attempt that was given this KV cache has begun.
+    bool is_fetched(const SentAttempt& prefill) {
+        const auto& sent = bench_.world.sent;
+        return std::any_of(sent.begin(), sent.end(), [&](const SentAttempt& decode) {
+            return request_of(decode) == request_of(prefill) && !decode.read() &&
+                   decode.request.body.find("\"" + prefill.id() + "\"") != std::string::npos &&
+                   (decode.exchange->begun() || parts_sent_[decode.id()] >= 2);
+        });
+    }
+
+    static std::string request_of(const SentAttempt& sent) {
+        return sent.id().substr(0, sent.id().rfind('.'));
+    }
+
+    std::mt19937_64 random_;
+    CoreBench bench_;
+    std::vector<KnownRequest> requests_;
+    std::map<std::string, int> parts_sent_;  // by attempt id
+};
+
+TEST(RequestLifecycleRandomTest, InvariantsHoldInRandomOrdersOfEvents) {
     for (std::uint64_t seed = 1; seed <= 80; ++seed) {
-        run_random(seed);
+        RandomRun(seed).run();
         if (::testing::Test::HasFailure()) FAIL() << "seed " << seed;
     }
 }
