--- a/src/platform/access_log.cpp
+++ b/src/platform/access_log.cpp
@@ -7,32 +7,32 @@
 namespace gorsenotch::platform {
 namespace {
 
-constexpr std::array<const char*, 9> kResults = {"served",    "error",       "rejected",
-                                                 "timed_out", "unreachable", "reset",
-                                                 "cancelled", "not_sent",    "prefill_done"};
-constexpr std::size_t kAttemptsLogged = 8;
+constexpr std::array<const char*, 9> kResultNames = {"served",    "error",       "rejected",
+                                                     "timed_out", "unreachable", "reset",
+                                                     "cancelled", "not_sent",    "prefill_done"};
+constexpr std::size_t kMaxAttemptsLogged = 8;
 
 std::string rounded(double number) { return std::to_string(std::lround(number)); }
 
 void append_attempt(std::string& text, const AttemptRecord& attempt) {
-    text.append(attempt.is_prefill ? "; prefill " : "; decode ").append(attempt.server);
-    text.append(" ").append(rounded(attempt.sent));
-    if (attempt.out) {
+    text.append(attempt.is_prefill ? "; prefill " : "; decode ").append(attempt.endpoint);
+    text.append(" ").append(rounded(attempt.started_at));
+    if (attempt.in_flight) {
         text.append(" in_flight");
         return;
     }
-    text.append(" +").append(rounded(attempt.ended - attempt.sent));
-    text.append(" ").append(kResults[static_cast<std::size_t>(attempt.result)]);
+    text.append(" +").append(rounded(attempt.ended_at - attempt.started_at));
+    text.append(" ").append(kResultNames[static_cast<std::size_t>(attempt.result)]);
 }
 
 }  // namespace
 
-bool LineBudget::take(Millis now) {
-    if (now - second_ >= 1000) {
-        second_ = now;
-        lines_ = 0;
+bool LogRateLimiter::allow(Millis now) {
+    if (now - window_start_ >= 1000) {
+        window_start_ = now;
+        lines_in_window_ = 0;
     }
-    if (++lines_ <= lines_per_second_) return true;
+    if (++lines_in_window_ <= lines_per_second_) return true;
     ++not_logged_;
     return false;
 }
@@ -53,40 +53,40 @@
     return text.append(" arrived ").append(rounded(timeline.arrived - arrived));
 }
 
-RequestOutcome AccessLog::served(const RequestRecord& record) const {
+RequestOutcome AccessLog::classify_served(const RequestRecord& record) const {
     const ClassSettings& class_settings = settings_.classes[static_cast<std::size_t>(record.cls)];
     const Millis objective = class_settings.latency_objective +
                              class_settings.latency_objective_per_1000_tokens * record.prompt_tokens / 1000;
-    if (record.first > objective) {
+    if (record.first_token > objective) {
         const bool prefill_late =
             std::any_of(record.attempts.begin(), record.attempts.end(), [&](const AttemptRecord& attempt) {
-                return attempt.result == AttemptResult::prefill_done && !attempt.out &&
-                       attempt.ended > objective;
+                return attempt.result == AttemptResult::prefill_done && !attempt.in_flight &&
+                       attempt.ended_at > objective;
             });
         return prefill_late ? RequestOutcome::late_prefill : RequestOutcome::late_decode;
     }
-    const bool slow =
-        record.tokens > 1 && class_settings.inter_token_objective > 0 &&
-        record.ended - record.first > class_settings.inter_token_objective * (record.tokens - 1);
+    const bool slow = record.completion_tokens > 1 && class_settings.inter_token_objective > 0 &&
+                      record.ended - record.first_token >
+                          class_settings.inter_token_objective * (record.completion_tokens - 1);
     return slow ? RequestOutcome::slow_stream : RequestOutcome::in_time;
 }
 
-bool AccessLog::count(Millis now, RequestOutcome disposition, std::optional<EndCause> cause) {
-    ++outcomes_[static_cast<std::size_t>(disposition)];
+bool AccessLog::count(Millis now, RequestOutcome outcome, std::optional<EndCause> cause) {
+    ++outcomes_[static_cast<std::size_t>(outcome)];
     if (cause) ++causes_[static_cast<std::size_t>(*cause)];
-    if (disposition == RequestOutcome::in_time) return false;
-    return lines_.take(now);
+    if (outcome == RequestOutcome::in_time) return false;
+    return rate_limiter_.allow(now);
 }
 
-std::string AccessLog::line(const RequestRecord& record, RequestOutcome disposition) {
+std::string AccessLog::line(const RequestRecord& record, RequestOutcome outcome) {
     std::string text(record.txn);
-    text.append(" ").append(kOutcomeNames[static_cast<std::size_t>(disposition)]);
+    text.append(" ").append(kOutcomeNames[static_cast<std::size_t>(outcome)]);
     if (record.cause) text.append(" cause ").append(kEndCauseNames[static_cast<std::size_t>(*record.cause)]);
     text.append(" class ").append(std::to_string(record.cls));
     text.append(" prompt ").append(rounded(record.prompt_tokens));
-    if (record.first >= 0) text.append(" first ").append(rounded(record.first));
+    if (record.first_token >= 0) text.append(" first ").append(rounded(record.first_token));
     text.append(" end ").append(rounded(record.ended));
-    const std::size_t logged = std::min(kAttemptsLogged, record.attempts.size());
+    const std::size_t logged = std::min(kMaxAttemptsLogged, record.attempts.size());
     for (std::size_t i = 0; i < logged; ++i) append_attempt(text, record.attempts[i]);
     if (!record.lease.empty()) text.append("; ").append(record.lease);
     return text;
--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -1,7 +1,7 @@
-// The outcome of each request, and a log line for each that was not served in time. No I/O.
+// The outcome of each request, and a log line for each request that was not served in time. No I/O.
 //
-// Bounds: at most AccessLog::kLinesPerSecond lines a second, a line at most some hundred bytes long; what is
-// left out is counted. Times: ms. Threading: one thread.
+// Bounds: at most AccessLog::kLinesPerSecond lines per second, and some hundred bytes per line; suppressed
+// lines are counted. Times: ms. Threading: one thread.
 #pragma once
 
 #include <array>
@@ -18,24 +18,24 @@
 
 namespace gorsenotch::platform {
 
-// Bounds the lines of one kind in the log. Owns the count of the present second and of the lines left out.
-class LineBudget {
+// Limits the rate of one kind of log line, and counts the suppressed lines.
+class LogRateLimiter {
 public:
-    explicit LineBudget(int lines_per_second) : lines_per_second_(lines_per_second) {}
-    // True if a line may be logged now.
-    bool take(Millis now);
+    explicit LogRateLimiter(int lines_per_second) : lines_per_second_(lines_per_second) {}
+    // Returns true if a line may be logged now.
+    bool allow(Millis now);
     std::uint64_t not_logged() const { return not_logged_; }
 
 private:
     const int lines_per_second_;
-    Millis second_ = -1e18;
-    int lines_ = 0;
+    Millis window_start_ = -1e18;
+    int lines_in_window_ = 0;
     std::uint64_t not_logged_ = 0;
 };
 
-// How a request ended. `late_prefill`: its prefill ended only after the latency objective; `late_decode`:
-// that ended in time, and the first token came after the objective; `slow_stream`: tokens came more slowly
-// than the inter-token objective.
+// How a request ended. `late_prefill`: its prefill ended after the latency objective. `late_decode`: the
+// prefill ended in time, but the first token was late. `slow_stream`: the mean time between tokens was over
+// the inter-token objective.
 enum class RequestOutcome {
     in_time,
     late_prefill,
@@ -57,58 +57,58 @@
     "attempts_exhausted", "may_have_run",    "retry_budget",
     "no_endpoint",        "decode_too_late", "shutdown"};
 
-// One attempt for the log; times are ms since the request's first byte.
+// One attempt as logged; times are ms since the request's first byte.
 struct AttemptRecord {
-    std::string server;  // the endpoint's name
+    std::string endpoint;  // its name
     bool is_prefill = false;
-    bool out = false;  // in flight
+    bool in_flight = false;
     AttemptResult result = AttemptResult::served;
-    Millis sent = 0;
-    Millis ended = 0;
+    Millis started_at = 0;
+    Millis ended_at = 0;
 };
 
-// One request as the log describes it; times are ms since its first byte.
+// One request as logged; times are ms since its first byte.
 struct RequestRecord {
     std::string_view txn;
     int cls = 0;
     double prompt_tokens = 0;
-    double tokens = 0;  // of the answer, 0 where it did not say
-    Millis first = -1;  // of the first token; below 0: none came
+    double completion_tokens = 0;  // of the answer; 0: not given
+    Millis first_token = -1;       // below 0: no token was received
     Millis ended = 0;
     std::optional<EndCause> cause;  // of a final answer without a stream
     std::vector<AttemptRecord> attempts;
-    std::string lease;  // what endpoints may keep for it as it ends: see describe_timeline; empty: nothing
+    std::string lease;  // its history, see describe_timeline; empty: nothing is held
 };
 
-// Ownership: the counts of outcomes and causes. Errors: none.
+// Ownership: the counts of outcomes and end causes. Errors: none.
 class AccessLog {
 public:
     static constexpr int kLinesPerSecond = 10;
     explicit AccessLog(const Settings& settings) : settings_(settings) {}
 
-    // The outcome of a complete answer: in time, late or slow.
-    RequestOutcome served(const RequestRecord& record) const;
-    // Counts the outcome of a request; true if its line is to be logged.
-    bool count(Millis now, RequestOutcome disposition, std::optional<EndCause> cause = std::nullopt);
-    static std::string line(const RequestRecord& record, RequestOutcome disposition);
+    // The outcome of a request with a complete answer: in time, late or slow.
+    RequestOutcome classify_served(const RequestRecord& record) const;
+    // Counts the outcome of a request; returns true if its line is to be logged.
+    bool count(Millis now, RequestOutcome outcome, std::optional<EndCause> cause = std::nullopt);
+    static std::string line(const RequestRecord& record, RequestOutcome outcome);
 
     const std::array<std::uint64_t, kOutcomeNames.size()>& outcomes() const { return outcomes_; }
     const std::array<std::uint64_t, kEndCauses>& causes() const { return causes_; }
-    std::uint64_t not_logged() const { return lines_.not_logged(); }
+    std::uint64_t not_logged() const { return rate_limiter_.not_logged(); }
 
 private:
     const Settings& settings_;
     std::array<std::uint64_t, kOutcomeNames.size()> outcomes_{};
     std::array<std::uint64_t, kEndCauses> causes_{};
-    LineBudget lines_{kLinesPerSecond};
+    LogRateLimiter rate_limiter_{kLinesPerSecond};
 };
 
 // The history of a lease: "lease 612 prefill_done at r1, acquired 23, expiring 623; w0 sent 23 unconfirmed".
-// Times are ms since `arrived`, but for the first, its age at `now`.
+// The first number is the age of the lease at `now`; the others are ms since `arrived`.
 std::string describe_timeline(const control::KvLease::Timeline& timeline, Millis arrived, Millis now,
                               const std::string& holder, const std::string& awaited);
 
-// The number of tokens that an answer's closing events name, or 0.
+// The number of completion tokens given in the closing events of an answer; 0 if there is none.
 double completion_tokens(std::string_view events);
 
 }  // namespace gorsenotch::platform
--- a/src/platform/attempt_runner.cpp
+++ b/src/platform/attempt_runner.cpp
@@ -9,7 +9,7 @@
 namespace gorsenotch::platform {
 namespace {
 
-// Room for the headers that are added to a client's own, in bytes.
+// Reserved for the headers that are added to the client's own.
 constexpr std::size_t kAddedHeaderBytes = 128;
 
 }  // namespace
@@ -22,22 +22,23 @@
     return context_.named.settings.kinds[static_cast<std::size_t>(endpoint.kind)].role;
 }
 
-// Guards against an attempt that was right when it was decided and is wrong when its connection is up: the
-// client has gone (its close may wait unread behind other work), the request has its answer, the endpoint
-// drains, the time or the window for repeats is over. Covers every wait between decision and first byte.
-// Costs one system call each time.
+// Guards against sending an attempt that has become invalid while its connection was being established: the
+// client has disconnected (its FIN may still be unread), the request was answered, the endpoint is draining,
+// or the deadline or the dedup window has passed. Covers every wait between the Router's decision and the
+// first byte, at the cost of one system call per check.
 bool AttemptRunner::may_send(const SendConditions& conditions) {
     RequestState* request = context_.requests.find(conditions.handle);
-    control::SendPreconditions facts;
-    facts.request_over = !request || request->closed;
-    facts.client_disconnected = !facts.request_over && request->client && request->client->has_disconnected();
-    facts.endpoint_status = context_.endpoint_status(conditions.endpoint);
-    facts.now = context_.environment.now();
-    facts.send_by = conditions.send_by;
-    facts.lease_released =
-        conditions.reads_state && request && request->lease.released_since(conditions.decided_at);
-    facts.deadline = request ? request->deadline : 0;
-    const auto block_reason = control::check_send(facts);
+    control::SendPreconditions preconditions;
+    preconditions.request_over = !request || request->closed;
+    preconditions.client_disconnected =
+        !preconditions.request_over && request->client && request->client->has_disconnected();
+    preconditions.endpoint_status = context_.endpoint_status(conditions.endpoint);
+    preconditions.now = context_.environment.now();
+    preconditions.send_by = conditions.send_by;
+    preconditions.lease_released =
+        conditions.reads_kv_cache && request && request->lease.released_since(conditions.decided_at);
+    preconditions.deadline = request ? request->deadline : 0;
+    const auto block_reason = control::check_send(preconditions);
     if (!block_reason) return true;
     ++context_.counters.send_blocks[static_cast<std::size_t>(*block_reason)];
     if (*block_reason == control::SendBlockReason::client_disconnected)
@@ -55,8 +56,8 @@
     const DiscoveredEndpoint* endpoint = context_.endpoints.find(start.endpoint);
     AttemptState attempt;
     attempt.endpoint = start.endpoint;
-    attempt.sent = now;
-    attempt.last_heard = now;
+    attempt.started_at = now;
+    attempt.last_event_at = now;
     attempt.clock = context_.driver.start_clock(start.timeout, request->deadline);
     SendConditions conditions{request->handle, start.endpoint, start.send_by, now, false};
     if (!may_send(conditions)) return end_unsent(*request, std::move(attempt));
@@ -64,12 +65,12 @@
     const auto exchange = std::make_shared<UpstreamExchange>(
         attempt.is_prefill ? UpstreamExchange::Kind::prefill : UpstreamExchange::Kind::decode);
     attempt.exchange = exchange;
-    conditions.reads_state = !attempt.is_prefill && request->lease.held();
+    conditions.reads_kv_cache = !attempt.is_prefill && request->lease.held();
     exchange->may_start_hook = [this, conditions] { return may_send(conditions); };
     attach_hooks(*exchange, key, endpoint->endpoint, now);
     lease_keeper_.on_attempt_begun(*request, attempt);
-    // Guards against an endpoint that is told of more time than is left: the connection may take long.
-    exchange->on_stamp = [this, key, position = request->inbound.head.size()](std::string& text) {
+    // Guards against announcing more time to the endpoint than remains: connecting may take long.
+    exchange->stamp_hook = [this, key, position = request->inbound.head.size()](std::string& text) {
         insert_remaining_time(key, position, text);
     };
     const std::string address = endpoint->dial_address;
@@ -179,7 +180,7 @@
     --context_.attempts_in_flight;
     ++context_.counters.of(outcome.result);
     report_to_invariant_checker(key, *attempt, outcome);
-    attempt->ended = context_.environment.now();
+    attempt->ended_at = context_.environment.now();
     attempt->result = outcome.result;
     record_endpoint_evidence(*attempt, outcome);
     lease_keeper_.on_attempt_ended(*request, *attempt, outcome);
@@ -188,7 +189,7 @@
     ended.attempt = key.index;
     ended.endpoint = attempt->endpoint;
     ended.result = outcome.result;
-    ended.took = attempt->ended - attempt->sent;
+    ended.took = attempt->ended_at - attempt->started_at;
     ended.detail = outcome.detail;
     if (outcome.begun && !request->closed) {
         completion_.finish_stream(*request, outcome.result);
@@ -208,7 +209,7 @@
     checker.on_attempt_ended(key.handle, key.index, never_ran(outcome.result));
     if (outcome.result == AttemptResult::prefill_done)
         checker.on_prefill_answered(key.handle, context_.environment.now(), stalled_for);
-    else if (outcome.result == AttemptResult::rejected && outcome.detail == kNoStateToFetch)
+    else if (outcome.result == AttemptResult::rejected && outcome.detail == kNoKvCacheToFetch)
         checker.on_lease_taken(key.handle);
     else if (!attempt.is_prefill)
         checker.on_decode_ended(key.handle, context_.environment.now(), stalled_for);
@@ -218,7 +219,7 @@
     DiscoveredEndpoint* endpoint = context_.endpoints.find(attempt.endpoint);
     if (!endpoint) return;
     const bool answered = outcome.status > 0 && outcome.result != AttemptResult::reset;
-    (answered ? endpoint->last_success : endpoint->last_failure) = attempt.ended;
+    (answered ? endpoint->last_success : endpoint->last_failure) = attempt.ended_at;
 }
 
 }  // namespace gorsenotch::platform
--- a/src/platform/attempt_runner.h
+++ b/src/platform/attempt_runner.h
@@ -1,4 +1,5 @@
-// Attempts of requests: whether one may be sent, its request on the wire, its timeout and its end.
+// Runs the attempts of requests: checks whether an attempt may be sent, composes its request, enforces its
+// timeout and reports its end to the Router.
 #pragma once
 
 #include <memory>
@@ -14,37 +15,40 @@
 
 namespace gorsenotch::platform {
 
-// Ownership: no state of its own; it adds to RequestState::attempts and changes what it added, except for
-// what StreamForwarder changes once a stream has begun. Errors: none are returned; an attempt that may not be
-// sent ends as not_sent, and the Router decides what follows. Times: ms.
+// Ownership: no state of its own; it adds to RequestState::attempts and changes its entries, except for what
+// StreamForwarder changes once a stream has begun. Errors: none are returned; an attempt that may not be
+// sent ends as not_sent, and the Router decides what follows. Times: ms. Threading: one thread.
 class AttemptRunner {
 public:
-    // All have to outlive it.
+    // All references have to outlive this object.
     AttemptRunner(LifecycleContext& context, LeaseKeeper& lease_keeper, RequestCompletion& completion,
                   StreamForwarder& streams);
 
+    // Starts the attempt, or ends it as not_sent if it may not be sent any more.
     void start(const StartAttempt& start);
     // Cancels an attempt whose stream has not begun.
     void stop(const StopAttempt& stop);
-    // The timer `TimerKind::attempt_timeout` of an attempt in flight.
+    // The timer `TimerKind::attempt_timeout` of an attempt in flight has fired.
     void on_timeout(RequestState& request, int attempt_index);
 
 private:
-    // What the hooks of an exchange know of their attempt.
+    // Identifies the attempt of an exchange to its hooks. No pointer, as the request may be removed
+    // meanwhile.
     struct AttemptKey {
         std::uint64_t handle = 0;
         int index = 0;
     };
-    // What is asked of an attempt right before its first byte.
+    // The conditions for sending an attempt, checked right before its first byte.
     struct SendConditions {
         std::uint64_t handle = 0;
         EndpointId endpoint = 0;
-        Millis send_by = 0;        // 0: no limit
-        Millis decided_at = 0;     // when the Router decided it
-        bool reads_state = false;  // it is to read the state that a prefill left
+        Millis send_by = 0;           // 0: no limit
+        Millis decided_at = 0;        // when the Router decided to start the attempt
+        bool reads_kv_cache = false;  // it fetches the KV cache of a prefill
     };
 
-    // Asked as an attempt is decided and again before its first byte. Records a disconnect that it finds.
+    // Called when the Router starts an attempt, and again before its first byte. Records a client disconnect
+    // that it detects.
     bool may_send(const SendConditions& conditions);
     void end_unsent(RequestState& request, AttemptState attempt);
     void attach_hooks(UpstreamExchange& exchange, AttemptKey key, const Endpoint& endpoint, Millis sent);
--- a/src/platform/client.h
+++ b/src/platform/client.h
@@ -1,4 +1,4 @@
-// The client's side of one request: where its answer goes.
+// The interface through which a request's answer is sent to its client.
 #pragma once
 
 #include <string_view>
@@ -8,10 +8,10 @@
 namespace gorsenotch::platform {
 
 // Receives one answer: either begin_stream, any number of send_events and then finish_stream or abort_stream;
-// or send_final alone. Nothing follows finish_stream, abort_stream and send_final.
+// or only send_final. No call follows finish_stream, abort_stream or send_final.
 //
-// Ownership: the caller of RequestLifecycle::on_request owns it and keeps it until the answer has ended or it
-// has called on_client_disconnected. Threading: one thread; it may call back into RequestLifecycle.
+// Ownership: the caller of RequestLifecycle::on_request owns it and keeps it until the answer has ended or
+// on_client_disconnected was called. Threading: one thread; it may call back into RequestLifecycle.
 class Client {
 public:
     virtual ~Client() = default;
@@ -20,11 +20,11 @@
     virtual void send_events(std::string_view events) = 0;
     // The stream is complete.
     virtual void finish_stream() = 0;
-    // The stream broke: the connection ends without the last chunk.
+    // The stream is broken: the connection ends without the last chunk.
     virtual void abort_stream() = 0;
-    // An answer without a stream. `retry_after`: ms, 0 for no advice.
-    virtual void send_final(int status, Millis retry_after, std::string_view why) = 0;
-    // The client has closed its connection, even if that close has not been read yet.
+    // An answer without a stream. `retry_after`: ms; 0: none is sent.
+    virtual void send_final(int status, Millis retry_after, std::string_view text) = 0;
+    // The client has closed its connection, even if its FIN has not been read yet.
     virtual bool has_disconnected() { return false; }
 };
 
--- a/src/platform/client_connection.cpp
+++ b/src/platform/client_connection.cpp
@@ -12,18 +12,19 @@
 namespace {
 
 constexpr std::size_t kKibibyte = 1024;
-constexpr http::Limits kRequestLimits{16 * kKibibyte, 64, kMaxBody};
-constexpr Millis kLingerTimeout = 500;   // after a FIN, for the client to close as well
-constexpr Millis kUnsentTimeout = 5000;  // before it, for a slow client to take what was written
+constexpr http::Limits kRequestLimits{16 * kKibibyte, 64, kMaxBodyBytes};
+constexpr Millis kLingerTimeout = 500;  // from this side's FIN to the client's
+constexpr Millis kFlushTimeout = 5000;  // before the FIN, for a slow client to read the buffered output
 constexpr std::size_t kMaxPipelinedBytes = 8 * kKibibyte;
 constexpr std::size_t kMaxDiscardedBytes = 256 * kKibibyte;
-// Unread bytes of an answer at which its endpoint is paused.
+// Buffered bytes of an answer above which reading from its endpoint is paused.
 constexpr std::size_t kCongestedBytes = 256 * kKibibyte;
-// On a new connection the silence before a request counts too, up to this multiple of the request's own time.
+// On a new connection the time from its opening to the end of the first request is limited to this multiple
+// of the request timeout.
 constexpr double kFreshTimeoutFactor = 1.2;
-// While RequestLifecycle::on_request runs the handle is not known yet; an answer in that call sets it to 0.
+// The handle while RequestLifecycle::on_request runs; an answer from within that call sets it to 0.
 constexpr std::uint64_t kHandlePending = ~std::uint64_t{0};
-// A start time is never 0, which would be at the very start of the clock.
+// The lower bound of request start times, which must be positive.
 constexpr Millis kEarliestStart = 1e-3;
 
 std::string format_seconds(Millis duration) {
@@ -40,7 +41,7 @@
       group_(group),
       stream_(std::move(stream)),
       parser_(http::Parser::Kind::request, kRequestLimits),
-      since_(net::now()) {}
+      last_activity_(net::now()) {}
 
 void ClientConnection::start() {
     parser_.on_headers = [this] { on_headers(); };
@@ -67,7 +68,7 @@
             if (discarded_bytes_ > kMaxDiscardedBytes) close();
             return;
         case State::open:
-            return hold_back(bytes);
+            return buffer_pipelined(bytes);
         case State::reading:
             if (pipelined_.empty()) return read(bytes);
             pipelined_.append(bytes);
@@ -75,14 +76,14 @@
     }
 }
 
-// What comes behind an open request waits for its answer. Guards against a client that sends ahead without
-// bound.
-void ClientConnection::hold_back(std::string_view bytes) {
+// Buffers input that is pipelined behind an open request. Ends the connection if there is too much, as a
+// guard against clients that pipeline without limit.
+void ClientConnection::buffer_pipelined(std::string_view bytes) {
     if (pipelined_.size() + bytes.size() <= kMaxPipelinedBytes) {
         pipelined_.append(bytes);
         return;
     }
-    ++group_.counters.bad;
+    ++group_.counters.bad_requests;
     const std::uint64_t handle = std::exchange(handle_, 0);
     end(EndReason::pipeline_overflow);
     if (handle != 0) group_.lifecycle.on_client_disconnected(handle);
@@ -94,15 +95,15 @@
     while (state_ == State::reading && !bytes.empty()) {
         bytes.remove_prefix(parser_.feed(bytes));
         if (state_ == State::gone || state_ == State::ending) return;
-        note_request_start();
+        record_request_start();
         if (parser_.fault() != http::Fault::none) return reject_malformed();
         if (parser_.complete()) on_request_complete();
     }
     if (state_ == State::open) pipelined_.append(bytes);
 }
 
-// Empty lines before a request are no part of it (RFC 9112, 2.2).
-void ClientConnection::note_request_start() {
+// Records when a request started. Empty lines before a request are not part of it (RFC 9112, 2.2).
+void ClientConnection::record_request_start() {
     const bool request = parser_.begun() || parser_.complete() || parser_.fault() != http::Fault::none;
     if (!request_began_at_ && request)
         request_began_at_ = std::max(kEarliestStart, net::now() - stream_->age());
@@ -111,21 +112,22 @@
 void ClientConnection::reject_malformed() {
     switch (parser_.fault()) {
         case http::Fault::body_too_large:
-            return reject(413, "the body is over 256 KiB");
+            return reject(413, "request body exceeds 256 KiB");
         case http::Fault::headers_too_large:
-            return reject(431, "the head is over 16 KiB");
+            return reject(431, "request head exceeds 16 KiB");
         default:
-            return reject(400, "the request can't be read");
+            return reject(400, "malformed HTTP request");
     }
 }
 
 void ClientConnection::on_headers() {
     inbound_.reset();
-    is_readiness_check_ = parser_.method == "GET" && parser_.target == kReady;
+    is_readiness_check_ = parser_.method == "GET" && parser_.target == kReadinessPath;
     if (is_readiness_check_) return;
     auto head = read_head(group_.named, parser_);
     if (const auto* refusal = std::get_if<Refusal>(&head)) return reject(refusal->status, refusal->why);
-    if (group_.body_bytes > group_.limits.max_body_bytes) return reject(503, "too much is being read");
+    if (group_.body_bytes > group_.limits.max_body_bytes)
+        return reject(503, "too many bytes of request bodies are being received");
     inbound_ = std::get<Inbound>(std::move(head));
 }
 
@@ -142,12 +144,13 @@
         const int status = group_.draining ? 503 : 200;
         return answer(status, group_.draining ? "draining" : "ready", 0, Persistence::keep_alive);
     }
-    if (!inbound_) return answer(400, "the request can't be read", 0, Persistence::close);
-    if (group_.lifecycle.open(inbound_->txn)) return reject(409, "x-txn: a request with this id is open");
-    hand_over_request();
+    if (!inbound_) return answer(400, "malformed HTTP request", 0, Persistence::close);
+    if (group_.lifecycle.is_open(inbound_->txn))
+        return reject(409, "x-txn: a request with this id is in progress");
+    start_request();
 }
 
-void ClientConnection::hand_over_request() {
+void ClientConnection::start_request() {
     fresh_ = false;
     state_ = State::open;
     const Millis age = net::now() - request_began_at_.value_or(0);
@@ -166,8 +169,8 @@
 
 // ---- answers --------------------------------------------------------------------------------------------
 
-// The answer that begins now is the connection's last: its client asked for that, or this process stops and
-// nothing that has come waits behind the answer.
+// Whether the answer that starts now is the last on this connection: its client has asked for the close, or
+// this process is stopping and no further input was received.
 bool ClientConnection::is_last_answer() const {
     if (!parser_.keep_alive) return true;
     return group_.accepting_stopped && pipelined_.empty() && !stream_->has_unread_input();
@@ -192,7 +195,7 @@
 }
 
 void ClientConnection::reject(int status, std::string_view text) {
-    ++group_.counters.bad;
+    ++group_.counters.bad_requests;
     answer(status, text, 0, Persistence::close);
 }
 
@@ -216,7 +219,7 @@
 void ClientConnection::finish_stream() {
     send(http::kLastChunk);
     handle_ = 0;
-    // Guards against a client that has asked for the close and waits for it, in a place that others need.
+    // Guards against a client that has asked for the close and waits for it, occupying a connection slot.
     if (!parser_.keep_alive) return end(EndReason::close_requested);
     await_next_request();
 }
@@ -231,15 +234,15 @@
     answer(status, text, retry_after, Persistence::keep_alive);
 }
 
-// The answer is out. Guards against requests that were read behind an open one and lost with the connection
-// as the gateway stops: what has come is served first.
+// Prepares for the next request after an answer. Guards against losing pipelined requests while the gateway
+// is stopping: input already received is served before the connection is closed.
 void ClientConnection::await_next_request() {
     if (state_ == State::gone) return;
     state_ = State::reading;
-    since_ = net::now();
+    last_activity_ = net::now();
     request_began_at_.reset();
     fresh_ = false;
-    if (!pipelined_.empty()) return send({});  // read in the turn's flush
+    if (!pipelined_.empty()) return send({});  // read by the scheduled flush
     if (group_.accepting_stopped) close_idle(EndReason::draining);
 }
 
@@ -255,33 +258,33 @@
 
 void ClientConnection::on_drain() {
     if (state_ == State::gone) return;
-    if (state_ == State::ending) since_ = net::now();
+    if (state_ == State::ending) last_activity_ = net::now();
     if (!std::exchange(congested_, false)) return;
     if (handle_ != 0) group_.lifecycle.on_client_congested(handle_, false);
 }
 
 // ---- end ------------------------------------------------------------------------------------------------
 
-// A FIN after what was written; what still comes is thrown away, then the connection is gone.
+// Flushes the output and sends a FIN. Further input is discarded until the connection is closed.
 void ClientConnection::end(EndReason reason) {
     if (state_ == State::gone || state_ == State::ending) return;
     ++group_.counters.ended[static_cast<std::size_t>(reason)];
     flush();
     state_ = State::ending;
     ++group_.ending;
-    since_ = net::now();
+    last_activity_ = net::now();
     pipelined_ = std::string();
     inbound_.reset();
     release_body_bytes();
     stream_->shutdown_write();
 }
 
-// Guards against a request that is lost because its connection is ended in the moment in which it comes: a
-// request that has come already is served. One that comes later finds the FIN, and its client sends it again.
+// Guards against losing a request that arrives while its idle connection is being closed: a request that has
+// arrived is served. A later one meets the FIN, and its client sends it again.
 bool ClientConnection::close_idle(EndReason reason) {
-    const control::ClosePreconditions facts{!idle(), stream_->has_unread_input()};
-    if (const auto block_reason = control::check_close(facts)) {
-        ++group_.counters.close_denials[static_cast<std::size_t>(*block_reason)];
+    const control::ClosePreconditions preconditions{!idle(), stream_->has_unread_input()};
+    if (const auto block_reason = control::check_close(preconditions)) {
+        ++group_.counters.close_blocks[static_cast<std::size_t>(*block_reason)];
         return false;
     }
     end(reason);
@@ -313,13 +316,13 @@
     const ClientConnectionLimits& limits = group_.limits;
     if (state_ == State::open || state_ == State::gone) return;
     if (state_ == State::ending) {
-        const Millis timeout = stream_->queued() > 0 ? kUnsentTimeout : kLingerTimeout;
-        if (now - since_ > timeout) close();
+        const Millis timeout = stream_->queued() > 0 ? kFlushTimeout : kLingerTimeout;
+        if (now - last_activity_ > timeout) close();
     } else if (request_began_at_) {
-        if (is_request_overdue(now)) reject(408, "the request did not end in time");
+        if (is_request_overdue(now)) reject(408, "request not received completely in time");
     } else if (fresh_) {
-        if (now - since_ >= limits.request_timeout) close_idle(EndReason::request_timeout);
-    } else if (now - since_ > (crowded ? limits.min_idle : limits.max_idle)) {
+        if (now - last_activity_ >= limits.request_timeout) close_idle(EndReason::request_timeout);
+    } else if (now - last_activity_ > (crowded ? limits.min_idle : limits.max_idle)) {
         close_idle(EndReason::idle);
     }
 }
@@ -327,7 +330,7 @@
 bool ClientConnection::is_request_overdue(Millis now) const {
     const Millis timeout = group_.limits.request_timeout;
     if (now - *request_began_at_ >= timeout) return true;
-    return fresh_ && now - since_ > kFreshTimeoutFactor * timeout;
+    return fresh_ && now - last_activity_ > kFreshTimeoutFactor * timeout;
 }
 
 }  // namespace gorsenotch::platform
--- a/src/platform/client_connection.h
+++ b/src/platform/client_connection.h
@@ -1,12 +1,13 @@
-// One connection of a client: reads requests one at a time, passes them to RequestLifecycle and writes their
+// A client connection: reads requests one at a time, passes them to RequestLifecycle and writes their
 // answers.
 //
 //   reading --request complete--> open --answer ended--> reading
 //      \________________________________\___________________\--> ending --> gone
 //
-// Every connection that this side ends is ended in one way (see end()): no request may lie unread, what was
-// written goes out, then a FIN; what still comes is read and thrown away, for a bounded time and up to a
-// bounded amount; then it is closed. A close over unread bytes would be a reset, and take the answer with it.
+// All connections that this side closes go through end(): no request may be unread; buffered output is
+// written, followed by a FIN; then input is read and discarded, for a bounded time and up to a bounded number
+// of bytes; then the socket is closed. Closing a socket with unread input would send a reset, and lose the
+// answer.
 #pragma once
 
 #include <array>
@@ -28,28 +29,28 @@
 
 namespace gorsenotch::platform {
 
-// Why a connection ended; all but `closed_by_peer` are this side's doing.
+// Why a connection ended; all but `closed_by_peer` are initiated by this side.
 enum class EndReason {
     closed_by_peer,     // its client closed it, or it broke
-    close_requested,    // its client had asked for the close
-    idle,               // no request had come on it for long
-    request_timeout,    // new, and nothing had come
-    evicted,            // it made room for another
+    close_requested,    // its client sent `connection: close`
+    idle,               // its idle timeout passed without another request
+    request_timeout,    // no first request was received in time
+    evicted,            // closed to make room for another connection
     at_capacity,        // rejected without being read
-    draining,           // this process stops
-    bad_request,        // what came can't be read, or did not end in time
-    pipeline_overflow,  // too much came behind an open request
-    stream_broken       // or migrated
+    draining,           // this process is stopping
+    bad_request,        // a request was malformed, or incomplete at its timeout
+    pipeline_overflow,  // too many bytes were pipelined behind an open request
+    stream_broken       // a stream was aborted, because it broke or was migrated
 };
 constexpr std::array<const char*, 10> kEndReasonNames = {
     "closed_by_peer", "close_requested", "idle",        "request_timeout",   "evicted",
     "at_capacity",    "draining",        "bad_request", "pipeline_overflow", "stream_broken"};
 
-// Bounds of client connections; times are ms.
+// Limits of client connections; times are ms.
 struct ClientConnectionLimits {
-    std::size_t max_connections = 300;                   // that serve; a few more may be ending
-    std::size_t max_body_bytes = std::size_t{16} << 20;  // of requests that are being read, in sum
-    Millis request_timeout = 2000;  // from the first byte to the last of a request, or of silence before it
+    std::size_t max_connections = 300;                   // excluding those that are ending
+    std::size_t max_body_bytes = std::size_t{16} << 20;  // total of all requests being read
+    Millis request_timeout = 2000;  // from the first to the last byte of a request; also for a first request
     Millis min_idle = 2000;         // before an idle connection may be closed to make room
     Millis max_idle = 10000;
 };
@@ -57,16 +58,16 @@
 // Counts since the start, for the status line.
 struct ClientConnectionCounters {
     std::uint64_t accepted = 0;
-    std::uint64_t bad = 0;  // requests that were not taken
+    std::uint64_t bad_requests = 0;  // rejected before RequestLifecycle accepted them
     std::uint64_t accept_failed = 0;
     std::array<std::uint64_t, kEndReasonNames.size()> ended{};
-    std::array<std::uint64_t, control::kCloseBlockReasonNames.size()> close_denials{};
+    std::array<std::uint64_t, control::kCloseBlockReasonNames.size()> close_blocks{};
 
     std::uint64_t of(EndReason reason) const { return ended[static_cast<std::size_t>(reason)]; }
 };
 
-// What all connections of a listener share. Owned by ClientConnections, which alone changes the two flags;
-// connections count and account for their bytes in it.
+// The state shared by all connections of a listener. Owned by ClientConnections, which alone changes the two
+// flags; connections update the counters and byte counts.
 struct ClientConnectionGroup {
     ClientConnectionGroup(const settings::NamedSettings& named_settings, RequestLifecycle& request_lifecycle,
                           const ClientConnectionLimits& connection_limits)
@@ -75,52 +76,54 @@
     const settings::NamedSettings& named;
     RequestLifecycle& lifecycle;
     const ClientConnectionLimits limits;
-    bool draining = false;           // the readiness check says no; requests are served still
-    bool accepting_stopped = false;  // answers end their connections
-    std::size_t body_bytes = 0;      // of bodies that are being read
+    bool draining = false;           // the readiness check fails; requests are still served
+    bool accepting_stopped = false;  // connections are closed after their answer
+    std::size_t body_bytes = 0;      // of all bodies being read
     std::size_t ending = 0;          // connections in the state `ending`
     ClientConnectionCounters counters;
 };
 
-// Ownership: its socket and the request that is being read. ClientConnections owns it, and frees it in a
-// later turn of the event loop than the one in which it is gone. Threading: the event loop's thread. Errors:
-// what cannot be read is answered by a status and ends the connection; every call after it is gone changes
-// nothing. Times: ms on the clock of net::now().
+// Ownership: its socket and the request being read. ClientConnections owns it, and frees it in a later
+// iteration of the event loop than the one in which it is closed. Threading: the event loop's thread. Errors:
+// a malformed request is answered with an error status, and the connection ends; calls after the close have
+// no effect. Times: ms on the clock of net::now().
 class ClientConnection : public Client {
 public:
     enum class State {
-        reading,  // a request is awaited or being read
-        open,     // a request is with RequestLifecycle; what comes meanwhile waits, bounded
-        ending,   // a FIN was sent; nothing more is read but the client's own close
+        reading,  // waits for a request or reads it
+        open,     // RequestLifecycle handles a request; further input is buffered, up to a limit
+        ending,   // a FIN was sent; input is discarded until the client closes
         gone      // its socket is closed
     };
     class Owner {
     public:
         virtual ~Owner() = default;
-        // flush() is to be called in this turn of the event loop.
+        // Schedules a call to flush() in this iteration of the event loop.
         virtual void schedule_flush(ClientConnection& connection) = 0;
-        // The connection is gone: it is forgotten at once and freed later.
+        // The connection is closed: it is removed at once and freed later.
         virtual void remove(ClientConnection& connection) = 0;
     };
     using List = std::list<std::unique_ptr<ClientConnection>>;
 
-    // Both references have to outlive it.
+    // Both references have to outlive this object.
     ClientConnection(Owner& owner, ClientConnectionGroup& group, std::unique_ptr<net::TcpStream> stream);
 
-    // Starts to read what comes.
+    // Starts reading.
     void start();
-    // Rejects a connection for which there is no room. Nothing of it is read, so its client may come again.
+    // Rejects the connection because there is no room for it. Its request is not read, so the client may
+    // retry.
     void reject_unread();
-    // Writes what has been answered.
+    // Writes buffered output.
     void flush();
-    // Reads what has come behind an answered request.
+    // Reads input that was pipelined behind an answered request.
     void read_pipelined();
-    // Ends the connection if it is idle; false: a request is open, or something lies unread on it, which is
-    // read first.
+    // Ends the connection if it is idle. Returns false if a request is open, or if there is unread input,
+    // which has to be read first.
     bool close_idle(EndReason reason);
     // Closes the socket.
     void close();
-    // Ends what has had its time. `crowded`: idle connections are to make room early.
+    // Ends the connection if a timeout has passed. `crowded`: use the shorter idle timeout, to free
+    // connections.
     void enforce_timeouts(Millis now, bool crowded);
 
     State state() const { return state_; }
@@ -128,8 +131,8 @@
     bool idle() const { return state_ == State::reading && !request_began_at_ && pipelined_.empty(); }
     // No request has ever been read on it.
     bool fresh() const { return fresh_; }
-    // When it was opened, last answered, or began to end.
-    Millis since() const { return since_; }
+    // When it was opened, completed its last answer, or was last active while ending.
+    Millis last_activity() const { return last_activity_; }
     bool has_unread_input() const { return stream_->has_unread_input(); }
     bool has_pipelined_input() const { return !pipelined_.empty(); }
 
@@ -151,14 +154,14 @@
     void on_data(std::string_view bytes);
     void on_drain();
     void on_closed_by_peer();
-    void hold_back(std::string_view bytes);
+    void buffer_pipelined(std::string_view bytes);
     void read(std::string_view bytes);
-    void note_request_start();
+    void record_request_start();
     void reject_malformed();
     void on_headers();
     void on_body(std::string_view bytes);
     void on_request_complete();
-    void hand_over_request();
+    void start_request();
     void answer(int status, std::string_view text, Millis retry_after, Persistence persistence);
     void reject(int status, std::string_view text);
     void await_next_request();
@@ -175,16 +178,16 @@
     http::Parser parser_;
     State state_ = State::reading;
     std::optional<Inbound> inbound_;   // the request whose body is being read
-    bool is_readiness_check_ = false;  // the request asks whether this gateway is ready
-    std::uint64_t handle_ = 0;         // of the open request at RequestLifecycle, 0: none
-    std::string pipelined_;            // what came behind the open request
-    std::string output_;               // what the next flush writes
+    bool is_readiness_check_ = false;  // the request being read is a readiness check
+    std::uint64_t handle_ = 0;         // RequestLifecycle's handle of the open request; 0: none
+    std::string pipelined_;            // input received behind the open request
+    std::string output_;               // written by the next flush
     std::size_t body_bytes_ = 0;       // of inbound_, as counted in the group
     std::size_t discarded_bytes_ = 0;  // while ending
-    Millis since_ = 0;
-    std::optional<Millis> request_began_at_;  // when the first byte of the request that is read came
+    Millis last_activity_ = 0;
+    std::optional<Millis> request_began_at_;  // when the first byte of the request being read was received
     bool fresh_ = true;
-    bool congested_ = false;  // the client reads more slowly than its answer comes
+    bool congested_ = false;  // the client reads more slowly than its answer arrives
 };
 
 }  // namespace gorsenotch::platform
--- a/src/platform/client_connections.cpp
+++ b/src/platform/client_connections.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr Millis kTimeoutCheckInterval = 100;
-// Before a new connection without a request may be closed to make room: its request may be on its way.
-constexpr Millis kMinSilence = 100;
+// Age at which a new connection without a request may be evicted: a request may still be in transit before.
+constexpr Millis kMinFreshAge = 100;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
 void ClientConnections::stop_accepting() {
     group_.draining = true;
     group_.accepting_stopped = true;
-    // Where accepting fails for a moment what waits is taken by the next call.
+    // If accepting fails temporarily, the next call accepts the pending connections.
     if (listener_ && listener_->accept_all_pending()) listener_.reset();
     for (auto it = connections_.begin(); it != connections_.end();) {
         ClientConnection& connection = **it++;
@@ -54,8 +54,8 @@
     if (!has_room) connection.reject_unread();
 }
 
-// Guards against connections that wait for as long as this process holds descriptors for idle ones. One for
-// each failure: a want that lasts ends them one by one, each with what came on it served.
+// Evicts an idle connection. Guards against new connections waiting while idle ones hold all descriptors. A
+// lasting shortage evicts one connection per failed accept, each after its received input is served.
 void ClientConnections::on_accept_failed() {
     ++group_.counters.accept_failed;
     if (ClientConnection* connection = longest_idle()) connection->close_idle(EndReason::evicted);
@@ -74,7 +74,7 @@
 
 bool ClientConnections::make_room() {
     const std::size_t max_connections = group_.limits.max_connections;
-    if (connections_.size() >= max_connections + kEndingMost) {
+    if (connections_.size() >= max_connections + kMaxEndingConnections) {
         if (ClientConnection* ending = longest_ending()) ending->close();
     }
     if (connections_.size() - group_.ending < max_connections) return true;
@@ -86,24 +86,25 @@
     ClientConnection* longest = nullptr;
     for (const auto& connection : connections_) {
         if (connection->state() != ClientConnection::State::ending) continue;
-        if (!longest || connection->since() < longest->since()) longest = connection.get();
+        if (!longest || connection->last_activity() < longest->last_activity()) longest = connection.get();
     }
     return longest;
 }
 
-// The one that has said nothing for longest, else the one idle for longest: only such may be ended.
+// The oldest connection without any request, else the one that has been idle for longest; null if no
+// connection may be evicted.
 ClientConnection* ClientConnections::longest_idle() {
     const Millis now = net::now();
-    ClientConnection* longest_silent = nullptr;
-    ClientConnection* longest_idle = nullptr;
+    ClientConnection* oldest_fresh = nullptr;
+    ClientConnection* oldest_idle = nullptr;
     for (const auto& connection : connections_) {
-        const Millis min_age = connection->fresh() ? kMinSilence : group_.limits.min_idle;
-        if (!connection->idle() || now - connection->since() < min_age) continue;
-        ClientConnection*& longest = connection->fresh() ? longest_silent : longest_idle;
-        if (longest && connection->since() >= longest->since()) continue;
-        if (!connection->has_unread_input()) longest = connection.get();
+        const Millis min_age = connection->fresh() ? kMinFreshAge : group_.limits.min_idle;
+        if (!connection->idle() || now - connection->last_activity() < min_age) continue;
+        ClientConnection*& oldest = connection->fresh() ? oldest_fresh : oldest_idle;
+        if (oldest && connection->last_activity() >= oldest->last_activity()) continue;
+        if (!connection->has_unread_input()) oldest = connection.get();
     }
-    return longest_silent ? longest_silent : longest_idle;
+    return oldest_fresh ? oldest_fresh : oldest_idle;
 }
 
 // ---- the event loop -------------------------------------------------------------------------------------
@@ -117,7 +118,7 @@
 
 void ClientConnections::flush() {
     std::vector<ClientConnection*> pipelined;
-    // The list may grow or shrink as bytes are written.
+    // Writing may add or remove entries.
     for (std::size_t i = 0; i < to_flush_.size(); ++i) {
         ClientConnection& connection = *to_flush_[i];
         connection.flush_scheduled = false;
--- a/src/platform/client_connections.h
+++ b/src/platform/client_connections.h
@@ -1,9 +1,9 @@
-// The listener for clients, and what bounds their connections: how many there are, which of them makes room
-// for a new one, and for how long each may take. What happens on a connection is ClientConnection's.
+// The listener for clients, and the limits of their connections: how many there are, which one is evicted to
+// make room for a new one, and their timeouts. ClientConnection handles the traffic on each connection.
 //
-// Idle connections make room for new ones; ones that say nothing, or never end a request, are answered or
-// closed within ClientConnectionLimits::request_timeout. Answers of one turn of the event loop leave in one
-// write.
+// Idle connections are evicted to make room. Connections that send nothing, or no complete request, are
+// answered or closed within ClientConnectionLimits::request_timeout. Answers of one event loop iteration are
+// written with one system call per connection.
 #pragma once
 
 #include <cstddef>
@@ -21,13 +21,13 @@
 
 namespace gorsenotch::platform {
 
-// Ownership: the listener, all connections and what they share. The event loop, the settings and the
+// Ownership: the listener, all connections and their shared state. The event loop, the settings and the
 // lifecycle have to outlive it. Threading: the event loop's thread. Errors: listen() returns a libuv code; a
 // failed accept is counted and closes an idle connection. Times: ms.
 class ClientConnections : private ClientConnection::Owner {
 public:
-    // Connections that may be ending beside Config::limits.max_connections.
-    static constexpr std::size_t kEndingMost = 16;
+    // Connections that may be ending, in addition to Config::limits.max_connections.
+    static constexpr std::size_t kMaxEndingConnections = 16;
     using Counters = ClientConnectionCounters;
     struct Config {
         std::string listen;  // address and port
@@ -38,12 +38,13 @@
                       Config config);
     ~ClientConnections() override;
 
-    int listen();  // 0 or a libuv code
+    // Starts listening; returns 0 or a libuv code.
+    int listen();
     int port() const { return listener_ ? listener_->port() : 0; }
-    // The readiness check says no from now on; what comes is served still.
+    // Makes the readiness check fail; requests are still served.
     void drain() { group_.draining = true; }
-    // Listens no more; answers end their connections, idle ones close. To be called until listening() is
-    // false.
+    // Stops accepting: connections are closed after their answers, and idle ones at once. To be called
+    // repeatedly until listening() is false.
     void stop_accepting();
     bool listening() const { return listener_ != nullptr; }
     std::size_t connections() const { return connections_.size(); }
@@ -68,7 +69,7 @@
     ClientConnectionGroup group_;
     std::unique_ptr<net::TcpListener> listener_;
     ClientConnection::List connections_;
-    ClientConnection::List removed_;  // gone in a callback of their own, freed by the next turn
+    ClientConnection::List removed_;  // closed within their own callbacks; freed in the next iteration
     std::vector<ClientConnection*> to_flush_;
     net::Timer timeout_timer_;
     net::Timer cleanup_timer_;
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -10,8 +10,8 @@
 
 using Json = nlohmann::json;
 
-constexpr int kMaxDepth = 16;      // of the settings
-constexpr double kMaxLimit = 1e9;  // of a number in `limits`
+constexpr int kMaxDepth = 16;      // of nested settings
+constexpr double kMaxLimit = 1e9;  // for a number in `limits`
 
 std::string plain(const Json& json) {
     if (json.is_string()) return json.get<std::string>();
@@ -19,7 +19,7 @@
 }
 
 void flatten(const Json& json, const std::string& path, int depth, settings::SettingValues& out) {
-    if (depth > kMaxDepth) throw ConfigError("settings." + path + ": nested too deeply");
+    if (depth > kMaxDepth) throw ConfigError("settings." + path + ": nested deeper than 16 levels");
     if (json.is_object()) {
         const std::string prefix = path.empty() ? "" : path + ".";
         for (const auto& [name, value] : json.items()) flatten(value, prefix + name, depth + 1, out);
@@ -39,7 +39,7 @@
 std::string text_at(const Json& json, const char* name, const std::string& absent) {
     const auto it = json.find(name);
     if (it == json.end()) return absent;
-    if (!it->is_string()) throw ConfigError(std::string(name) + ": should be text");
+    if (!it->is_string()) throw ConfigError(std::string(name) + ": expected a string");
     return it->get<std::string>();
 }
 
@@ -47,39 +47,40 @@
     const auto it = limits.find(name);
     if (it == limits.end()) return 0;
     if (!it->is_number() || it->get<double>() < 0 || it->get<double>() > kMaxLimit)
-        throw ConfigError(std::string("limits.") + name + ": should be a number from 0 to 1e9");
+        throw ConfigError(std::string("limits.") + name + ": expected a number from 0 to 1e9");
     return static_cast<std::size_t>(it->get<double>());
 }
 
-void need_address(const char* what, const std::string& address) {
+void require_address(const char* name, const std::string& address) {
     sockaddr_storage storage{};
     if (!net::parse_address(address, storage))
-        throw ConfigError(std::string(what) + ": '" + address + "' is no address such as 10.0.0.4:5000");
+        throw ConfigError(std::string(name) + ": '" + address + "' is not an address such as 10.0.0.4:5000");
 }
 
 }  // namespace
 
 Config parse_config(const std::string& text, const std::string& listen, const std::string& discovery) {
     const Json json = Json::parse(text, nullptr, false);
-    if (json.is_discarded() || !json.is_object()) throw ConfigError("the file is not a JSON object");
+    if (json.is_discarded() || !json.is_object())
+        throw ConfigError("expected the file to contain a JSON object");
     Config config;
     config.name = text_at(json, "name", "");
     config.listen = text_at(json, "listen", listen);
     config.discovery = text_at(json, "discovery", discovery);
-    need_address("listen", config.listen);
-    need_address("discovery", config.discovery);
+    require_address("listen", config.listen);
+    require_address("discovery", config.discovery);
     if (const auto it = json.find("seed"); it != json.end()) {
         const std::string seed = plain(*it);
         const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
         if (error != std::errc() || end != seed.data() + seed.size())
-            throw ConfigError("seed: '" + seed + "' is no hexadecimal number");
+            throw ConfigError("seed: expected a hexadecimal number of up to 64 bits, got '" + seed + "'");
     }
     if (const auto it = json.find("limits"); it != json.end() && it->is_object()) {
         config.memory_mb = count_at(*it, "memory_mb");
         config.sockets = count_at(*it, "sockets");
     }
     const auto settings = json.find("settings");
-    if (settings == json.end() || !settings->is_object()) throw ConfigError("settings: an object is needed");
+    if (settings == json.end() || !settings->is_object()) throw ConfigError("settings: expected an object");
     settings::SettingValues info;
     flatten(*settings, "", 0, info);
     try {
@@ -87,7 +88,8 @@
     } catch (const settings::SettingsError& error) {
         throw ConfigError(std::string("settings.") + error.what());
     }
-    if (const auto it = json.find("known"); it != json.end() && it->is_object()) config.known = plain(*it);
+    if (const auto it = json.find("known"); it != json.end() && it->is_object())
+        config.cached_list = plain(*it);
     return config;
 }
 
--- a/src/platform/config_reloader.cpp
+++ b/src/platform/config_reloader.cpp
@@ -9,11 +9,11 @@
 namespace gorsenotch::platform {
 namespace {
 
-// Between two tries: often at first, as a new discovery address has to be in use 4 s after the signal.
-constexpr Millis kRetryInterval = 50;
+// Retries are frequent at first, because a new discovery address has to be in use 4 s after the signal.
+constexpr Millis kFrequentRetryInterval = 50;
 constexpr Millis kFrequentRetryPeriod = 4000;
-constexpr Millis kLateRetryInterval = 1000;
-constexpr Millis kRetryPeriod = 60000;  // after that the reload is given up
+constexpr Millis kInfrequentRetryInterval = 1000;
+constexpr Millis kRetryPeriod = 60000;  // after which the reload is abandoned
 
 }  // namespace
 
@@ -48,11 +48,11 @@
 
 void ConfigReloader::on_rejected(const std::string& reason) {
     if (std::exchange(last_rejection_, reason) != reason)
-        log_("error", "reload_refused", reason + "; tried again");
+        log_("error", "reload_refused", reason + "; will retry");
     const Millis passed = net::now() - requested_at_;
     if (passed < kRetryPeriod) {
         const bool frequent = passed < kFrequentRetryPeriod;
-        return retry_timer_.fire_after(frequent ? kRetryInterval : kLateRetryInterval);
+        return retry_timer_.fire_after(frequent ? kFrequentRetryInterval : kInfrequentRetryInterval);
     }
     log_("error", "reload_given_up", reason);
 }
--- a/src/platform/config_reloader.h
+++ b/src/platform/config_reloader.h
@@ -1,4 +1,4 @@
-// Reads the configuration file again, until it can be taken.
+// Reloads the configuration file, with retries until it is valid.
 #pragma once
 
 #include <functional>
@@ -11,23 +11,23 @@
 
 namespace gorsenotch::platform {
 
-// Guards against a file that cannot be read just as the signal comes (half written, gone or locked for a
-// moment): the old discovery would stay for good and what the new one lists be missed. May read a file that
-// is wrong for good for a minute in vain.
+// Guards against a file that cannot be read at the moment of the signal (half written, briefly missing or
+// locked): without a retry the old discovery address would remain in use forever, and changes listed by the
+// new one would be missed. The cost is that a permanently invalid file is read in vain for a minute.
 //
-// Ownership: its timer and the state of the reload under way. Errors: a rejected file is logged once for each
-// reason and read again, often at first, then every second, until a minute has passed; the settings in force
-// stay. Threading: the event loop's thread.
+// Ownership: its timer and the state of the reload in progress. Errors: a rejected file is logged once per
+// reason and read again, frequently at first, then every second, for one minute; the current settings stay.
+// Threading: the event loop's thread.
 class ConfigReloader {
 public:
     using LogFunction = std::function<void(const char* level, const char* event, const std::string& text)>;
 
-    // `current`: what an incomplete file is completed from; it has to outlive this.
+    // `current`: provides values that the file does not set; it has to outlive this object.
     ConfigReloader(net::EventLoop& loop, std::string file, const Config& current, LogFunction log);
 
     std::function<void(const Config&)> on_reloaded;
 
-    // Starts a reload; one that is under way starts anew.
+    // Starts a reload, or restarts the one in progress.
     void reload();
 
 private:
@@ -40,7 +40,7 @@
     const LogFunction log_;
     net::Timer retry_timer_;
     Millis requested_at_ = 0;
-    std::string last_rejection_;  // the reason logged last, of the reload under way
+    std::string last_rejection_;  // the reason last logged for the reload in progress
 };
 
 }  // namespace gorsenotch::platform
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -18,8 +18,8 @@
 constexpr double kNoVersion = -1;
 constexpr double kMaxVersion = 1e15;
 constexpr double kMaxCell = 9e15;
-// So many full lists of a lower version, one after another, are taken for discovery's present state.
-constexpr int kOlderListsTaken = 3;
+// After this many consecutive full lists of a lower version, the lower version is accepted as current.
+constexpr int kMinOlderListsToAccept = 3;
 
 // Why a list is rejected: the path of the field and what is wrong with it.
 struct ListError {
@@ -30,13 +30,13 @@
     const auto it = json.find(name);
     if (it == json.end() || it->is_null()) return absent;
     if (!it->is_number() || !std::isfinite(it->get<double>()))
-        throw ListError{std::string(name) + ": should be a number"};
+        throw ListError{std::string(name) + ": expected a finite number"};
     return it->get<double>();
 }
 
 std::string text(const Json& json, const char* name) {
     const auto it = json.find(name);
-    if (it == json.end() || !it->is_string()) throw ListError{std::string(name) + ": text is needed"};
+    if (it == json.end() || !it->is_string()) throw ListError{std::string(name) + ": expected a string"};
     return it->get<std::string>();
 }
 
@@ -46,7 +46,7 @@
     return it->second;
 }
 
-// Discovery's words for the status of an endpoint.
+// The endpoint status for a value of discovery's `health` field.
 EndpointStatus status(const std::string& health) {
     if (health == "up") return EndpointStatus::healthy;
     if (health == "draining") return EndpointStatus::draining;
@@ -55,16 +55,18 @@
 }
 
 DiscoveredEndpoint read_row(const Json& row, const settings::NamedSettings& named) {
-    if (!row.is_object()) throw ListError{"should be an object"};
+    if (!row.is_object()) throw ListError{"expected an object"};
     DiscoveredEndpoint discovered;
     discovered.name = text(row, "host");
     Endpoint& endpoint = discovered.endpoint;
     endpoint.status = status(text(row, "health"));
-    // The name of a removed endpoint is enough.
+    // A removed endpoint needs no more than its name.
     if (endpoint.status == EndpointStatus::removed && !row.contains("class")) return discovered;
     discovered.dial_address = text(row, "dial");
     sockaddr_storage storage{};
-    if (!net::parse_address(discovered.dial_address, storage)) throw ListError{"dial: no address"};
+    if (!net::parse_address(discovered.dial_address, storage))
+        throw ListError{"dial: expected an address such as 10.0.0.4:5000, got '" + discovered.dial_address +
+                        "'"};
     endpoint.zone = index(named.zones, text(row, "site"), "site");
     endpoint.kind = index(named.kinds, text(row, "class"), "class");
     const double cell = number(row, "block", 0);
@@ -88,7 +90,7 @@
 
 struct ParsedList {
     std::uint64_t version = 0;
-    bool full = false;  // all endpoints; else changes
+    bool full = false;  // contains all endpoints; else only changes
     std::vector<DiscoveredEndpoint> endpoints;
 };
 
@@ -99,7 +101,7 @@
 
 }  // namespace
 
-// The same at every gateway, as the cells for prefixes are chosen by it.
+// A hash of the name, so that the id is the same at every gateway: prefix affinity chooses cells by it.
 EndpointId EndpointList::id_for(const std::string& name) {
     if (const auto it = ids_.find(name); it != ids_.end()) return it->second;
     EndpointId id = XXH32(name.data(), name.size(), 0);
@@ -107,24 +109,26 @@
     return id;
 }
 
-// A list that is older than the one in force is rejected, unless discovery stays with it. Another discovery
-// counts by itself: where its full list was rejected as older, drains that only it lists would be missed.
+// Rejects a list that is older than the current one, unless discovery keeps sending it. The first full list
+// from a new discovery address is exempt, because its versions are independent: rejecting it as older would
+// miss drains that only it lists.
 void EndpointList::check_version(std::uint64_t version, bool full, Source source) {
-    const bool first_of_another = source == Source::new_address && full;
-    if (version >= version_ || first_of_another) return;
-    if (full && ++older_lists_ >= kOlderListsTaken) return;
-    throw ListError{"seq: went back from " + std::to_string(version_) + " to " + std::to_string(version)};
+    const bool first_from_new_address = source == Source::new_address && full;
+    if (version >= version_ || first_from_new_address) return;
+    if (full && ++older_lists_ >= kMinOlderListsToAccept) return;
+    throw ListError{"seq: version went back from " + std::to_string(version_) + " to " +
+                    std::to_string(version)};
 }
 
 std::optional<EndpointUpdate> EndpointList::take(const std::string& body, Source source, Millis now,
                                                  std::string& why) {
     try {
         const Json json = Json::parse(body, nullptr, false);
-        if (json.is_discarded() || !json.is_object()) throw ListError{"not a JSON object"};
+        if (json.is_discarded() || !json.is_object()) throw ListError{"expected a JSON object"};
         const auto rows = json.find("hosts");
-        if (rows == json.end() || !rows->is_array()) throw ListError{"hosts: a list is needed"};
+        if (rows == json.end() || !rows->is_array()) throw ListError{"hosts: expected an array"};
         const double seq = number(json, "seq", kNoVersion);
-        if (seq < 0 || seq > kMaxVersion) throw ListError{"seq: a version is needed"};
+        if (seq < 0 || seq > kMaxVersion) throw ListError{"seq: expected a version from 0 to 1e15"};
         ParsedList list;
         list.version = static_cast<std::uint64_t>(seq);
         const auto full = json.find("whole");
@@ -150,7 +154,7 @@
         Endpoint& endpoint = discovered.endpoint;
         endpoint.id = id_for(discovered.name);
         if (endpoint.status != EndpointStatus::removed)
-            endpoint.started_at = starts_.on_listed(discovered.name, discovered.incarnation, now);
+            endpoint.started_at = incarnations_.on_listed(discovered.name, discovered.incarnation, now);
         if (const auto previous = before.find(endpoint.id); previous != before.end())
             discovered.copy_evidence(previous->second);
         if (const DiscoveredEndpoint* previous = find(endpoint.id)) discovered.copy_evidence(*previous);
@@ -163,8 +167,8 @@
             endpoints_[endpoint.id] = std::move(discovered);
         }
     }
-    if (full && source != Source::cached) starts_.on_full_list();
-    starts_.forget(endpoints_.size(), now);
+    if (full && source != Source::cached) incarnations_.on_full_list();
+    incarnations_.forget(endpoints_.size(), now);
     if (full) std::erase_if(ids_, [&](const auto& entry) { return !endpoints_.count(entry.second); });
     return update;
 }
--- a/src/platform/endpoint_list.h
+++ b/src/platform/endpoint_list.h
@@ -1,7 +1,7 @@
-// The list of endpoints in discovery's form: text in, updates for the Router out. No I/O.
+// The endpoint list: parses the JSON text of discovery and produces updates for the Router. No I/O.
 //
-// The words of discovery's wire (`hosts`, `seq`, `whole`, `health`, ...) appear in the source of this file
-// alone.
+// The field names of discovery's protocol (`hosts`, `seq`, `whole`, `health`, ...) are used only in the
+// source of this module.
 #pragma once
 
 #include <map>
@@ -16,13 +16,14 @@
 
 namespace gorsenotch::platform {
 
-// An endpoint as listed, and what is known of whether it answers.
+// An endpoint as listed, and the evidence of whether it answers.
 struct DiscoveredEndpoint {
     Endpoint endpoint;
     std::string name;
     std::string dial_address;
-    double incarnation = 0;  // as listed: ms on the wall clock at its start, 0 long ago
-    // When it last answered and when it last did not, ms on the monotonic clock; set by whoever sends to it.
+    double incarnation = 0;  // as listed: its start in ms on the wall clock; 0: long ago
+    // When it last answered and when it last failed to answer, in ms on the monotonic clock; set by the
+    // modules that send to it.
     Millis last_success = -1e18;
     Millis last_failure = -1e18;
 
@@ -32,19 +33,22 @@
     }
 };
 
-// Ownership: the endpoints that are listed, and the ids of their names. Pointers from find() stay valid until
-// the next take(). Times: an endpoint's start is on the monotonic clock, see control/endpoint_incarnation;
-// one start always has the same value and is never taken for a new one. Errors: text that cannot be read, or
-// is older than the list in force, changes no endpoint and gives the reason. Threading: one thread.
+// Ownership: the listed endpoints, and the ids of their names. Pointers from find() stay valid until the next
+// take(). Times: an endpoint's start is on the monotonic clock, see control/endpoint_incarnation; an
+// incarnation always keeps the same start time, so that it is never mistaken for a new one. Errors: text that
+// is malformed, or older than the current list, changes no endpoint, and the reason is returned. Threading:
+// one thread.
 class EndpointList {
 public:
-    // `offset`: what is added to Unix ms to get the monotonic clock's, as far as the wall clock is right.
-    EndpointList(const settings::NamedSettings& named, Millis offset) : named_(named), starts_(offset) {}
+    // `clock_offset`: ms to add to Unix time to get the monotonic clock's time, assuming a correct wall
+    // clock.
+    EndpointList(const settings::NamedSettings& named, Millis clock_offset)
+        : named_(named), incarnations_(clock_offset) {}
 
-    // Where a text comes from: the configuration's copy of the last list, the same discovery as before, or
-    // one at another address.
+    // The source of a text: the list cached in the configuration, the same discovery address as before, or
+    // another one.
     enum class Source { cached, same_address, new_address };
-    // Takes a list or changes to it. Returns the update for the Router, or nothing and the reason in `why`.
+    // Applies a full list or changes. Returns the update for the Router, or nothing and the reason in `why`.
     std::optional<EndpointUpdate> take(const std::string& text, Source source, Millis now, std::string& why);
     std::uint64_t version() const { return version_; }
     DiscoveredEndpoint* find(EndpointId id);
@@ -56,11 +60,11 @@
     EndpointUpdate apply(std::vector<DiscoveredEndpoint> listed, bool full, Source source, Millis now);
 
     const settings::NamedSettings& named_;
-    control::EndpointIncarnations starts_;
-    std::map<EndpointId, DiscoveredEndpoint> endpoints_;  // those listed
+    control::EndpointIncarnations incarnations_;
+    std::map<EndpointId, DiscoveredEndpoint> endpoints_;
     std::map<std::string, EndpointId> ids_;
     std::uint64_t version_ = 0;
-    int older_lists_ = 0;  // full lists of a lower version, one after another
+    int older_lists_ = 0;  // consecutive full lists of a lower version
 };
 
 }  // namespace gorsenotch::platform
--- a/src/platform/endpoint_watcher.cpp
+++ b/src/platform/endpoint_watcher.cpp
@@ -22,129 +22,133 @@
       random_(seed),
       overdue_timer_(loop,
                      [this] {
-                         if (!call_) return;
-                         // It may only be late: it stays until another one has answered.
-                         report_fault("no answer in time");
-                         if (!successor_) start_call();
+                         if (!active_) return;
+                         // The response may only be late: the poll stays open until another one is answered.
+                         report_fault("discovery did not answer in time");
+                         if (!successor_) start_successor();
                      }),
       retry_timer_(loop,
                    [this] {
-                       if (successor_) return successor_overdue();
-                       start_call();
+                       if (successor_) return on_successor_overdue();
+                       start_successor();
                    }),
-      cleanup_timer_(loop, [this] { closed_calls_.clear(); }) {}
+      cleanup_timer_(loop, [this] { closed_polls_.clear(); }) {}
 
 void EndpointWatcher::watch_address(const std::string& address) {
-    if (address == address_ && (call_ || successor_)) return;
+    if (address == address_ && (active_ || successor_)) return;
     address_ = address;
     fault_reported_ = false;
     discard(successor_);
-    discard(late_call_);
-    start_call();
+    discard(late_);
+    start_successor();
 }
 
-// Guards against a discovery that is slower than the time between two tries and would never be read. May do
-// harm by a call more at an agent that is crowded.
-void EndpointWatcher::successor_overdue() {
-    const bool spent = late_call_ && net::now() - late_call_->began >= config_.slow_list_timeout;
-    if (spent) discard(late_call_);
-    if (late_call_) return on_call_failed(*successor_, "no answer in time");
-    report_fault("no answer in time");
-    late_call_ = std::move(successor_);
-    start_call_after_pause();
+// Keeps the overdue successor as the late poll and starts another one. Guards against never reading a
+// response from a discovery that takes longer than the retry interval; the cost is one more request to an
+// overloaded discovery.
+void EndpointWatcher::on_successor_overdue() {
+    const bool expired = late_ && net::now() - late_->started_at >= config_.slow_list_timeout;
+    if (expired) discard(late_);
+    if (late_) return on_poll_failed(*successor_, "discovery did not answer in time");
+    report_fault("discovery did not answer in time");
+    late_ = std::move(successor_);
+    schedule_successor();
 }
 
-void EndpointWatcher::start_call() {
-    successor_ = std::make_unique<Call>();
-    Call& call = *successor_;
-    call.address = address_;
-    call.began = net::now();
-    call.stream = std::make_unique<net::TcpStream>(loop_);
-    call.parser = std::make_unique<http::Parser>(http::Parser::Kind::response,
+void EndpointWatcher::start_successor() {
+    successor_ = std::make_unique<Poll>();
+    Poll& poll = *successor_;
+    poll.address = address_;
+    poll.started_at = net::now();
+    poll.stream = std::make_unique<net::TcpStream>(loop_);
+    poll.parser = std::make_unique<http::Parser>(http::Parser::Kind::response,
                                                  http::Limits{kMaxHeadBytes, kMaxHeaders, kMaxListBytes});
-    call.parser->on_body = [&call](std::string_view bytes) { call.body.append(bytes); };
-    call.stream->on_data = [this, &call](std::string_view bytes) { on_data(call, bytes); };
-    call.stream->on_end = [this, &call](int code) { on_call_failed(call, net::error_text(code)); };
+    poll.parser->on_body = [&poll](std::string_view bytes) { poll.body.append(bytes); };
+    poll.stream->on_data = [this, &poll](std::string_view bytes) { on_data(poll, bytes); };
+    poll.stream->on_end = [this, &poll](int code) { on_poll_failed(poll, net::error_text(code)); };
     retry_timer_.fire_after_poll(config_.connect_timeout);
-    const int error = call.stream->connect(call.address, "", [this, &call](int code) {
-        if (code != 0) return on_call_failed(call, net::error_text(code));
-        call.stream->set_reading(true);
+    const int error = poll.stream->connect(poll.address, "", [this, &poll](int code) {
+        if (code != 0) return on_poll_failed(poll, net::error_text(code));
+        poll.stream->set_reading(true);
         retry_timer_.fire_after_poll(config_.full_list_timeout);
-        send_poll(call, true);
+        send_poll(poll, true);
     });
-    if (error != 0) on_call_failed(call, net::error_text(error));
+    if (error != 0) on_poll_failed(poll, net::error_text(error));
 }
 
-void EndpointWatcher::start_call_after_pause() {
+void EndpointWatcher::schedule_successor() {
     const double jitter = 0.5 + static_cast<double>(random_() >> 11) * 0x1p-53;
     retry_timer_.fire_after(config_.retry_backoff * jitter);
 }
 
-void EndpointWatcher::send_poll(Call& call, bool full_list) {
+void EndpointWatcher::send_poll(Poll& poll, bool full_list) {
     std::string target = "/api/targets";
     if (!full_list) {
         target += "?from=" + std::to_string(*known_version_) +
                   "&hold_ms=" + std::to_string(static_cast<long>(config_.poll_hold));
     }
-    call.stream->write(http::request_head("GET", target, {{"host", call.address}}));
+    poll.stream->write(http::request_head("GET", target, {{"host", poll.address}}));
 }
 
-void EndpointWatcher::on_data(Call& call, std::string_view bytes) {
+void EndpointWatcher::on_data(Poll& poll, std::string_view bytes) {
     while (!bytes.empty()) {
-        bytes.remove_prefix(std::min(bytes.size(), call.parser->feed(bytes)));
-        if (call.parser->fault() != http::Fault::none)
-            return on_call_failed(call, "the answer can't be read");
-        if (!call.parser->complete()) return on_progress(call);
-        if (call.parser->status < 200) continue;
-        if (!bytes.empty()) return on_call_failed(call, "more than one answer");
-        return on_response(call);
+        bytes.remove_prefix(std::min(bytes.size(), poll.parser->feed(bytes)));
+        if (poll.parser->fault() != http::Fault::none)
+            return on_poll_failed(poll, "malformed response from discovery");
+        if (!poll.parser->complete()) return on_progress(poll);
+        if (poll.parser->status < 200) continue;
+        if (!bytes.empty()) return on_poll_failed(poll, "unexpected bytes after the response from discovery");
+        return on_response(poll);
     }
 }
 
-// Guards against a list that comes slowly, in pieces or to a starved process, and is ended each time: then
-// no list would ever be taken. May do harm by one that trickles, up to slow_list_timeout each time.
-void EndpointWatcher::on_progress(Call& call) {
-    if (&call == successor_.get() && net::now() - call.began < config_.slow_list_timeout)
+// Extends the timeout of the successor while its response makes progress, up to slow_list_timeout in total.
+// Guards against closing a list that arrives slowly, or to a process short of CPU time, on every attempt, so
+// that no list would ever be received. The cost is that a response of a few bytes at a time delays the next
+// successor by up to slow_list_timeout.
+void EndpointWatcher::on_progress(Poll& poll) {
+    if (&poll == successor_.get() && net::now() - poll.started_at < config_.slow_list_timeout)
         retry_timer_.fire_after_poll(config_.full_list_timeout);
 }
 
-void EndpointWatcher::on_response(Call& call) {
-    if (call.parser->status != 200)
-        return on_call_failed(call, "status " + std::to_string(call.parser->status));
-    const std::string body = std::move(call.body);
-    call.body.clear();
+void EndpointWatcher::on_response(Poll& poll) {
+    if (poll.parser->status != 200)
+        return on_poll_failed(
+            poll, "discovery answered status " + std::to_string(poll.parser->status) + ", expected 200");
+    const std::string body = std::move(poll.body);
+    poll.body.clear();
     const auto from =
-        on_list(body, !last_answered_address_.empty() && last_answered_address_ != call.address);
-    if (!from) return on_call_failed(call, "");  // reported by whoever rejected it
+        on_list(body, !last_answered_address_.empty() && last_answered_address_ != poll.address);
+    if (!from) return on_poll_failed(poll, "");  // on_list has reported the reason
     known_version_ = from;
-    last_answered_address_ = call.address;
+    last_answered_address_ = poll.address;
     fault_reported_ = false;
-    if (&call != call_.get()) {
-        discard(call_);
-        call_ = std::move(&call == late_call_.get() ? late_call_ : successor_);
+    if (&poll != active_.get()) {
+        discard(active_);
+        active_ = std::move(&poll == late_.get() ? late_ : successor_);
     }
-    if (call.address == address_) {  // the others are needed no more
+    if (poll.address == address_) {  // the other polls are no longer needed
         discard(successor_);
-        discard(late_call_);
+        discard(late_);
         retry_timer_.stop();
     }
-    if (!call.parser->keep_alive) return on_call_failed(call, "");
+    if (!poll.parser->keep_alive) return on_poll_failed(poll, "");
     overdue_timer_.fire_after_poll(config_.poll_hold + config_.overdue_slack);
-    send_poll(call, false);
+    send_poll(poll, false);
 }
 
-// The list in force stays; the next try is soon, as what discovery has to say counts from when it could be
-// read.
-void EndpointWatcher::on_call_failed(Call& call, const std::string& why) {
+// Keeps the current list and schedules a successor soon: a list of discovery applies from the time at which
+// it could have been read.
+void EndpointWatcher::on_poll_failed(Poll& poll, const std::string& why) {
     if (!why.empty()) report_fault(why);
-    if (&call == successor_.get()) {
+    if (&poll == successor_.get()) {
         discard(successor_);
-        return start_call_after_pause();
+        return schedule_successor();
     }
-    if (&call == late_call_.get()) return discard(late_call_);
-    discard(call_);
+    if (&poll == late_.get()) return discard(late_);
+    discard(active_);
     overdue_timer_.stop();
-    if (!successor_) start_call_after_pause();
+    if (!successor_) schedule_successor();
 }
 
 void EndpointWatcher::report_fault(const std::string& why) {
@@ -152,10 +156,10 @@
     if (on_fault) on_fault(why);
 }
 
-void EndpointWatcher::discard(std::unique_ptr<Call>& call) {
-    if (!call) return;
-    call->stream.reset();
-    closed_calls_.push_back(std::move(call));
+void EndpointWatcher::discard(std::unique_ptr<Poll>& poll) {
+    if (!poll) return;
+    poll->stream.reset();
+    closed_polls_.push_back(std::move(poll));
     cleanup_timer_.fire_after(0);
 }
 
--- a/src/platform/environment.h
+++ b/src/platform/environment.h
@@ -1,4 +1,4 @@
-// The interface to the process around: the clock, connections to endpoints, the log.
+// The interface of RequestLifecycle to its process: the clock, connections to endpoints, the log.
 #pragma once
 
 #include <memory>
@@ -9,25 +9,25 @@
 
 namespace gorsenotch::platform {
 
-// On which connection an exchange goes: an idle one, if there is one; or a new one, as idle ones may have
-// fallen silent unnoticed.
+// Which connection an exchange uses. `any`: an idle one if there is one; `fresh`: always a new one, because
+// idle connections may have died unnoticed.
 enum class Connection { any, fresh };
 
-// Implemented by Node, and by tests. Times: ms on a monotonic clock. Threading: one thread; start_exchange()
-// and close() may call back into the exchange from within the call. Errors: those of a connection go to the
-// exchange.
+// Implemented by Node and by test fakes. Times: ms on a monotonic clock. Threading: one thread;
+// start_exchange() and close() may call back into the exchange from within the call. Errors: connection
+// errors are reported to the exchange.
 class Environment {
 public:
     virtual ~Environment() = default;
     virtual Millis now() = 0;  // monotonic
-    // Sends `request` on a connection to `address`; what comes of it goes to `exchange`, which is kept until
-    // it is over.
+    // Sends `request` on a connection to `address` and passes the response to `exchange`, which is kept until
+    // it has ended.
     virtual void start_exchange(const std::string& address, std::string request,
                                 std::shared_ptr<UpstreamExchange> exchange,
                                 Connection connection = Connection::any) = 0;
     // Stops or resumes reading the response.
     virtual void pause(const UpstreamExchange& exchange, bool on) = 0;
-    // Closes the connection of the exchange, which hears no more of it.
+    // Closes the connection of the exchange without a further call to the exchange.
     virtual void close(const UpstreamExchange& exchange) = 0;
     virtual bool has_idle_connection(const std::string& address) = 0;
     // `level`: debug, info, warn or error.
--- a/src/platform/health_checker.cpp
+++ b/src/platform/health_checker.cpp
@@ -8,9 +8,10 @@
 namespace gorsenotch::platform {
 namespace {
 
-// A request is long over, ms after its end: its releases have been answered, nothing of it is under way.
-constexpr Millis kLongOver = 1000;
-// A timer may fire so much early, ms.
+// How long a request has to have ended, in ms, before checks may use its id: by then its releases have been
+// answered, and no message about it is in flight.
+constexpr Millis kMinTimeSinceEnd = 1000;
+// A timer may fire early by up to this, in ms.
 constexpr Millis kTimerTolerance = 0.5;
 
 }  // namespace
@@ -19,24 +20,24 @@
                              std::function<void(Millis, EndpointId)> set_timer)
     : timeout_(timeout), endpoints_(endpoints), environment_(environment), set_timer_(std::move(set_timer)) {}
 
-void HealthChecker::on_answered(EndpointId id, Millis sent) {
+void HealthChecker::on_answered(EndpointId id, Millis sent_at) {
     EndpointHealth& health = endpoint_health_[id];
-    if (sent < health.sent) return;
-    health.sent = sent;
+    if (sent_at < health.answered_sent_at) return;
+    health.answered_sent_at = sent_at;
     health.answered_at = environment_.now();
 }
 
 std::optional<Millis> HealthChecker::answered_since(EndpointId id, Millis since) const {
     const auto it = endpoint_health_.find(id);
-    if (it == endpoint_health_.end() || it->second.sent < since) return std::nullopt;
+    if (it == endpoint_health_.end() || it->second.answered_sent_at < since) return std::nullopt;
     return it->second.answered_at;
 }
 
-void HealthChecker::request_over(const std::string& txn) {
+void HealthChecker::on_request_ended(const std::string& txn) {
     const Millis now = environment_.now();
-    if (now - latest_over_since_ < kLongOver) return;
-    earlier_over_ = std::exchange(latest_over_, txn);
-    latest_over_since_ = now;
+    if (now - latest_finished_at_ < kMinTimeSinceEnd) return;
+    older_finished_txn_ = std::exchange(latest_finished_txn_, txn);
+    latest_finished_at_ = now;
 }
 
 void HealthChecker::check(EndpointId id) {
@@ -47,11 +48,11 @@
     health.check = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::lease_call);
     health.check_sent_at = environment_.now();
     const auto check = health.check;
-    check->on_first_byte = [this, id, sent = health.check_sent_at] { on_answered(id, sent); };
+    check->on_first_byte = [this, id, sent_at = health.check_sent_at] { on_answered(id, sent_at); };
     check->on_ended = [this, id](const AttemptOutcome&) { endpoint_health_[id].check.reset(); };
     set_timer_(health.check_sent_at + timeout_, id);
     environment_.start_exchange(endpoint->dial_address,
-                                lease_call("DELETE", earlier_over_, endpoint->dial_address), check);
+                                lease_call("DELETE", older_finished_txn_, endpoint->dial_address), check);
 }
 
 void HealthChecker::on_timeout(EndpointId id) {
--- a/src/platform/health_checker.h
+++ b/src/platform/health_checker.h
@@ -1,11 +1,11 @@
-// What is known of whether endpoints answer: for each, the latest thing sent to it that it has answered, and
-// a cheap health check where nothing else shows it. No I/O; the clock comes from Environment, timers are the
-// owner's.
+// Tracks whether endpoints answer: for each endpoint, when the latest answered message was sent, and a cheap
+// health check for when no other traffic shows it. No I/O; the clock comes from Environment, and the owner
+// runs the timers.
 //
-// An answer proves that the endpoint ran, and could be reached both ways, after what was answered had been
-// sent. It does not prove that a given connection works. A health check is a release for a request of this
-// process that is long over: every endpoint takes it, and nothing is held for it. One is in flight for an
-// endpoint at a time.
+// An answer proves that the endpoint was running and reachable in both directions after the answered message
+// was sent. It does not prove that a given connection works. A health check is a release call for a request
+// of this process that ended some time ago: every endpoint accepts it, and it has no effect because nothing
+// is held for that request. At most one check per endpoint is in flight.
 #pragma once
 
 #include <functional>
@@ -21,28 +21,27 @@
 
 namespace gorsenotch::platform {
 
-// Ownership: the health of each listed endpoint and, shared with Environment, the checks in flight. Errors: a
-// check that is not answered is counted. Units: ms. Threading: one thread.
+// Ownership: the health of each listed endpoint and, shared with Environment, the checks in flight. Errors:
+// unanswered checks are counted. Units: ms. Threading: one thread.
 class HealthChecker {
 public:
-    // `timeout`: how long a check may be in flight. `set_timer`: on_timeout(endpoint) is to be called at
-    // `at`.
+    // `timeout`: how long a check may be in flight. `set_timer`: has to call on_timeout(endpoint) at `at`.
     HealthChecker(Millis timeout, EndpointList& endpoints, Environment& environment,
                   std::function<void(Millis at, EndpointId)> set_timer);
 
-    // A byte of an answer came to what was begun at `sent`.
-    void on_answered(EndpointId endpoint, Millis sent);
-    // When the latest answer came to something begun at `since` or later; nothing if none has.
+    // The first byte of an answer to an exchange started at `sent_at` was received.
+    void on_answered(EndpointId endpoint, Millis sent_at);
+    // When the endpoint answered the latest exchange, if that was started at `since` or later; else nothing.
     std::optional<Millis> answered_since(EndpointId endpoint, Millis since) const;
-    // Whether a check can be sent at all: a request of this process has been over for a while.
-    bool can_check() const { return !earlier_over_.empty(); }
+    // Whether checks can be sent: they need a request of this process that ended some time ago.
+    bool can_check() const { return !older_finished_txn_.empty(); }
     // Sends a check, unless one is in flight or the endpoint is not listed.
     void check(EndpointId endpoint);
-    // The timer of a check.
+    // The timer of a check has fired.
     void on_timeout(EndpointId endpoint);
-    // A request of this process is over, and nothing is held for it.
-    void request_over(const std::string& txn);
-    // Forgets endpoints that are not listed.
+    // A request of this process has ended, and nothing is held for it.
+    void on_request_ended(const std::string& txn);
+    // Drops the state of endpoints that are no longer listed.
     void forget_unlisted();
 
     std::uint64_t checks_sent() const { return checks_sent_; }
@@ -50,8 +49,8 @@
 
 private:
     struct EndpointHealth {
-        Millis sent = -1e18;         // when that was sent which was answered last
-        Millis answered_at = -1e18;  // when its answer came
+        Millis answered_sent_at = -1e18;  // start of the latest answered exchange
+        Millis answered_at = -1e18;       // when its answer was received
         std::shared_ptr<UpstreamExchange> check;
         Millis check_sent_at = 0;
     };
@@ -62,10 +61,10 @@
     Environment& environment_;
     const std::function<void(Millis, EndpointId)> set_timer_;
     std::unordered_map<EndpointId, EndpointHealth> endpoint_health_;
-    // Ids of requests of this process that are over; checks use the older one, which has been for longer.
-    std::string latest_over_;
-    std::string earlier_over_;
-    Millis latest_over_since_ = -1e18;
+    // Transaction ids of two ended requests. Checks use the older one, whose releases have surely finished.
+    std::string latest_finished_txn_;
+    std::string older_finished_txn_;
+    Millis latest_finished_at_ = -1e18;
     std::uint64_t checks_sent_ = 0;
     std::uint64_t checks_unanswered_ = 0;
 };
--- a/src/platform/lease_keeper.cpp
+++ b/src/platform/lease_keeper.cpp
@@ -8,7 +8,7 @@
 namespace gorsenotch::platform {
 namespace {
 
-// How long a call that reserves a slot may take, ms.
+// How long a call that reserves a slot may take, in ms.
 constexpr Millis kReservationTimeout = 1000;
 constexpr int kStatusReserved = 200;
 constexpr int kStatusSlotTaken = 409;
@@ -21,25 +21,25 @@
                 [this](Millis at, std::uint64_t release_id, bool timeout) {
                     context_.driver.set_timer(TimerKind::release, at, nullptr, 0, release_id, timeout);
                 }) {
-    releaser_.on_call = [this](const LeaseReleaser::Order& order) {
-        context_.invariant_checker.on_release_called(order.request);
+    releaser_.on_call = [this](const LeaseReleaser::ReleaseRequest& release) {
+        context_.invariant_checker.on_release_called(release.request);
     };
-    releaser_.on_ended = [this](const LeaseReleaser::Ended& ended) { on_release_ended(ended); };
+    releaser_.on_ended = [this](const LeaseReleaser::Result& result) { on_release_ended(result); };
 }
 
 // ---- evidence -------------------------------------------------------------------------------------------
 
 void LeaseKeeper::on_attempt_begun(RequestState& request, const AttemptState& attempt) {
-    request.lease.on_attempt_begun(attempt.sent, attempt.endpoint, !attempt.is_prefill);
-    // A prefill loses nothing by a release: what an earlier attempt left is released meanwhile.
+    request.lease.on_attempt_begun(attempt.started_at, attempt.endpoint, !attempt.is_prefill);
+    // A release does not harm a new prefill attempt: it frees what an earlier attempt has left.
     if (!attempt.is_prefill) releaser_.withdraw(request.release);
     schedule_check(request);
 }
 
 void LeaseKeeper::on_request_written(RequestState& request, const AttemptState& attempt) {
     const double prompt_tokens = request.inbound.arrival.prompt_tokens;
-    const Millis usual = attempt.is_prefill ? prefill_times_.usual_duration(prompt_tokens) : 0;
-    request.lease.on_request_written(context_.environment.now(), context_.environment.now() + usual);
+    const Millis usual_duration = attempt.is_prefill ? prefill_times_.usual_duration(prompt_tokens) : 0;
+    request.lease.on_request_written(context_.environment.now(), context_.environment.now() + usual_duration);
     schedule_check(request);
 }
 
@@ -47,14 +47,15 @@
     request.lease.on_attempt_answered(context_.environment.now());
 }
 
-void LeaseKeeper::on_taken(RequestState& request) { request.lease.on_taken(); }
+void LeaseKeeper::on_kv_cache_fetched(RequestState& request) { request.lease.on_taken(); }
 
 void LeaseKeeper::on_attempt_ended(RequestState& request, const AttemptState& attempt,
                                    const AttemptOutcome& outcome) {
-    const Millis now = attempt.ended;
+    const Millis now = attempt.ended_at;
     const bool prefill_done = outcome.result == AttemptResult::prefill_done;
     request.lease.on_attempt_ended(now, never_ran(outcome.result));
-    if (prefill_done) prefill_times_.add_prefill(now - attempt.sent, request.inbound.arrival.prompt_tokens);
+    if (prefill_done)
+        prefill_times_.add_prefill(now - attempt.started_at, request.inbound.arrival.prompt_tokens);
     if (attempt.is_prefill && prefill_done)
         request.lease.on_acquired(now, control::LeaseOrigin::prefill_done, attempt.endpoint);
     else if (attempt.is_prefill && !never_ran(outcome.result))
@@ -78,11 +79,11 @@
         return context_.endpoint_status(endpoint) == EndpointStatus::healthy;
     };
     call->on_ended = [this, handle, endpoint](const AttemptOutcome& outcome) {
-        const RequestState* own = context_.requests.find(handle);
-        // Any other answer, and none, leave it open: a slot may be kept all the same, and is released in the
-        // end.
-        const bool definite = outcome.status == kStatusReserved || outcome.status == kStatusSlotTaken;
-        if (!own || !definite) return;
+        const RequestState* current = context_.requests.find(handle);
+        // Any other answer, or none, is inconclusive: a slot may be reserved all the same, and is released
+        // when the request ends.
+        const bool conclusive = outcome.status == kStatusReserved || outcome.status == kStatusSlotTaken;
+        if (!current || !conclusive) return;
         context_.driver.feed(
             ReservationReply{std::to_string(handle), endpoint, outcome.status == kStatusReserved});
     };
@@ -110,39 +111,39 @@
 
 void LeaseKeeper::release(RequestState& request, ReleaseReason reason) {
     if (!request.lease.held()) return;
-    // A release under way may have been answered before the latest state came to be held.
-    if (releaser_.in_progress(request.release)) return releaser_.repeat(request.release);
+    // The endpoint may have answered the release in progress before the lease was last acquired.
+    if (releaser_.in_progress(request.release)) return releaser_.restart(request.release);
     request.lease.on_release_begun(context_.environment.now());
-    LeaseReleaser::Order order;
-    order.txn = request.inbound.txn;
-    order.request = request.handle;
-    order.holder = request.lease.timeline().holder;
-    order.uncertain = request.lease.uncertain();
-    if (request.attempt_in_flight()) order.silent = request.lease.timeline().awaited;
-    order.reason = reason;
+    LeaseReleaser::ReleaseRequest release;
+    release.txn = request.inbound.txn;
+    release.request = request.handle;
+    release.holder = request.lease.timeline().holder;
+    release.needs_second_release = request.lease.uncertain();
+    if (request.attempt_in_flight()) release.unresponsive = request.lease.timeline().awaited;
+    release.reason = reason;
     ++context_.counters.release_reasons[static_cast<std::size_t>(reason)];
-    order.held = describe(request);
-    request.release = releaser_.begin(std::move(order));
+    release.lease_description = describe(request);
+    request.release = releaser_.start(std::move(release));
 }
 
 bool LeaseKeeper::release_in_progress(const RequestState& request) const {
     return releaser_.in_progress(request.release);
 }
 
-void LeaseKeeper::on_release_ended(const LeaseReleaser::Ended& ended) {
-    ++context_.counters.release_ends[static_cast<std::size_t>(ended.end)];
-    if (ended.end == ReleaseEnd::answered) {
+void LeaseKeeper::on_release_ended(const LeaseReleaser::Result& result) {
+    ++context_.counters.release_ends[static_cast<std::size_t>(result.end)];
+    if (result.end == ReleaseEnd::answered) {
         context_.invariant_checker.on_endpoint_answered(context_.environment.now());
-        context_.invariant_checker.on_release_answered(ended.order.request, ended.sent);
+        context_.invariant_checker.on_release_answered(result.release.request, result.call_sent_at);
     }
-    update_lease(ended);
-    log_release(ended);
+    update_lease(result);
+    log_release(result);
 }
 
-void LeaseKeeper::update_lease(const LeaseReleaser::Ended& ended) {
-    RequestState* request = context_.requests.find(ended.order.request);
+void LeaseKeeper::update_lease(const LeaseReleaser::Result& result) {
+    RequestState* request = context_.requests.find(result.release.request);
     if (!request) return;
-    if (ended.end == ReleaseEnd::answered) {
+    if (result.end == ReleaseEnd::answered) {
         const Millis age = context_.environment.now() - request->lease.timeline().acquired;
         Millis& longest = context_.counters.longest_lease;
         if (!request->lease.only_unanswered_prefill()) longest = std::max(longest, age);
@@ -153,17 +154,19 @@
     schedule_check(*request);
 }
 
-void LeaseKeeper::log_release(const LeaseReleaser::Ended& ended) {
-    const bool failed = ended.end == ReleaseEnd::unanswered;
-    const bool notable = failed || ended.order.reason == ReleaseReason::lease_expiring || ended.calls > 1;
-    if (!notable || !log_budget_.take(context_.environment.now())) return;
-    std::string text = ended.order.txn;
-    text.append(" ").append(kReleaseEnds[static_cast<std::size_t>(ended.end)]);
-    if (ended.end == ReleaseEnd::answered) text.append(" by ").append(context_.endpoint_name(ended.by));
-    text.append(" after ").append(std::to_string(std::lround(ended.took)));
-    text.append(" calls ").append(std::to_string(ended.calls));
-    text.append(" reason ").append(kReleaseReasons[static_cast<std::size_t>(ended.order.reason)]);
-    text.append("; ").append(ended.order.held);
+void LeaseKeeper::log_release(const LeaseReleaser::Result& result) {
+    const bool failed = result.end == ReleaseEnd::unanswered;
+    const bool notable =
+        failed || result.release.reason == ReleaseReason::lease_expiring || result.calls_made > 1;
+    if (!notable || !log_rate_limiter_.allow(context_.environment.now())) return;
+    std::string text = result.release.txn;
+    text.append(" ").append(kReleaseEnds[static_cast<std::size_t>(result.end)]);
+    if (result.end == ReleaseEnd::answered)
+        text.append(" by ").append(context_.endpoint_name(result.answered_by));
+    text.append(" after ").append(std::to_string(std::lround(result.duration)));
+    text.append(" calls ").append(std::to_string(result.calls_made));
+    text.append(" reason ").append(kReleaseReasons[static_cast<std::size_t>(result.release.reason)]);
+    text.append("; ").append(result.release.lease_description);
     context_.environment.log(failed ? "warn" : "info", failed ? "release_failed" : "release", text);
 }
 
@@ -186,14 +189,15 @@
     release_expiring(request);
 }
 
-// Extends the lease by an answer of the prefill's endpoint to anything sent after it, and asks for one in
-// time.
+// Extends the lease if the prefill's endpoint has answered anything sent after the prefill. Sends a health
+// check if such an answer is due and none has been received.
 void LeaseKeeper::check_prefill_endpoint(RequestState& request) {
     const EndpointId endpoint = request.lease.timeline().awaited;
     const Millis sent = request.lease.prefill_written_at();
     const bool unusual =
         prefill_times_.is_unusual(context_.environment.now() - sent, request.inbound.arrival.prompt_tokens);
-    // No check can be sent before a request of this process has ended; until then any earlier answer counts.
+    // No health check can be sent before a request of this process has ended; until then an answer to
+    // anything sent earlier counts as well.
     const Millis since = context_.health_checker.can_check() ? sent : 0;
     const auto answered_at = context_.health_checker.answered_since(endpoint, since);
     if (answered_at && !unusual)
@@ -208,17 +212,17 @@
     if (request.lease.only_unanswered_prefill()) return release(request, ReleaseReason::prefill_unanswered);
     request.lease.on_expiring(context_.environment.now());
     if (request.attempt_in_flight()) {
-        DiscoveredEndpoint* silent = context_.endpoints.find(request.lease.timeline().awaited);
-        if (silent) silent->last_failure = context_.environment.now();
+        DiscoveredEndpoint* unresponsive = context_.endpoints.find(request.lease.timeline().awaited);
+        if (unresponsive) unresponsive->last_failure = context_.environment.now();
     }
     release(request, ReleaseReason::lease_expiring);
     const std::uint64_t handle = request.handle;
     context_.driver.feed(LeaseReleased{std::to_string(handle)});
-    RequestState* own = context_.requests.find(handle);
-    if (!own || own->attempts.empty()) return;
-    // A decode attempt that still waits for its connection would find no state to read: another prefill is
-    // the better use of the time.
-    const AttemptState& latest = own->attempts.back();
+    RequestState* current = context_.requests.find(handle);
+    if (!current || current->attempts.empty()) return;
+    // A decode attempt that still waits for its connection would find no KV cache to fetch. Cancelling it
+    // leaves its time for another prefill.
+    const AttemptState& latest = current->attempts.back();
     if (latest.in_flight() && !latest.is_prefill && !latest.exchange->request_written())
         abort_attempt(context_.environment, latest, AttemptResult::cancelled);
 }
--- a/src/platform/lease_keeper.h
+++ b/src/platform/lease_keeper.h
@@ -1,9 +1,9 @@
-// KV-cache leases of requests: what endpoints may keep for a request, and its release in time.
+// KV-cache leases of requests: tracks what endpoints may hold for a request, and releases it in time.
 //
-// Feeds the evidence of attempts to each request's control::KvLease, sets the timer at which the lease
-// expires or a prefill endpoint has to be checked, and starts releases. A release goes out whenever something
-// may be held, whether or not that is certain; what a prefill left and nobody took would otherwise occupy the
-// endpoint's memory until its own limit.
+// Feeds evidence from attempts to each request's control::KvLease, sets the timer at which the lease expires
+// or a prefill endpoint is due a health check, and starts releases. A release is sent whenever something may
+// be held, even if that is not certain: otherwise a KV cache that no decode attempt fetches would occupy the
+// endpoint's memory until the endpoint's own limit.
 #pragma once
 
 #include <string>
@@ -17,32 +17,34 @@
 
 namespace gorsenotch::platform {
 
-// Ownership: the releases under way, the record of prefill durations, and the lease fields of every
+// Ownership: the releases in progress, the statistics of prefill durations, and the lease fields of every
 // RequestState (see request_state.h). Errors: none are returned; a release that no endpoint answered is
-// logged and counted.
+// logged and counted. Times: ms. Threading: one thread.
 class LeaseKeeper {
 public:
     // `context` has to outlive it.
     explicit LeaseKeeper(LifecycleContext& context);
 
     // ---- evidence, from AttemptRunner and StreamForwarder ----
-    // A decode attempt withdraws a release under way, which would take the state that the attempt is to read.
+    // A decode attempt withdraws a release in progress, which would free the KV cache that the attempt is to
+    // read.
     void on_attempt_begun(RequestState& request, const AttemptState& attempt);
     void on_request_written(RequestState& request, const AttemptState& attempt);
-    // A byte of the answer to the attempt in flight has come.
+    // The first byte of a response to the attempt in flight was received.
     void on_attempt_answered(RequestState& request);
-    // The decode endpoint has read the state.
-    void on_taken(RequestState& request);
+    // The decode endpoint has fetched the KV cache.
+    void on_kv_cache_fetched(RequestState& request);
     void on_attempt_ended(RequestState& request, const AttemptState& attempt, const AttemptOutcome& outcome);
 
-    // Asks a decode endpoint to keep a slot for the request; the Router hears a definite answer.
+    // Asks a decode endpoint to reserve a slot for the request. The Router is informed only if the slot was
+    // reserved or is taken.
     void reserve_slot(const ReserveSlot& reserve);
     void on_reservation_timeout(const RequestState& request);
-    // Closes a reservation that is still unanswered, without telling the Router.
+    // Closes a reservation call that is still unanswered, without informing the Router.
     void abandon_reservation(const RequestState& request);
 
-    // Releases all that may be held for the request, or repeats a release that is under way. Does not wait
-    // for an attempt in flight, which keeps what it has reached: see control/kv_lease.
+    // Releases everything that may be held for the request, or restarts a release in progress. Does not wait
+    // for an attempt in flight: a release does not affect an attempt that has arrived, see control/kv_lease.
     void release(RequestState& request, ReleaseReason reason);
     bool release_in_progress(const RequestState& request) const;
     // The timer `TimerKind::release` of the release with that id.
@@ -50,7 +52,7 @@
     // The timer `TimerKind::lease` of the request.
     void on_lease_timer(RequestState& request);
 
-    // The state of the request's lease, for log lines.
+    // The history of the request's lease, for log lines.
     std::string describe(const RequestState& request);
     std::size_t releases_in_progress() const { return releaser_.size(); }
     const LeaseReleaser::Counts& release_counts() const { return releaser_.counts(); }
@@ -59,14 +61,14 @@
     void schedule_check(RequestState& request);
     void check_prefill_endpoint(RequestState& request);
     void release_expiring(RequestState& request);
-    void on_release_ended(const LeaseReleaser::Ended& ended);
-    void update_lease(const LeaseReleaser::Ended& ended);
-    void log_release(const LeaseReleaser::Ended& ended);
+    void on_release_ended(const LeaseReleaser::Result& result);
+    void update_lease(const LeaseReleaser::Result& result);
+    void log_release(const LeaseReleaser::Result& result);
 
     LifecycleContext& context_;
     LeaseReleaser releaser_;
     control::PrefillTimes prefill_times_;
-    LineBudget log_budget_{AccessLog::kLinesPerSecond};
+    LogRateLimiter log_rate_limiter_{AccessLog::kLinesPerSecond};
 };
 
 }  // namespace gorsenotch::platform
--- a/src/platform/lease_releaser.cpp
+++ b/src/platform/lease_releaser.cpp
@@ -9,33 +9,36 @@
 namespace gorsenotch::platform {
 namespace {
 
-// Parts of the time that the settings allow for a release.
-constexpr double kRetryPart = 0.15;          // for a call to be answered before another endpoint is asked
-constexpr double kSecondReleasePart = 0.35;  // between an answer and the second release
-constexpr double kGracePart = 0.2;           // beyond that time, for the last calls
-constexpr double kCallTimeoutPart = 0.3;     // after which a call is ended
-constexpr Millis kDefaultTimeout = 1000;     // where the settings name no time
+// Fractions of the release timeout.
+constexpr double kRetryFraction = 0.15;          // from a call to the next one at another endpoint
+constexpr double kSecondReleaseFraction = 0.35;  // from an answer to the second release
+constexpr double kGraceFraction = 0.2;           // after the timeout, for the last calls to be answered
+constexpr double kCallTimeoutFraction = 0.3;     // after which a call is ended
+constexpr Millis kDefaultTimeout = 1000;         // if the settings have no release timeout
 
-constexpr std::size_t kMaxCallsAtOnce = 4;
-constexpr std::size_t kMaxUnansweredCalls = 12;  // until it goes on at the slow pace
+constexpr std::size_t kMaxConcurrentCalls = 4;   // of one release
+constexpr std::size_t kMaxUnansweredCalls = 12;  // of one release, before it backs off
 constexpr std::size_t kMaxCallsInFlight = 32;    // over all releases
 
-// The slow pace: the first pause, the longest one, and how long it goes on beyond the release's time, ms.
-constexpr Millis kFirstSlowPause = 500;
-constexpr Millis kLongestSlowPause = 2000;
-constexpr Millis kSlowPeriod = 8000;
+// Exponential backoff between retries, and how long it continues after the release's deadline, in ms.
+constexpr Millis kMinBackoff = 500;
+constexpr Millis kMaxBackoff = 2000;
+constexpr Millis kBackoffPeriod = 8000;
 
-// A timer may fire so much early, ms.
+// A timer may fire early by up to this, in ms.
 constexpr Millis kTimerTolerance = 0.5;
 
-// Preferences between endpoints, in ms of how lately one answered.
-constexpr Millis kLongestAgo = 60000;  // an older answer says no less
-constexpr double kSilentNow = 1e6;     // it did not answer the last time
-constexpr double kConnected = 2000;    // a connection to it is idle
-constexpr double kIsHolder = 500;      // it is thought to hold something
-constexpr double kSameKind = 20000;    // as one that did not answer: such endpoints fall silent together
-constexpr double kSameZone = 10000;
-constexpr double kSameCell = 5000;
+// An endpoint's score is the negative age of its latest answer in ms, adjusted by these bonuses and
+// penalties.
+constexpr Millis kMaxAnswerAge = 60000;       // older answers all score the same
+constexpr double kUnresponsivePenalty = 1e6;  // it did not answer last time
+constexpr double kIdleConnectionBonus = 2000;
+constexpr double kHolderBonus = 500;  // it is believed to hold the KV cache or slot
+// What it shares with an endpoint that did not answer: endpoints of one kind, zone or cell tend to fail
+// together.
+constexpr double kSameKindPenalty = 20000;
+constexpr double kSameZonePenalty = 10000;
+constexpr double kSameCellPenalty = 5000;
 
 }  // namespace
 
@@ -53,28 +56,28 @@
 
 Millis LeaseReleaser::timeout() const { return release_timeout_ > 0 ? release_timeout_ : kDefaultTimeout; }
 
-std::uint64_t LeaseReleaser::begin(Order order) {
+std::uint64_t LeaseReleaser::start(ReleaseRequest request) {
     const std::uint64_t id = ++last_id_;
     Release& release = releases_[id];
-    if (order.uncertain) release.second = SecondRelease::after_answer;
-    release.order = std::move(order);
-    release.begun = environment_.now();
-    release.until = environment_.now() + (1 + kGracePart) * timeout();
-    ++counts_.begun;
+    if (request.needs_second_release) release.second_release = SecondRelease::after_answer;
+    release.request = std::move(request);
+    release.started_at = environment_.now();
+    release.deadline = environment_.now() + (1 + kGraceFraction) * timeout();
+    ++counts_.started;
     retry(id);
     return id;
 }
 
-void LeaseReleaser::repeat(std::uint64_t id) {
+void LeaseReleaser::restart(std::uint64_t id) {
     const auto it = releases_.find(id);
     if (it == releases_.end()) return;
     Release& release = it->second;
-    release.second = SecondRelease::after_answer;
-    release.phase = Phase::in_time;
-    release.unanswered = std::min<std::size_t>(release.unanswered, kMaxCallsAtOnce);
-    release.asked.clear();
-    release.next_try = 0;
-    release.until = std::max(release.until, environment_.now() + (1 + kGracePart) * timeout());
+    release.second_release = SecondRelease::after_answer;
+    release.phase = Phase::normal;
+    release.unanswered_calls = std::min<std::size_t>(release.unanswered_calls, kMaxConcurrentCalls);
+    release.tried.clear();
+    release.next_retry_at = 0;
+    release.deadline = std::max(release.deadline, environment_.now() + (1 + kGraceFraction) * timeout());
     retry(id);
 }
 
@@ -88,170 +91,176 @@
     if (it == releases_.end()) return;
     Release& release = it->second;
     const Millis now = environment_.now();
-    if (release.withdrawn || is_out_of_time(release)) return end(id);
-    if (now + kTimerTolerance < release.next_try) return;  // the timer of an earlier try
+    if (release.withdrawn || handle_deadline(release)) return end(id);
+    if (now + kTimerTolerance < release.next_retry_at) return;  // the timer of an earlier retry
     end_overdue_calls(release);
-    const bool slow = release.phase != Phase::in_time;
-    release.next_try = now + (slow ? release.pause : kRetryPart * timeout());
-    if (slow) release.pause = std::min(2 * release.pause, kLongestSlowPause);
-    if (release.second == SecondRelease::scheduled) release.second = SecondRelease::none;
-    set_timer_(release.next_try, id, true);
-    if (release.unanswered >= kMaxUnansweredCalls) slow_down(release);
-    const std::size_t count = calls_at_once(release);
+    const bool backing_off = release.phase != Phase::normal;
+    release.next_retry_at = now + (backing_off ? release.retry_interval : kRetryFraction * timeout());
+    if (backing_off) release.retry_interval = std::min(2 * release.retry_interval, kMaxBackoff);
+    if (release.second_release == SecondRelease::scheduled) release.second_release = SecondRelease::none;
+    set_timer_(release.next_retry_at, id, true);
+    if (release.unanswered_calls >= kMaxUnansweredCalls) back_off(release);
+    const std::size_t count = concurrent_calls(release);
     for (std::size_t i = 0; i < count && in_progress(id); ++i) {
-        const DiscoveredEndpoint* to = next_endpoint(release);
-        if (!to) {
-            release.asked.clear();  // all are silent: from the first on again, at the slow pace
-            return slow_down(release);
+        const DiscoveredEndpoint* endpoint = next_endpoint(release);
+        if (!endpoint) {
+            release.tried.clear();  // no endpoint answered: start another round, with backoff
+            return back_off(release);
         }
-        release.asked.push_back(to->endpoint.id);
-        if (release.asked.size() > 1) ++counts_.asked_again;
-        call(id, release, *to);
+        release.tried.push_back(endpoint->endpoint.id);
+        if (release.tried.size() > 1) ++counts_.retries;
+        send_call(id, release, *endpoint);
     }
 }
 
-// As many as went unanswered: when most endpoints are silent, one by one would take longer than the timeout.
-std::size_t LeaseReleaser::calls_at_once(const Release& release) const {
-    if (release.phase != Phase::in_time) return 1;
-    const std::size_t silent = release.unanswered + (release.order.silent != 0 ? 1 : 0);
-    return std::clamp<std::size_t>(silent, 1, kMaxCallsAtOnce);
+// One call for each that went unanswered: if most endpoints are unresponsive, calling them one by one would
+// take longer than the timeout.
+std::size_t LeaseReleaser::concurrent_calls(const Release& release) const {
+    if (release.phase != Phase::normal) return 1;
+    const std::size_t unresponsive = release.unanswered_calls + (release.request.unresponsive != 0 ? 1 : 0);
+    return std::clamp<std::size_t>(unresponsive, 1, kMaxConcurrentCalls);
 }
 
-// Whether nothing more is to be tried. Reports a release that nobody has answered in its time, once.
-bool LeaseReleaser::is_out_of_time(Release& release) {
-    if (environment_.now() < release.until) return false;
-    // Guards against a second release that is skipped as this process stood still when it was due.
-    if (release.second == SecondRelease::scheduled) {
-        release.until = environment_.now() + timeout();
+// Returns true if the release is to end. Reports a release that was not answered by its deadline, once, and
+// extends the deadline for retries with backoff.
+bool LeaseReleaser::handle_deadline(Release& release) {
+    if (environment_.now() < release.deadline) return false;
+    // Guards against skipping the second release because this process was stalled when it was due.
+    if (release.second_release == SecondRelease::scheduled) {
+        release.deadline = environment_.now() + timeout();
         return false;
     }
     if (release.answered || release.phase == Phase::failed) return true;
     ++counts_.failed;
     report(release, ReleaseEnd::unanswered);
-    release.until += kSlowPeriod;
-    slow_down(release);
+    release.deadline += kBackoffPeriod;
+    back_off(release);
     release.phase = Phase::failed;
     return false;
 }
 
-// From here on one endpoint is asked at a time, ever more seldom. Guards against calls from many releases,
-// and many gateways, that add up where nobody answers.
-void LeaseReleaser::slow_down(Release& release) {
-    if (release.phase != Phase::in_time) return;
-    release.phase = Phase::slow;
-    release.pause = kFirstSlowPause;
+// Limits the release to one call at a time, at growing intervals. Guards against a retry storm of many
+// releases and many gateways if no endpoint answers.
+void LeaseReleaser::back_off(Release& release) {
+    if (release.phase != Phase::normal) return;
+    release.phase = Phase::backing_off;
+    release.retry_interval = kMinBackoff;
 }
 
-// Ends calls that have had their time: what they wrote arrives all the same, if it can. Their endpoints are
-// asked last by other releases too. Guards against connections that many releases keep at silent endpoints,
-// and one release after another that begins with the same silent endpoint.
+// Ends calls that have timed out; bytes already written may still arrive. Marks their endpoints as failed, so
+// that other releases call them last. Guards against connections piling up at unresponsive endpoints, and
+// against every release starting with the same unresponsive endpoint.
 void LeaseReleaser::end_overdue_calls(Release& release) {
-    const Millis before = environment_.now() - kCallTimeoutPart * timeout();
+    const Millis before = environment_.now() - kCallTimeoutFraction * timeout();
     for (Call& call : release.calls) {
-        if (call.begun <= before) end_call(call, true);
+        if (call.started_at <= before) end_call(call, true);
     }
-    std::erase_if(release.calls, [](const Call& call) { return call.attempt->is_over(); });
+    std::erase_if(release.calls, [](const Call& call) { return call.exchange->is_over(); });
 }
 
-void LeaseReleaser::end_call(Call& call, bool silent) {
-    if (call.attempt->is_over()) return;
-    DiscoveredEndpoint* host = silent ? endpoints_.find(call.endpoint) : nullptr;
-    if (host) host->last_failure = environment_.now();
-    call.attempt->on_ended = nullptr;
-    environment_.close(*call.attempt);
-    call.attempt->abort(AttemptResult::cancelled);
+void LeaseReleaser::end_call(Call& call, bool endpoint_failed) {
+    if (call.exchange->is_over()) return;
+    DiscoveredEndpoint* endpoint = endpoint_failed ? endpoints_.find(call.endpoint) : nullptr;
+    if (endpoint) endpoint->last_failure = environment_.now();
+    call.exchange->on_ended = nullptr;
+    environment_.close(*call.exchange);
+    call.exchange->abort(AttemptResult::cancelled);
     --calls_in_flight_;
 }
 
-// Guards against connections used up by calls to silent endpoints: the oldest call makes room.
+// Ends the oldest call if too many are in flight. Guards against calls to unresponsive endpoints using up the
+// connections.
 void LeaseReleaser::limit_calls_in_flight() {
     if (calls_in_flight_ < kMaxCallsInFlight) return;
     Call* oldest = nullptr;
     for (auto& [id, release] : releases_) {
         for (Call& call : release.calls) {
-            if (!call.attempt->is_over() && (!oldest || call.begun < oldest->begun)) oldest = &call;
+            if (!call.exchange->is_over() && (!oldest || call.started_at < oldest->started_at))
+                oldest = &call;
         }
     }
     if (oldest) end_call(*oldest, true);
 }
 
-// The one most likely to answer of those not asked yet; null where all have been.
+// The endpoint with the highest score among those not yet tried in this round; null if all have been tried.
 const DiscoveredEndpoint* LeaseReleaser::next_endpoint(const Release& release) const {
     const DiscoveredEndpoint* best = nullptr;
-    double most = std::numeric_limits<double>::lowest();
-    for (const auto& [endpoint, host] : endpoints_.all()) {
-        if (std::count(release.asked.begin(), release.asked.end(), endpoint) > 0) continue;
-        const double value = preference(release, endpoint, host);
-        if (value <= most) continue;
-        best = &host;
-        most = value;
+    double best_score = std::numeric_limits<double>::lowest();
+    for (const auto& [id, endpoint] : endpoints_.all()) {
+        if (std::count(release.tried.begin(), release.tried.end(), id) > 0) continue;
+        const double endpoint_score = score(release, id, endpoint);
+        if (endpoint_score <= best_score) continue;
+        best = &endpoint;
+        best_score = endpoint_score;
     }
     return best;
 }
 
-// How much a endpoint has in common with one that does not answer.
-double LeaseReleaser::similarity(EndpointId silent, const DiscoveredEndpoint& host) const {
-    const DiscoveredEndpoint* other = endpoints_.find(silent);
+// The penalty for what an endpoint has in common with one that does not answer.
+double LeaseReleaser::similarity_penalty(EndpointId unresponsive, const DiscoveredEndpoint& endpoint) const {
+    const DiscoveredEndpoint* other = endpoints_.find(unresponsive);
     if (!other) return 0;
-    double value = 0;
-    if (other->endpoint.kind == host.endpoint.kind) value += kSameKind;
-    if (other->endpoint.zone == host.endpoint.zone) value += kSameZone;
-    if (other->endpoint.cell == host.endpoint.cell) value += kSameCell;
-    return value;
+    double penalty = 0;
+    if (other->endpoint.kind == endpoint.endpoint.kind) penalty += kSameKindPenalty;
+    if (other->endpoint.zone == endpoint.endpoint.zone) penalty += kSameZonePenalty;
+    if (other->endpoint.cell == endpoint.endpoint.cell) penalty += kSameCellPenalty;
+    return penalty;
 }
 
-double LeaseReleaser::preference(const Release& release, EndpointId endpoint,
-                                 const DiscoveredEndpoint& host) const {
-    double value = std::max(host.last_success - environment_.now(), -kLongestAgo);
-    if (host.last_failure > host.last_success) value -= kSilentNow;
-    if (environment_.has_idle_connection(host.dial_address)) value += kConnected;
-    if (endpoint == release.order.holder) value += kIsHolder;
-    if (endpoint == release.order.silent) value -= kSilentNow;
-    value -= similarity(release.order.silent, host);
-    for (const EndpointId asked : release.asked) value -= similarity(asked, host);
-    return value;
+double LeaseReleaser::score(const Release& release, EndpointId id, const DiscoveredEndpoint& endpoint) const {
+    double score = std::max(endpoint.last_success - environment_.now(), -kMaxAnswerAge);
+    if (endpoint.last_failure > endpoint.last_success) score -= kUnresponsivePenalty;
+    if (environment_.has_idle_connection(endpoint.dial_address)) score += kIdleConnectionBonus;
+    if (id == release.request.holder) score += kHolderBonus;
+    if (id == release.request.unresponsive) score -= kUnresponsivePenalty;
+    score -= similarity_penalty(release.request.unresponsive, endpoint);
+    for (const EndpointId tried : release.tried) score -= similarity_penalty(tried, endpoint);
+    return score;
 }
 
-void LeaseReleaser::call(std::uint64_t id, Release& release, const DiscoveredEndpoint& to) {
+void LeaseReleaser::send_call(std::uint64_t id, Release& release, const DiscoveredEndpoint& endpoint) {
     limit_calls_in_flight();
-    const auto call = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::lease_call);
-    release.calls.push_back({call, to.endpoint.id, environment_.now()});
+    const auto exchange = std::make_shared<UpstreamExchange>(UpstreamExchange::Kind::lease_call);
+    release.calls.push_back({exchange, endpoint.endpoint.id, environment_.now()});
     ++calls_in_flight_;
     ++release.calls_made;
-    ++release.unanswered;
-    call->on_ended = [this, id, by = to.endpoint.id,
-                      sent = environment_.now()](const AttemptOutcome& outcome) {
+    ++release.unanswered_calls;
+    exchange->on_ended = [this, id, called = endpoint.endpoint.id,
+                          sent_at = environment_.now()](const AttemptOutcome& outcome) {
         --calls_in_flight_;
-        if (DiscoveredEndpoint* host = endpoints_.find(by))
-            (outcome.status > 0 ? host->last_success : host->last_failure) = environment_.now();
-        if (outcome.status >= 200 && outcome.status < 300) answered(id, by, sent);
+        if (DiscoveredEndpoint* listed = endpoints_.find(called))
+            (outcome.status > 0 ? listed->last_success : listed->last_failure) = environment_.now();
+        if (outcome.status >= 200 && outcome.status < 300) on_answered(id, called, sent_at);
     };
-    if (on_call) on_call(release.order);
-    // Where one went unanswered kept connections may have fallen silent.
-    const auto connection = release.unanswered > 1 ? Connection::fresh : Connection::any;
-    environment_.start_exchange(to.dial_address, lease_call("DELETE", release.order.txn, to.dial_address),
-                                call, connection);
+    if (on_call) on_call(release.request);
+    // After an unanswered call idle connections may be dead, too.
+    const auto connection = release.unanswered_calls > 1 ? Connection::fresh : Connection::any;
+    environment_.start_exchange(endpoint.dial_address,
+                                lease_call("DELETE", release.request.txn, endpoint.dial_address), exchange,
+                                connection);
 }
 
-void LeaseReleaser::report(const Release& release, ReleaseEnd end, EndpointId by, Millis sent) {
+void LeaseReleaser::report(const Release& release, ReleaseEnd end, EndpointId answered_by,
+                           Millis call_sent_at) {
     if (on_ended)
-        on_ended({release.order, end, by, sent, release.calls_made, environment_.now() - release.begun});
+        on_ended({release.request, end, answered_by, call_sent_at, release.calls_made,
+                  environment_.now() - release.started_at});
 }
 
-void LeaseReleaser::answered(std::uint64_t id, EndpointId by, Millis sent) {
+void LeaseReleaser::on_answered(std::uint64_t id, EndpointId answered_by, Millis call_sent_at) {
     const auto it = releases_.find(id);
     if (it == releases_.end()) return;
     Release& release = it->second;
     release.answered = true;
-    release.unanswered = 0;
-    if (!release.withdrawn) report(release, ReleaseEnd::answered, by, sent);
-    if (release.second != SecondRelease::after_answer || release.withdrawn) return end(id);
-    release.second = SecondRelease::scheduled;
-    release.next_try = environment_.now() + kSecondReleasePart * timeout();
-    release.until = release.next_try + timeout();
-    release.asked.clear();
-    release.phase = Phase::in_time;
-    set_timer_(release.next_try, id, false);
+    release.unanswered_calls = 0;
+    if (!release.withdrawn) report(release, ReleaseEnd::answered, answered_by, call_sent_at);
+    if (release.second_release != SecondRelease::after_answer || release.withdrawn) return end(id);
+    release.second_release = SecondRelease::scheduled;
+    release.next_retry_at = environment_.now() + kSecondReleaseFraction * timeout();
+    release.deadline = release.next_retry_at + timeout();
+    release.tried.clear();
+    release.phase = Phase::normal;
+    set_timer_(release.next_retry_at, id, false);
 }
 
 void LeaseReleaser::withdraw(std::uint64_t id) {
@@ -259,13 +268,14 @@
     if (it == releases_.end()) return;
     Release& release = it->second;
     if (!std::exchange(release.withdrawn, true) && !release.answered) report(release, ReleaseEnd::withdrawn);
-    release.next_try = 0;
+    release.next_retry_at = 0;
     for (Call& call : release.calls) {
-        if (!call.attempt->request_written()) end_call(call, false);
+        if (!call.exchange->request_written()) end_call(call, false);
     }
 }
 
-// Guards against calls to a silent endpoint that would keep their connections for good.
+// Ends all calls of the release. Guards against calls to unresponsive endpoints holding their connections
+// forever.
 void LeaseReleaser::end(std::uint64_t id) {
     const auto it = releases_.find(id);
     if (it == releases_.end()) return;
--- a/src/platform/lease_releaser.h
+++ b/src/platform/lease_releaser.h
@@ -1,10 +1,11 @@
-// Releases what endpoints may keep for requests: KV-cache states and reserved slots. No I/O; the clock comes
-// from Environment, timers are the owner's.
+// Releases the KV caches and decode slots that endpoints may hold for requests. No I/O; the clock comes from
+// Environment, and the owner runs the timers.
 //
-// Any endpoint takes a release for all of them. One is asked at first, further ones where it does not answer
-// within its part of the time that the settings allow: of another role, zone or cell, then several at once. A
-// release that nobody has answered within that time and a little more is reported as failed, and goes on at a
-// slower pace for some seconds, as a late release is better than none. Its calls are closed then.
+// Any endpoint accepts a release on behalf of all of them. A release starts with one call to one endpoint. If
+// that endpoint does not answer within a fraction of the release timeout, further endpoints are called,
+// preferably of another role, zone or cell, and later several at once. A release that is still unanswered
+// shortly after its timeout is reported as failed. It is then retried at a lower rate for some seconds,
+// because a late release is better than none; after that its calls are closed.
 #pragma once
 
 #include <array>
@@ -23,79 +24,84 @@
 
 namespace gorsenotch::platform {
 
-// A request without a body about what endpoints keep for a request: POST reserves a slot, DELETE releases
-// all.
+// Builds a request without a body for the lease of transaction `txn`. POST reserves a decode slot; DELETE
+// releases everything that endpoints hold for the transaction.
 std::string lease_call(const char* method, const std::string& txn, const std::string& address);
 
-// Why a release began.
+// Why a release was started.
 enum class ReleaseReason {
-    request_over,       // no attempt of the request will read what is held
-    lease_expiring,     // no proof came in time that its decode attempt has arrived
-    prefill_unanswered  // a prefill is in flight for long: it may have ended, its answer lost
+    request_over,       // the request has no attempt left that will read the KV cache
+    lease_expiring,     // its decode attempt was not confirmed to have arrived in time
+    prefill_unanswered  // a prefill has been in flight for long; it may have ended and its response been lost
 };
 constexpr std::array<const char*, 3> kReleaseReasons = {"request_over", "lease_expiring",
                                                         "prefill_unanswered"};
 
-// How a release ended: an endpoint answered it, none did in time, or another attempt began.
+// How a release ended: an endpoint answered it, none did in time, or another attempt of the request started.
 enum class ReleaseEnd { answered, unanswered, withdrawn };
 constexpr std::array<const char*, 3> kReleaseEnds = {"answered", "unanswered", "withdrawn"};
 
-// Ownership: the releases under way and, shared with Environment, their calls. Errors: one that nobody
-// answered is reported as unanswered and counted. Units: ms. Threading: one thread; hooks may be called from
-// within any call.
+// Ownership: the releases in progress and, shared with Environment, their calls. Errors: a release that no
+// endpoint answers is reported as unanswered and counted. Units: ms. Threading: one thread; hooks may be
+// called from within any call.
 class LeaseReleaser {
 public:
-    struct Order {
+    // What to release, and what is known about the lease.
+    struct ReleaseRequest {
         std::string txn;
-        std::uint64_t request = 0;  // the owner's name for it, handed back
-        EndpointId holder = 0;      // where something is thought to be held
-        EndpointId silent = 0;      // an endpoint that has left an attempt without proof; 0: none
-        // A prefill was cut off and may have ended well all the same, so a second release follows a little
-        // later.
-        bool uncertain = false;
+        std::uint64_t request = 0;  // the owner's handle of the request; not used here
+        EndpointId holder = 0;      // the endpoint believed to hold the KV cache or slot
+        // The endpoint of an attempt in flight that has not been confirmed to have arrived; 0: none.
+        EndpointId unresponsive = 0;
+        // A prefill that was cancelled may still have completed, so a second release follows the first
+        // answer.
+        bool needs_second_release = false;
         ReleaseReason reason = ReleaseReason::request_over;
-        std::string held;  // what is known of it, for the log
+        std::string lease_description;  // for the log
     };
-    // How one ended; `answered` may come twice, where one is uncertain.
-    struct Ended {
-        const Order& order;
+    // How a release ended. `answered` may be reported twice if a second release is needed.
+    struct Result {
+        const ReleaseRequest& release;
         ReleaseEnd end = ReleaseEnd::answered;
-        EndpointId by = 0;      // the endpoint that answered ...
-        Millis sent = 0;        // ... a call made then
-        std::size_t calls = 0;  // made so far
-        Millis took = 0;
+        EndpointId answered_by = 0;
+        Millis call_sent_at = 0;     // when the answered call was made
+        std::size_t calls_made = 0;  // so far
+        Millis duration = 0;
     };
     struct Counts {
-        std::uint64_t begun = 0;
-        std::uint64_t asked_again = 0;  // calls beyond the first of a round
+        std::uint64_t started = 0;
+        std::uint64_t retries = 0;  // calls beyond the first of a round
         std::uint64_t failed = 0;
     };
-    // `release_timeout`: what the settings allow. `set_timer`: retry(id) is to be called at `at`; `timeout`
-    // as for proxy::RouterDriver::set_timer.
+    // `release_timeout`: from the settings. `set_timer`: has to call retry(id) at `at`; `timeout` as for
+    // proxy::RouterDriver::set_timer.
     LeaseReleaser(Millis release_timeout, EndpointList& endpoints, Environment& environment,
                   std::function<void(Millis at, std::uint64_t id, bool timeout)> set_timer);
 
-    std::function<void(const Ended&)> on_ended;
-    std::function<void(const Order&)> on_call;  // an endpoint is asked
+    std::function<void(const Result&)> on_ended;
+    // Called right before a release call is sent to an endpoint.
+    std::function<void(const ReleaseRequest&)> on_call;
 
-    // Returns the id that names it.
-    std::uint64_t begin(Order order);
+    // Starts a release and returns its id.
+    std::uint64_t start(ReleaseRequest request);
+    // Calls further endpoints if the release is due for a retry.
     void retry(std::uint64_t id);
-    // Something has come to be held since it began: all endpoints are asked anew, and once more a little
-    // later.
-    void repeat(std::uint64_t id);
-    // Another attempt of the request begins: a call that was not sent yet would take what the attempt is to
-    // read.
+    // Starts a new round over all endpoints, followed by a second release, because the lease has been
+    // acquired again since the release was started.
+    void restart(std::uint64_t id);
+    // Stops a release because another attempt of the request starts: a call that was not sent yet would free
+    // the KV cache that the attempt is to read.
     void withdraw(std::uint64_t id);
-    bool in_progress(std::uint64_t id) const;  // and not withdrawn
+    // The release exists and was not withdrawn.
+    bool in_progress(std::uint64_t id) const;
     std::size_t size() const { return releases_.size(); }
     const Counts& counts() const { return counts_; }
 
 private:
     enum class Phase {
-        in_time,
-        slow,   // all endpoints were silent: one call at a time, ever more seldom
-        failed  // slow, and its time is over, which was reported
+        normal,
+        backing_off,  // no endpoint answered: one call at a time, at growing intervals
+        failed        // still backing off, and reported as unanswered
     };
     enum class SecondRelease {
         none,
@@ -103,38 +109,38 @@
         scheduled      // its timer is set
     };
     struct Call {
-        std::shared_ptr<UpstreamExchange> attempt;
+        std::shared_ptr<UpstreamExchange> exchange;
         EndpointId endpoint = 0;
-        Millis begun = 0;
+        Millis started_at = 0;
     };
     struct Release {
-        Order order;
-        std::vector<EndpointId> asked;  // in this round
+        ReleaseRequest request;
+        std::vector<EndpointId> tried;  // endpoints called in this round
         std::vector<Call> calls;        // those in flight
-        Millis begun = 0;
-        Millis until = 0;  // its time is over then
-        Millis next_try = 0;
-        Millis pause = 0;            // between two tries, while slow
-        std::size_t calls_made = 0;  // in all
-        std::size_t unanswered = 0;  // calls since the latest answer
-        Phase phase = Phase::in_time;
-        SecondRelease second = SecondRelease::none;
+        Millis started_at = 0;
+        Millis deadline = 0;
+        Millis next_retry_at = 0;
+        Millis retry_interval = 0;  // while backing off
+        std::size_t calls_made = 0;
+        std::size_t unanswered_calls = 0;  // since the latest answer
+        Phase phase = Phase::normal;
+        SecondRelease second_release = SecondRelease::none;
         bool answered = false;
-        bool withdrawn = false;  // no further call; those handed over may end
+        bool withdrawn = false;  // makes no further call; calls already written may still be answered
     };
     Millis timeout() const;
-    std::size_t calls_at_once(const Release& release) const;
+    std::size_t concurrent_calls(const Release& release) const;
     const DiscoveredEndpoint* next_endpoint(const Release& release) const;
-    double preference(const Release& release, EndpointId endpoint, const DiscoveredEndpoint& host) const;
-    double similarity(EndpointId silent, const DiscoveredEndpoint& host) const;
-    void call(std::uint64_t id, Release& release, const DiscoveredEndpoint& to);
-    void answered(std::uint64_t id, EndpointId by, Millis sent);
-    void report(const Release& release, ReleaseEnd end, EndpointId by = 0, Millis sent = 0);
+    double score(const Release& release, EndpointId id, const DiscoveredEndpoint& endpoint) const;
+    double similarity_penalty(EndpointId unresponsive, const DiscoveredEndpoint& endpoint) const;
+    void send_call(std::uint64_t id, Release& release, const DiscoveredEndpoint& endpoint);
+    void on_answered(std::uint64_t id, EndpointId answered_by, Millis call_sent_at);
+    void report(const Release& release, ReleaseEnd end, EndpointId answered_by = 0, Millis call_sent_at = 0);
     void end_overdue_calls(Release& release);
-    void end_call(Call& call, bool silent);
+    void end_call(Call& call, bool endpoint_failed);
     void limit_calls_in_flight();
-    bool is_out_of_time(Release& release);
-    void slow_down(Release& release);
+    bool handle_deadline(Release& release);
+    void back_off(Release& release);
     void end(std::uint64_t id);
 
     const Millis release_timeout_;
--- a/src/platform/lifecycle_context.h
+++ b/src/platform/lifecycle_context.h
@@ -1,5 +1,5 @@
-// What the parts of RequestLifecycle share: the settings, the process around them, and the components that
-// each of them reports to.
+// The context shared by the parts of RequestLifecycle: the settings, the environment, and the components that
+// all parts use.
 #pragma once
 
 #include <array>
@@ -29,18 +29,18 @@
     std::uint64_t attempts = 0;
     std::uint64_t results[9] = {};  // by AttemptResult
     std::array<std::uint64_t, control::kSendBlockReasonNames.size()> send_blocks{};
-    // Releases by how they ended and by why they began.
+    // Releases by how they ended and by why they were started.
     std::array<std::uint64_t, kReleaseEnds.size()> release_ends{};
     std::array<std::uint64_t, kReleaseReasons.size()> release_reasons{};
-    Millis longest_lease = 0;  // ms until a release was answered
+    Millis longest_lease = 0;  // ms from its acquisition until its release was answered
 
     std::uint64_t& of(AttemptResult result) { return results[static_cast<std::size_t>(result)]; }
 };
 
 // Ownership: RequestLifecycle owns the one instance and outlives the parts that hold a reference to it. The
-// settings, the list and the environment belong to the caller of RequestLifecycle. Any part may call the
-// driver, the table, the checkers and count; the hooks of the driver and of the invariant checker are set by
-// RequestLifecycle alone. Threading: one thread.
+// settings, the endpoint list and the environment belong to the caller of RequestLifecycle. Any part may call
+// the driver, the table and the checkers, and change the counters; only RequestLifecycle sets the hooks of
+// the driver and of the invariant checker. Threading: one thread.
 struct LifecycleContext {
     LifecycleContext(const settings::NamedSettings& named_settings, std::uint64_t seed,
                      EndpointList& endpoint_list, Environment& process)
@@ -58,12 +58,12 @@
     LifecycleContext(const LifecycleContext&) = delete;
     LifecycleContext& operator=(const LifecycleContext&) = delete;
 
-    // As the latest list has it; nothing where the endpoint is not listed.
+    // The status in the latest endpoint list; nothing if the endpoint is not listed.
     std::optional<EndpointStatus> endpoint_status(EndpointId id) {
         const DiscoveredEndpoint* endpoint = endpoints.find(id);
         return endpoint ? std::optional(endpoint->endpoint.status) : std::nullopt;
     }
-    // For log lines; "gone" where the endpoint is not listed.
+    // For log lines; "gone" if the endpoint is not listed.
     std::string endpoint_name(EndpointId id) {
         const DiscoveredEndpoint* endpoint = endpoints.find(id);
         return endpoint ? endpoint->name : "gone";
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -18,46 +18,46 @@
 constexpr int kExitSystemRefused = 4;
 
 // ---- start ----
-constexpr Millis kFirstListTimeout = 300;  // a start waits so long for the list before it listens
+constexpr Millis kFirstListTimeout = 300;  // for the endpoint list, before the node listens without it
 constexpr Millis kListenRetryInterval = 50;
-// So long a start waits for an address that another process holds: one that stops is killed 3.7 s after it
-// was asked to, at the latest.
-constexpr Millis kAddressHeldTimeout = 5000;
+// For another process to free the listen address: a stopping gateway is killed no later than 3.7 s after
+// SIGTERM.
+constexpr Millis kAddressInUseTimeout = 5000;
 
 // ---- drain ----
 constexpr Millis kDrainInterval = 20;
-constexpr Millis kStillServed = 600;  // after SIGTERM new connections keep coming for a while
-// A stream whose request came within this time after SIGTERM may be ended by the kill.
-constexpr Millis kEndedByKill = 700;
-// The platform kills no sooner than after the longest deadline, counted as 3 s where it is longer, and 0.7 s.
-constexpr Millis kLongestDeadlineCounted = 3000;
+constexpr Millis kMinAcceptPeriod = 600;  // new connections keep arriving for a while after SIGTERM
+// Streams of requests that arrived up to this time after SIGTERM may be ended by the kill.
+constexpr Millis kEndedByKillPeriod = 700;
+// The platform kills the process no earlier than the longest class deadline, capped at 3 s, plus 0.7 s.
+constexpr Millis kMaxDeadlineBeforeKill = 3000;
 constexpr Millis kKillDelay = 700;
 
 // ---- descriptors and connections ----
 constexpr std::size_t kDefaultSockets = 1024;
 constexpr std::size_t kMinSockets = 64;
-// Descriptors for everything but clients and endpoints: the loop, the log, discovery, connections that end.
-constexpr std::size_t kReservedSockets = 24 + ClientConnections::kEndingMost;
+// Descriptors for everything but clients and endpoints: event loop, log, discovery, ending connections.
+constexpr std::size_t kReservedSockets = 24 + ClientConnections::kMaxEndingConnections;
 constexpr std::size_t kUpstreamPercent = 45;
 constexpr std::size_t kClientPercent = 55;
 constexpr std::size_t kBytesPerMegabyte = std::size_t{1} << 20;
-constexpr std::size_t kMemoryPartOfBodies = 8;  // request bodies take one part in so many
+constexpr std::size_t kBodyMemoryDivisor = 8;  // request bodies may use 1/8 of the memory limit
 
 // ---- upstream connections ----
 constexpr Millis kDefaultConnectTimeout = 250;
 constexpr Millis kDefaultIdleTimeout = 5000;
-constexpr Millis kLongestIdleTimeout = 15000;
-constexpr double kIdlePartOfEndpoints = 0.4;
+constexpr Millis kMaxIdleTimeout = 15000;
+constexpr double kIdleTimeoutFraction = 0.4;  // of the time after which endpoints close idle connections
 constexpr std::size_t kMaxIdlePerAddress = 8;
 
-// What is added to Unix ms to get the monotonic clock's.
-Millis unix_offset() {
+// The ms to add to Unix time to get the monotonic clock's time.
+Millis monotonic_clock_offset() {
     using namespace std::chrono;
     const auto wall = duration_cast<microseconds>(system_clock::now().time_since_epoch()).count();
     return net::now() - static_cast<Millis>(wall) / 1000;
 }
 
-std::size_t sockets(const Config& config) {
+std::size_t socket_limit(const Config& config) {
     if (config.sockets == 0) return kDefaultSockets;
     return std::max(config.sockets, kMinSockets);
 }
@@ -67,22 +67,22 @@
     const Millis idle_close = config.named.idle_close;
     proxy::ConnectionPool::Config pool;
     pool.connect_timeout = connect_timeout > 0 ? connect_timeout : kDefaultConnectTimeout;
-    // Well before the endpoint closes it: what is written to a connection it has closed is lost.
-    pool.idle_timeout = idle_close > 0 ? std::min(kLongestIdleTimeout, kIdlePartOfEndpoints * idle_close)
-                                       : kDefaultIdleTimeout;
+    // Well before the endpoint closes the connection: a request written to a closed connection is lost.
+    pool.idle_timeout =
+        idle_close > 0 ? std::min(kMaxIdleTimeout, kIdleTimeoutFraction * idle_close) : kDefaultIdleTimeout;
     pool.max_idle_per_address = kMaxIdlePerAddress;
     pool.cooldown = true;
     pool.learn_reuse = true;
-    pool.max_connections = (sockets(config) - kReservedSockets) * kUpstreamPercent / 100;
+    pool.max_connections = (socket_limit(config) - kReservedSockets) * kUpstreamPercent / 100;
     return pool;
 }
 
 ClientConnections::Config clients_config(const Config& config) {
     ClientConnections::Config clients;
     clients.listen = config.listen;
-    clients.limits.max_connections = (sockets(config) - kReservedSockets) * kClientPercent / 100;
+    clients.limits.max_connections = (socket_limit(config) - kReservedSockets) * kClientPercent / 100;
     if (config.memory_mb > 0)
-        clients.limits.max_body_bytes = config.memory_mb * kBytesPerMegabyte / kMemoryPartOfBodies;
+        clients.limits.max_body_bytes = config.memory_mb * kBytesPerMegabyte / kBodyMemoryDivisor;
     return clients;
 }
 
@@ -96,7 +96,7 @@
 Node::Node(net::EventLoop& loop, Config config, std::string file)
     : loop_(loop),
       config_(std::move(config)),
-      endpoints_(config_.named, unix_offset()),
+      endpoints_(config_.named, monotonic_clock_offset()),
       connection_pool_(loop, upstream_config(config_)),
       lifecycle_(config_.named, config_.seed, endpoints_, *this),
       client_connections_(loop, config_.named, lifecycle_, clients_config(config_)),
@@ -149,10 +149,10 @@
     lifecycle_.on_endpoint_update(std::move(failed));
 }
 
-void Node::take_cached_list() {
-    if (config_.known.empty()) return;
+void Node::load_cached_list() {
+    if (config_.cached_list.empty()) return;
     std::string rejection;
-    auto update = endpoints_.take(config_.known, EndpointList::Source::cached, net::now(), rejection);
+    auto update = endpoints_.take(config_.cached_list, EndpointList::Source::cached, net::now(), rejection);
     if (update)
         lifecycle_.on_endpoint_update(std::move(*update));
     else
@@ -163,10 +163,10 @@
 
 void Node::start() {
     started_at_ = net::now();
-    take_cached_list();
+    load_cached_list();
     wakeup_timer_.wake();
-    // Guards against sends by a cached list that is out of date: what discovery has counts from this
-    // process's first moment. While discovery is down the cached list has to do.
+    // Guards against sending by an outdated cached list: discovery's list applies from the start of the
+    // process. The cached list is used only while discovery is unavailable.
     endpoint_watcher_.watch_address(config_.discovery);
     listen_timer_.fire_after(kFirstListTimeout);
     status_reporter_.start(started_at_);
@@ -180,20 +180,20 @@
     if (is_listen_retried(error)) {
         listening_ = false;
         if (!std::exchange(listen_failure_logged_, true))
-            log("warn", "listen_failed", net::error_text(error) + "; tried again");
+            log("warn", "listen_failed", net::error_text(error) + "; will retry");
         return listen_timer_.fire_after(kListenRetryInterval);
     }
     if (error != 0) return on_listen_failed(error);
     log("info", "ready", config_.listen);
 }
 
-// Guards against a process that ends for a want of this host's that may be over in a moment, or for the one
-// before it. May do harm by reporting a wrong address 5 s late.
+// Guards against exiting because of a temporary resource shortage on this host, or because the previous
+// process still uses the address. The cost is that an address in permanent use is reported 5 s late.
 bool Node::is_listen_retried(int error) const {
     const net::ErrorClass error_class = net::classify_listen_error(error);
     if (error_class == net::ErrorClass::host_resources) return true;
     return error_class == net::ErrorClass::address_held &&
-           net::now() - started_at_ < kFirstListTimeout + kAddressHeldTimeout;
+           net::now() - started_at_ < kFirstListTimeout + kAddressInUseTimeout;
 }
 
 // ---- drain ----------------------------------------------------------------------------------------------
@@ -202,7 +202,7 @@
     if (stopped_at_) return;
     stopped_at_ = net::now();
     on_drained_ = std::move(on_drained);
-    log("info", "stopping", std::to_string(lifecycle_.open()) + " open");
+    log("info", "stopping", std::to_string(lifecycle_.open_requests()) + " open");
     client_connections_.drain();
     drain_schedule_.emplace(*stopped_at_, earliest_kill(), config_.named.settings.stream_migration);
     drain_timer_.fire_after(kDrainInterval);
@@ -212,20 +212,20 @@
     Millis longest = 0;
     for (const ClassSettings& class_settings : config_.named.settings.classes)
         longest = std::max(longest, class_settings.deadline);
-    return *stopped_at_ + std::min(longest, kLongestDeadlineCounted) + kKillDelay;
+    return *stopped_at_ + std::min(longest, kMaxDeadlineBeforeKill) + kKillDelay;
 }
 
 void Node::drain_step() {
     drain_timer_.fire_after(kDrainInterval);
     const Millis now = net::now();
-    const bool stop_accepting = is_quiet(now) || drain_schedule_->stop_accepting(now);
+    const bool stop_accepting = is_idle(now) || drain_schedule_->stop_accepting(now);
     if (!stop_accepting && lifecycle_.streams() == 0) return;
     if (stop_accepting) client_connections_.stop_accepting();
     if (config_.named.settings.stream_migration)
         lifecycle_.migrate_streams(drain_schedule_->streams_to_migrate(now, lifecycle_.streams()));
     if (drain_schedule_->answer_remaining(now)) {
         lifecycle_.shutdown();
-        lifecycle_.end_silent_streams(*stopped_at_ + kEndedByKill);
+        lifecycle_.end_stalled_streams(*stopped_at_ + kEndedByKillPeriod);
     }
     if (!is_drained()) return;
     status_reporter_.report();
@@ -233,14 +233,14 @@
     if (on_drained_) on_drained_();
 }
 
-bool Node::is_quiet(Millis now) const {
-    return now - *stopped_at_ >= kStillServed && lifecycle_.open() == 0 &&
+bool Node::is_idle(Millis now) const {
+    return now - *stopped_at_ >= kMinAcceptPeriod && lifecycle_.open_requests() == 0 &&
            client_connections_.connections() == 0;
 }
 
 bool Node::is_drained() const {
-    return lifecycle_.open() == 0 && lifecycle_.releases() == 0 && client_connections_.connections() == 0 &&
-           !client_connections_.listening();
+    return lifecycle_.open_requests() == 0 && lifecycle_.releases_in_progress() == 0 &&
+           client_connections_.connections() == 0 && !client_connections_.listening();
 }
 
 // ---- Environment ----------------------------------------------------------------------------------------
@@ -258,7 +258,7 @@
 
 namespace {
 
-// Throws what the configuration is rejected with.
+// Reads and validates the configuration file; throws the reason if it is invalid.
 Config read_config(const std::string& file) {
     if (file.empty()) throw ConfigError("not set");
     std::string text;
@@ -266,14 +266,14 @@
     if (!settings::read_file(file, text, read_error)) throw ConfigError(file + ": " + read_error);
     Config config =
         parse_config(text, environment_variable("GW_LISTEN"), environment_variable("GW_DISCOVERY"));
-    const Router checked(config.named.settings, 0);  // throws for settings that it cannot meet
+    const Router checked(config.named.settings, 0);  // throws for settings that the Router rejects
     return config;
 }
 
-// Runs until the node has drained; returns the exit code.
+// Runs the event loop until the node has drained; returns the exit code.
 int run_until_drained(Config config, const std::string& file) {
     int exit_code = 0;
-    net::reserve_descriptors(sockets(config));
+    net::reserve_descriptors(socket_limit(config));
     net::EventLoop loop;
     Node node(loop, std::move(config), file);
     const auto stop = [&] { node.stop([&] { loop.stop(); }); };
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -1,5 +1,5 @@
-// One gateway on the platform: configuration, listener, discovery, signals. Requests are RequestLifecycle's,
-// the status line is StatusReporter's, reading the configuration again is ConfigReloader's.
+// A gateway node on the platform: configuration, listener, discovery, signals, draining. RequestLifecycle
+// handles requests, StatusReporter writes the status line, and ConfigReloader reloads the configuration.
 #pragma once
 
 #include <functional>
@@ -20,26 +20,28 @@
 
 namespace gorsenotch::platform {
 
-// Runs a node by the GW_ variables until SIGTERM or SIGINT has drained it. Returns the exit code: 0 stopped,
-// 3 the configuration was rejected, 4 the system refused the address to listen on. The reason is on stderr.
+// Runs a node configured by the GW_ environment variables, until it has drained after SIGTERM or SIGINT.
+// Returns the exit code: 0 stopped, 3 invalid configuration, 4 the system refused the listen address. The
+// reason is written to stderr.
 int run_node();
 
-// Ownership: all components of the gateway, and the hooks of the event loop while it lives. Threading: the
-// event loop's thread. Times: ms on the clock of net::now(). Errors: an address that cannot be listened on
-// goes to on_listen_failed; lists and files that cannot be taken are logged, and what was in force stays.
+// Ownership: all components of the gateway, and the hooks of the event loop during its lifetime. Threading:
+// the event loop's thread. Times: ms on the clock of net::now(). Errors: a failure to listen is reported to
+// on_listen_failed; invalid lists and files are logged, and the current ones stay.
 class Node : Environment {
 public:
-    // `file`: of the configuration, read again by reload().
+    // `file`: the configuration file, for reload().
     Node(net::EventLoop& loop, Config config, std::string file);
     ~Node() override;
     Node(const Node&) = delete;
     Node& operator=(const Node&) = delete;
 
-    // Listens as soon as the endpoint list has come, or after a moment without it.
+    // Starts the node. It listens once the endpoint list was received, or after a short timeout.
     void start();
-    std::function<void(int)> on_listen_failed;  // with a libuv error code; nothing is tried again
+    std::function<void(int)> on_listen_failed;  // final failure, with a libuv error code
+    // Reloads the configuration file.
     void reload() { config_reloader_.reload(); }
-    // Drains: serves what still comes for a while, then what is open, then calls `on_drained`.
+    // Drains: serves new requests for a while, then completes open ones, then calls `on_drained`.
     void stop(std::function<void()> on_drained);
 
 private:
@@ -57,7 +59,7 @@
     // ---- discovery ----
     std::optional<std::uint64_t> on_list(const std::string& text, bool from_new_address);
     void on_discovery_fault(const std::string& reason);
-    void take_cached_list();
+    void load_cached_list();
 
     // ---- listener ----
     void listen();
@@ -66,8 +68,8 @@
     // ---- drain ----
     Millis earliest_kill() const;
     void drain_step();
-    // Nothing is open, and new connections have ceased to come.
-    bool is_quiet(Millis now) const;
+    // No request or connection is open, and new connections are no longer expected.
+    bool is_idle(Millis now) const;
     bool is_drained() const;
 
     net::EventLoop& loop_;
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -13,12 +13,12 @@
 
 constexpr double kMaxAmount = 1e12;
 
-bool visible(std::string_view text) {
+bool is_visible_ascii(std::string_view text) {
     return std::all_of(text.begin(), text.end(), [](char byte) { return byte > ' ' && byte < 127; });
 }
 
-// A number that is not negative; below 0 where the text is none.
-double amount(std::string_view text) {
+// The non-negative number in `text`; -1 if there is none or it is too large.
+double parse_amount(std::string_view text) {
     double number = -1;
     const char* const text_end = text.data() + text.size();
     const auto [end, error] = std::from_chars(text.data(), text_end, number, std::chars_format::fixed);
@@ -28,7 +28,7 @@
 }
 
 std::uint64_t hash(std::string_view text) {
-    return std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));  // 0 says: none
+    return std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));  // 0 means none
 }
 
 double* number_label(std::string_view name, Arrival& arrival) {
@@ -38,7 +38,7 @@
     return nullptr;
 }
 
-// One `name=value` of x-labels; unknown names are ignored. False where it is malformed.
+// Reads one `name=value` of x-labels; unknown names are ignored. Returns false if it is malformed.
 bool read_label(std::string_view label, Arrival& arrival) {
     const auto equals = label.find('=');
     if (equals == std::string_view::npos) return false;
@@ -52,11 +52,11 @@
     }
     double* number = number_label(name, arrival);
     if (!number) return true;
-    *number = amount(value);
+    *number = parse_amount(value);
     return *number >= 0;
 }
 
-bool labels(std::string_view text, Arrival& arrival) {
+bool read_labels(std::string_view text, Arrival& arrival) {
     while (!text.empty()) {
         const auto comma = text.find(',');
         const std::string_view label = text.substr(0, comma);
@@ -66,7 +66,7 @@
     return true;
 }
 
-// Headers that concern this connection alone (RFC 9110, 7.6.1), that the gateway has met itself, or that it
+// Headers that concern only this connection (RFC 9110, 7.6.1), that the gateway handles itself, or that it
 // writes anew for each attempt.
 constexpr std::string_view kNotForwarded[] = {"connection",
                                               "keep-alive",
@@ -82,12 +82,12 @@
                                               "content-length",
                                               "transfer-encoding"};
 
-bool forwarded(std::string_view name) {
+bool is_forwarded(std::string_view name) {
     return std::find(std::begin(kNotForwarded), std::end(kNotForwarded), name) == std::end(kNotForwarded);
 }
 
-// What a header's value may hold (RFC 9110, 5.5): all but control characters, of which a tab is allowed.
-bool valid_value(std::string_view value) {
+// A header value may contain all bytes except control characters other than tab (RFC 9110, 5.5).
+bool is_valid_header_value(std::string_view value) {
     constexpr unsigned char kDelete = 127;
     return std::all_of(value.begin(), value.end(),
                        [](unsigned char byte) { return byte == '\t' || (byte >= ' ' && byte != kDelete); });
@@ -96,7 +96,7 @@
 constexpr std::size_t kMaxTransactionLength = 128;
 constexpr double kMaxRemaining = 1e9;
 
-// The headers that say what is asked for; null: not given.
+// The headers that the gateway interprets; null: not given.
 struct KnownHeaders {
     const std::string* transaction = nullptr;
     const std::string* lane = nullptr;
@@ -107,7 +107,7 @@
     const std::string* resent = nullptr;
     const std::string* estimate = nullptr;
 
-    // Null where the name is none of them.
+    // Null for any other header name.
     const std::string** find(std::string_view name) {
         if (name == "x-txn") return &transaction;
         if (name == "x-lane") return &lane;
@@ -121,50 +121,50 @@
     }
 };
 
-// Each of the functions below takes one part of the head; it returns an error, or nothing.
+// Each of the functions below reads one part of the head and returns an error, or nothing.
 using Rejection = std::optional<Refusal>;
 
 Rejection check_request_line(const http::Parser& parser) {
     const auto path = std::string_view(parser.target).substr(0, parser.target.find('?'));
-    if (path != kPath) return Refusal{404, "there is nothing at this path"};
-    if (parser.method != "POST") return Refusal{405, "use POST"};
-    if (!visible(parser.target)) return Refusal{400, "the request target is malformed"};
+    if (path != kCompletionsPath) return Refusal{404, "path not found"};
+    if (parser.method != "POST") return Refusal{405, "method not allowed: expected POST"};
+    if (!is_visible_ascii(parser.target))
+        return Refusal{400, "request target: expected only visible ASCII characters"};
     return std::nullopt;
 }
 
-// Finds the known headers and writes the head for endpoints.
+// Finds the known headers, and appends the headers to forward to `head`.
 Rejection read_headers(const http::Headers& headers, KnownHeaders& known, std::string& head) {
     for (const auto& [name, value] : headers) {
-        // Guards against two readings of one request: each header that matters comes once.
+        // Guards against different interpretations of one request: a known header may be given only once.
         if (const std::string** slot = known.find(name)) {
-            if (*slot) return Refusal{400, name + ": given twice"};
+            if (*slot) return Refusal{400, name + ": given more than once"};
             *slot = &value;
         }
         if (name == "transfer-encoding" && value != "chunked")
-            return Refusal{400, "transfer-encoding: only chunked is read"};
-        // Guards against a header lost on the way that an endpoint acts on, such as the key by which it drops
-        // repeats. Covers tracing and content headers too. May do harm by bytes of the head that nobody
-        // reads.
-        if (!forwarded(name)) continue;
-        if (!valid_value(value)) return Refusal{400, name + ": characters that are not allowed"};
+            return Refusal{400, "transfer-encoding: expected chunked, got \"" + value + "\""};
+        // Guards against dropping a header that an endpoint uses, such as its idempotency key, tracing and
+        // content headers. The cost is forwarding bytes that no endpoint reads.
+        if (!is_forwarded(name)) continue;
+        if (!is_valid_header_value(value)) return Refusal{400, name + ": value contains a control character"};
         head.append(name).append(": ").append(value).append("\r\n");
     }
     return std::nullopt;
 }
 
 Rejection read_transaction(const std::string* header, std::string& transaction) {
-    if (!header || header->empty() || header->size() > kMaxTransactionLength || !visible(*header))
-        return Refusal{400, "x-txn: 1 to 128 visible characters are needed"};
+    if (!header || header->empty() || header->size() > kMaxTransactionLength || !is_visible_ascii(*header))
+        return Refusal{400, "x-txn: expected 1 to 128 visible ASCII characters"};
     if (header->find('/') != std::string::npos || header->find('?') != std::string::npos)
-        return Refusal{400, "x-txn: must do as a part of a path"};
+        return Refusal{400, "x-txn: must not contain / or ?, got \"" + *header + "\""};
     transaction = *header;
     return std::nullopt;
 }
 
 Rejection read_class(const settings::NamedSettings& named, const std::string* lane, Arrival& arrival) {
-    if (!lane) return Refusal{400, "x-lane: needed"};
+    if (!lane) return Refusal{400, "x-lane: header is required"};
     const auto cls = named.classes.find(*lane);
-    if (cls == named.classes.end()) return Refusal{400, "x-lane: no such class"};
+    if (cls == named.classes.end()) return Refusal{400, "x-lane: unknown class \"" + *lane + "\""};
     arrival.cls = cls->second;
     return std::nullopt;
 }
@@ -174,29 +174,33 @@
     arrival.tenant = -1;
     if (named.tenants.empty()) return std::nullopt;
     const auto tenant = organization ? named.tenants.find(*organization) : named.tenants.end();
-    if (tenant == named.tenants.end()) return Refusal{400, "x-org: no such tenant"};
+    if (tenant == named.tenants.end()) return Refusal{400, "x-org: missing or unknown tenant"};
     arrival.tenant = tenant->second;
     return std::nullopt;
 }
 
-// A number of milliseconds followed by m, or of microseconds followed by u.
+// Parses a number of milliseconds followed by m, or of microseconds followed by u.
 Rejection read_remaining(const std::string* header, Arrival& arrival) {
-    if (!header || header->size() < 2) return Refusal{400, "x-remaining: a number with m or u is needed"};
+    if (!header || header->size() < 2) return Refusal{400, "x-remaining: expected digits followed by m or u"};
     const char unit = header->back();
-    const double remaining = amount(std::string_view(*header).substr(0, header->size() - 1));
+    const double remaining = parse_amount(std::string_view(*header).substr(0, header->size() - 1));
     if (remaining <= 0 || (unit != 'm' && unit != 'u') || remaining > kMaxRemaining)
-        return Refusal{400, "x-remaining: should be a number above 0 followed by m or u"};
+        return Refusal{400,
+                       "x-remaining: expected a number above 0 and up to 1e9, followed by m or u, got \"" +
+                           *header + "\""};
     arrival.deadline = unit == 'm' ? remaining : remaining / 1000;
     return std::nullopt;
 }
 
 Rejection read_hints(const KnownHeaders& known, Arrival& arrival) {
-    if (known.labels && !labels(*known.labels, arrival)) return Refusal{400, "x-labels: malformed"};
+    if (known.labels && !read_labels(*known.labels, arrival))
+        return Refusal{400, "x-labels: expected name=value pairs separated by commas"};
     arrival.client_retry = known.resent && *known.resent == "1";
     arrival.resumed = known.resent && *known.resent == "again";
     if (!known.estimate) return std::nullopt;
-    const double work = amount(*known.estimate);
-    if (work < 0) return Refusal{400, "x-estimate: should be a number"};
+    const double work = parse_amount(*known.estimate);
+    if (work < 0)
+        return Refusal{400, "x-estimate: expected a non-negative number, got \"" + *known.estimate + "\""};
     arrival.length_hint = work / 1000;
     return std::nullopt;
 }
--- a/src/platform/request.h
+++ b/src/platform/request.h
@@ -1,5 +1,5 @@
-// From the head of a client's request to what the Router and the endpoints need, or the error that the client
-// gets. No I/O, no state.
+// Parses the head of a client's request into what the Router and the endpoints need, or into the error for
+// the client. No I/O, no state.
 #pragma once
 
 #include <string>
@@ -11,26 +11,26 @@
 
 namespace gorsenotch::platform {
 
-// The error that a request is answered with.
+// The error with which a request is answered.
 struct Refusal {
     int status = 400;
-    std::string why;  // names the header
+    std::string why;  // names the header, if one is at fault
 };
 
-// A request of a client's.
+// A client's request.
 struct Inbound {
-    Arrival arrival;   // without request id; its deadline is still the time that the client waits, in ms
-    std::string txn;   // the client's id
-    std::string head;  // what endpoints get of it: the request line and headers, each line ended
+    Arrival arrival;   // without request id; its deadline is still relative: the ms that the client will wait
+    std::string txn;   // the client's transaction id
+    std::string head;  // the forwarded part: request line and headers, each line terminated
     std::string body;
 };
 
-constexpr std::size_t kMaxBody = std::size_t{256} * 1024;  // bytes
-constexpr std::string_view kPath = "/v1/chat/completions";
-constexpr std::string_view kReady = "/-/ready";  // the readiness check
+constexpr std::size_t kMaxBodyBytes = std::size_t{256} * 1024;
+constexpr std::string_view kCompletionsPath = "/v1/chat/completions";
+constexpr std::string_view kReadinessPath = "/-/ready";
 
-// `parser`: one that has read the headers of a request. An error is returned as the Refusal of the first
-// fault.
+// Reads the head of a request. `parser` has parsed the request's headers. Returns the error for the first
+// fault if the request is invalid.
 std::variant<Refusal, Inbound> read_head(const settings::NamedSettings& named, const http::Parser& parser);
 
 }  // namespace gorsenotch::platform
--- a/src/platform/request_completion.cpp
+++ b/src/platform/request_completion.cpp
@@ -16,10 +16,10 @@
 AttemptRecord record_of(const AttemptState& attempt, Millis arrived) {
     AttemptRecord record;
     record.is_prefill = attempt.is_prefill;
-    record.out = attempt.in_flight();
+    record.in_flight = attempt.in_flight();
     record.result = attempt.result;
-    record.sent = attempt.sent - arrived;
-    record.ended = attempt.ended - arrived;
+    record.started_at = attempt.started_at - arrived;
+    record.ended_at = attempt.ended_at - arrived;
     return record;
 }
 
@@ -64,8 +64,8 @@
     close(request);
 }
 
-// The client is owed nothing from here on; the record stays while attempts are in flight. Returns the client
-// that the request had, for its last call.
+// Marks the request as closed; its record stays while attempts are in flight. Returns the client of the
+// request, for the final call to it.
 Client* RequestCompletion::close(RequestState& request) {
     Client* client = std::exchange(request.client, nullptr);
     request.closed = true;
@@ -80,22 +80,22 @@
     record.txn = request.inbound.txn;
     record.cls = request.inbound.arrival.cls;
     record.prompt_tokens = request.inbound.arrival.prompt_tokens;
-    record.tokens = request.completion_tokens;
+    record.completion_tokens = request.completion_tokens;
     record.cause = cause;
     if (request.lease.held()) record.lease = lease_keeper_.describe(request);
-    if (request.stream_begun_at) record.first = *request.stream_begun_at - request.arrived;
+    if (request.stream_begun_at) record.first_token = *request.stream_begun_at - request.arrived;
     record.ended = context_.environment.now() - request.arrived;
     for (const AttemptState& attempt : request.attempts)
         record.attempts.push_back(record_of(attempt, request.arrived));
-    const RequestOutcome final_outcome = outcome ? *outcome : access_log_.served(record);
+    const RequestOutcome final_outcome = outcome ? *outcome : access_log_.classify_served(record);
     if (!access_log_.count(context_.environment.now(), final_outcome, cause)) return;
     for (std::size_t i = 0; i < record.attempts.size(); ++i)
-        record.attempts[i].server = context_.endpoint_name(request.attempts[i].endpoint);
+        record.attempts[i].endpoint = context_.endpoint_name(request.attempts[i].endpoint);
     context_.environment.log("info", "request", access_log_.line(record, final_outcome));
 }
 
 void RequestCompletion::remove_ended() {
-    // The list may grow while a release is started.
+    // The list may grow when a release is started.
     for (std::size_t i = 0; i < to_revisit_.size(); ++i) {
         RequestState* request = context_.requests.find(to_revisit_[i]);
         if (!request || request->attempt_in_flight()) continue;
@@ -108,7 +108,7 @@
 void RequestCompletion::remove(RequestState& request) {
     lease_keeper_.abandon_reservation(request);
     if (!lease_keeper_.release_in_progress(request))
-        context_.health_checker.request_over(request.inbound.txn);
+        context_.health_checker.on_request_ended(request.inbound.txn);
     context_.driver.cancel_timers(request);
     context_.invariant_checker.forget(request.handle);
     context_.requests.remove(request.handle);
--- a/src/platform/request_completion.h
+++ b/src/platform/request_completion.h
@@ -1,5 +1,5 @@
-// The end of a request towards its client: one final answer or one end of its stream, its line in the access
-// log, and the removal of its record once nothing refers to it any more.
+// Completes requests: gives the client one final answer or ends its stream, writes the access log line, and
+// removes the record once nothing refers to it any more.
 #pragma once
 
 #include <cstdint>
@@ -18,40 +18,43 @@
 
 // Ownership: the access log and the list of requests that may be removed. It alone sets RequestState::closed
 // and RequestState::client (after arrival), and removes records. Every function may call into the client,
-// which may call back into RequestLifecycle: a record has to be looked up again afterwards.
+// which may call back into RequestLifecycle: a record has to be looked up again afterwards. Threading: one
+// thread.
 class RequestCompletion {
 public:
     // An answer without a stream.
     struct FinalAnswer {
         int status = 0;
-        Millis retry_after = 0;  // ms, 0 for no advice
+        Millis retry_after = 0;  // ms; 0: the answer has no retry-after header
         std::string_view text;
         EndCause cause;
     };
 
-    // Both have to outlive it.
+    // Both references have to outlive this object.
     RequestCompletion(LifecycleContext& context, LeaseKeeper& lease_keeper);
 
-    // Closes the request with that answer, or by aborting its stream if one has begun; does nothing where it
+    // Closes the request with this answer, or aborts its stream if one has begun. Does nothing if the request
     // is closed already.
     void send_final(RequestState& request, const FinalAnswer& answer);
-    // The stream has ended with that result, which its client is told by the way its connection goes on.
+    // Closes the request after its stream ended with this result: completes the client's stream if it was
+    // served, and aborts it otherwise.
     void finish_stream(RequestState& request, AttemptResult result);
-    // The stream goes on elsewhere: its client is to repeat the request.
+    // Closes the request by aborting its stream; the client repeats it at another gateway.
     void abort_migrated_stream(RequestState& request);
+    // Closes the request because its client has disconnected.
     void record_client_disconnect(RequestState& request);
 
-    // The request is looked at by remove_ended() once the Router is idle.
+    // Marks the request to be processed by remove_ended() once the Router is idle.
     void revisit_when_idle(std::uint64_t handle) { to_revisit_.push_back(handle); }
-    // To be called while the Router is idle: releases what may be held for requests without an attempt in
-    // flight, and removes the closed ones among them.
+    // To be called while the Router is idle: for each marked request without an attempt in flight, releases
+    // what may be held for it, and removes the request if it is closed.
     void remove_ended();
 
     const AccessLog& access_log() const { return access_log_; }
 
 private:
     Client* close(RequestState& request);
-    // `outcome`: nothing for a complete answer, whose times decide it.
+    // `outcome`: nothing for a complete answer, whose outcome depends on its times.
     void log_request(const RequestState& request, std::optional<RequestOutcome> outcome,
                      std::optional<EndCause> cause = std::nullopt);
     void remove(RequestState& request);
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -31,7 +31,8 @@
     context_.driver.on_timer = [this](const Driver::Timer& timer) { on_timer(timer); };
 }
 
-// A violation that no standstill of this process explains ends sanitizer builds; others log it.
+// Logs the violation. Sanitizer builds abort, except for late_answer, which a stall of this process may
+// cause.
 void RequestLifecycle::on_violation(control::Invariant invariant, std::uint64_t handle,
                                     const std::string& details) {
     const RequestState* request = context_.requests.find(handle);
@@ -57,7 +58,7 @@
 
 std::uint64_t RequestLifecycle::on_request(Inbound inbound, Millis age, Client* client) {
     context_.driver.catch_up();
-    if (open(inbound.txn)) return 0;
+    if (is_open(inbound.txn)) return 0;
     const Millis arrived = context_.environment.now() - age;
     RequestState& request = context_.requests.add(std::move(inbound));
     const std::uint64_t handle = request.handle;
@@ -99,14 +100,14 @@
                           [this](const Fail& fail) { on_router_fail(fail); },
                           [this](const MigrateStream& migrate) { on_router_migrate(migrate); },
                           [this](const Log& log) { context_.environment.log("debug", "router", log.text); },
-                          // Timers are the driver's; this protocol has no health checks of the Router's and
-                          // its watch on discovery is always open.
+                          // The driver sets timers. On this platform the Router's health checks are not
+                          // supported, and discovery is always being watched.
                           [](const SetTimer&) {}, [](const HealthCheck&) {}, [](const WatchEndpoints&) {},
                           [](const PollEndpoints&) {}},
                action);
 }
 
-// The release goes out once the Router is idle, unless another attempt has started by then.
+// The release starts once the Router is idle, unless another attempt has started by then.
 void RequestLifecycle::on_router_release(const ReleaseLease& release) {
     const RequestState* request = context_.requests.find(release.request);
     if (request) completion_.revisit_when_idle(request->handle);
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -1,7 +1,7 @@
-// The life of each request on the platform: it feeds the Router every event and carries out its actions.
+// The lifecycle of each request on the platform: feeds the Router every event and executes its actions.
 //
-// The Router decides; what this adds are duties without a choice: one final answer for each client, an end
-// for a stream that breaks, and a release for whatever endpoints may keep. The work is divided between
+// The Router makes all decisions. This module guarantees what needs none: one final answer for each client,
+// an end for every broken stream, and a release for whatever endpoints may hold. The work is divided between
 //   AttemptRunner      attempts at endpoints: start, timeout, end
 //   LeaseKeeper        KV-cache leases and their release
 //   StreamForwarder    streams that have begun
@@ -32,53 +32,53 @@
 
 // Ownership: the context and with it all records, the four parts and the Router. Clients, the endpoint list,
 // the settings and the environment belong to the caller and have to outlive it. Times: ms on the clock of
-// Environment::now(). Errors: none are thrown; what goes wrong ends requests. Threading: one thread;
+// Environment::now(). Errors: none are thrown; failures end the requests concerned. Threading: one thread;
 // Environment and Client may call back from within its calls to them.
 //
-// Requests get handles of this class's own towards the Router, whose ids never repeat; towards clients and
-// endpoints they keep the client's id, which may come again once its request is over.
+// The Router knows a request by a handle, which is never reused. Clients and endpoints know it by the
+// client's transaction id, which may be reused once the request has ended.
 class RequestLifecycle {
 public:
     RequestLifecycle(const settings::NamedSettings& named, std::uint64_t seed, EndpointList& endpoints,
                      Environment& environment);
 
     // ---- requests ----
-    // A request with this id of a client's is open.
-    bool open(const std::string& txn) const { return context_.requests.contains_transaction(txn); }
-    // Returns the handle that names the request in the calls below; 0: one with its id is open, and nothing
-    // was taken. `age`: ms since its first byte came.
+    // A request with this transaction id is open.
+    bool is_open(const std::string& txn) const { return context_.requests.contains_transaction(txn); }
+    // Accepts a request and returns its handle for the calls below; 0: a request with its transaction id is
+    // open, and this one was not accepted. `age`: ms since its first byte was received.
     std::uint64_t on_request(Inbound inbound, Millis age, Client* client);
     void on_client_disconnected(std::uint64_t handle);
     void on_client_congested(std::uint64_t handle, bool congested) {
         streams_.on_client_congested(handle, congested);
     }
 
-    // To be called after EndpointList has taken the update, or to say that discovery failed.
+    // To be called after EndpointList has applied the update, or to report that discovery has failed.
     void on_endpoint_update(EndpointUpdate update);
-    // Carries out one of the Router's actions. Public for those that tests ask for themselves.
+    // Executes one of the Router's actions. Public for tests that inject actions.
     void execute(const Action& action);
 
-    // ---- for a process that stops ----
+    // ---- while the process is stopping ----
     // Streams that have begun and not ended.
     std::size_t streams() const { return streams_.streams(); }
-    // Ends the latest `count` of them; their clients ask for the rest elsewhere.
+    // Ends the latest `count` streams; their clients resume them at another gateway.
     void migrate_streams(std::size_t count) { streams_.migrate_latest(count); }
-    // Ends the streams of requests that arrived at `arrived_since` or later and whose endpoints have been
-    // silent for a while: the platform lets the kill end earlier ones alone.
-    void end_silent_streams(Millis arrived_since) { streams_.end_silent(arrived_since); }
-    // Requests without a stream get their final answer now; which one is the Router's to say.
+    // Ends stalled streams of requests that arrived at `arrived_since` or later. The platform accepts streams
+    // ended by the kill only for earlier requests.
+    void end_stalled_streams(Millis arrived_since) { streams_.end_stalled(arrived_since); }
+    // Gives requests without a stream their final answer now, as the Router decides.
     void shutdown() { context_.driver.feed(Shutdown{}); }
 
     // ---- the event loop; see proxy::RouterDriver ----
-    // Does what is due; returns the time at which it wants to be called next.
+    // Runs what is due; returns the time of the next call.
     Millis tick();
     void before_poll(Millis due) { context_.driver.before_poll(due); }
     void after_poll(Millis at) { context_.driver.after_poll(at); }
     std::function<void()>& on_wake() { return context_.driver.on_wake; }
 
     // ---- status ----
-    std::size_t open() const { return context_.requests.size(); }
-    std::size_t releases() const { return lease_keeper_.releases_in_progress(); }
+    std::size_t open_requests() const { return context_.requests.size(); }
+    std::size_t releases_in_progress() const { return lease_keeper_.releases_in_progress(); }
     std::size_t attempts_in_flight() const { return context_.attempts_in_flight; }
     const Counters& counters() const { return context_.counters; }
     const LeaseReleaser::Counts& release_counts() const { return lease_keeper_.release_counts(); }
--- a/src/platform/request_state.h
+++ b/src/platform/request_state.h
@@ -1,11 +1,11 @@
-// The record of each open request and of its attempts, shared by the parts of RequestLifecycle.
+// The state of each open request and of its attempts, shared by the parts of RequestLifecycle.
 //
-// Ownership: RequestTable owns the records. RequestLifecycle adds one when a request arrives;
+// Ownership: RequestTable owns the records. RequestLifecycle adds a record when a request arrives;
 // RequestCompletion closes and removes it. `attempts` is changed by AttemptRunner and, for a begun stream, by
 // StreamForwarder; `lease`, `reservation`, `release` and `lease_check_at` by LeaseKeeper alone. Pointers to a
 // record stay valid until it is removed, which happens only while the Router is idle: after any call that may
 // feed an event to the Router the record has to be looked up again. Times are ms on the clock of
-// Environment::now().
+// Environment::now(). Threading: one thread.
 #pragma once
 
 #include <deque>
@@ -27,31 +27,31 @@
 
 namespace gorsenotch::platform {
 
-// What a timer of the driver is for; `router` marks the Router's own timers.
+// The purpose of a timer of the driver; `router` marks the Router's own timers.
 enum class TimerKind { router, attempt_timeout, stream_idle, reservation, release, lease, health_check };
 
 struct RequestState;
 using Driver = proxy::RouterDriver<RequestState, TimerKind>;
 
-// How far an attempt has come.
+// The phase of an attempt.
 enum class AttemptPhase {
-    awaiting_response,   // its connection is awaited, or its request was sent; no event has come
-    streaming,           // its response is forwarded to the client
-    ended,               // over before a stream began, or never started
-    ended_after_stream,  // over once its stream had begun
+    awaiting_response,   // connecting, or request sent; no event received yet
+    streaming,           // its response is being forwarded to the client
+    ended,               // ended before its stream began, or never started
+    ended_after_stream,  // ended after its stream had begun
 };
 
 // One attempt of a request at one endpoint.
 struct AttemptState {
-    // Shared with Environment until it is over; null for an attempt that was never started.
+    // Shared with Environment until it has ended; null for an attempt that was never started.
     std::shared_ptr<UpstreamExchange> exchange;
     EndpointId endpoint = 0;
     bool is_prefill = false;
     AttemptPhase phase = AttemptPhase::awaiting_response;
-    Millis sent = 0;        // when the attempt was started
-    Millis last_heard = 0;  // when its stream last brought an event, or was resumed
-    Millis ended = 0;
-    AttemptResult result = AttemptResult::served;  // once it has ended
+    Millis started_at = 0;     // when the attempt was started
+    Millis last_event_at = 0;  // when its stream last delivered an event, or was resumed
+    Millis ended_at = 0;
+    AttemptResult result = AttemptResult::served;  // valid once it has ended
     control::AttemptClock clock;
 
     bool in_flight() const {
@@ -60,39 +60,41 @@
     bool stream_begun() const {
         return phase == AttemptPhase::streaming || phase == AttemptPhase::ended_after_stream;
     }
+    // Moves to the ended phase that corresponds to the current one.
     void mark_ended();
 };
 
-// One client's request from its arrival until nothing of it is left. Owned by RequestTable; changed by the
-// parts of the request's lifecycle alone.
+// A client's request, from its arrival until it is closed and has no attempt in flight. Owned by
+// RequestTable; changed only by the parts of RequestLifecycle.
 struct RequestState {
     explicit RequestState(Millis lease_release_timeout) : lease(lease_release_timeout) {}
 
-    Inbound inbound;           // its body is dropped once no attempt can need it
-    std::uint64_t handle = 0;  // also its id towards the Router, in decimal
-    Client* client = nullptr;  // not owned; null once it is owed nothing more
-    Millis arrived = 0;        // when the request's first byte came
+    Inbound inbound;           // its body is freed once no attempt can need it
+    std::uint64_t handle = 0;  // in decimal also the Router's id of the request
+    Client* client = nullptr;  // not owned; null once the request is closed
+    Millis arrived = 0;        // when the request's first byte was received
     Millis deadline = 0;
     std::optional<Millis> stream_begun_at;
-    double completion_tokens = 0;          // of the answer, 0 where it did not say
+    double completion_tokens = 0;          // of the answer; 0: not given
     bool closed = false;                   // the client has its final answer, or has disconnected
-    bool congested = false;                // the client reads more slowly than its stream comes
-    control::KvLease lease;                // what endpoints may keep for it
+    bool congested = false;                // the client reads more slowly than its stream arrives
+    control::KvLease lease;                // on the KV cache or slot that endpoints may hold for it
     std::optional<Millis> lease_check_at;  // when the earliest lease timer fires
     std::deque<AttemptState> attempts;
-    std::shared_ptr<UpstreamExchange> reservation;  // the latest call that reserved a slot
+    std::shared_ptr<UpstreamExchange> reservation;  // the latest call to reserve a slot
     std::uint64_t release = 0;                      // id of the latest release at LeaseReleaser, 0: none
     Driver::OwnedTimers timers, timeouts;
 
+    // Null if there is no attempt with this index.
     AttemptState* find_attempt(int index);
     bool attempt_in_flight() const;
-    // No further attempt follows one whose stream has begun, so the latest decides.
+    // No attempt is started after one whose stream has begun, so only the latest needs checking.
     bool stream_begun() const { return !attempts.empty() && attempts.back().stream_begun(); }
     bool stream_in_flight() const { return stream_begun() && attempts.back().in_flight(); }
     std::string router_id() const { return std::to_string(handle); }
 };
 
-// All open requests by handle, and the ids that their clients gave them.
+// All open requests by handle, and the transaction ids chosen by their clients.
 class RequestTable {
 public:
     explicit RequestTable(Millis lease_release_timeout) : lease_release_timeout_(lease_release_timeout) {}
@@ -101,7 +103,7 @@
     RequestState& add(Inbound inbound);
     void remove(std::uint64_t handle);
 
-    // Null where there is no such request or attempt.
+    // Null if there is no such request or attempt.
     RequestState* find(std::uint64_t handle);
     RequestState* find(const RequestId& id);
     AttemptState* find_attempt(std::uint64_t handle, int index);
@@ -117,8 +119,8 @@
     std::uint64_t last_handle_ = 0;
 };
 
-// Ends an attempt from this side. Its connection is closed first, so that nothing more comes on it; the
-// exchange reports its end from within this call.
+// Aborts an attempt. Its connection is closed first, so that no more data arrives on it; the exchange reports
+// its end from within this call.
 void abort_attempt(Environment& environment, const AttemptState& attempt, AttemptResult result);
 
 }  // namespace gorsenotch::platform
