--- a/src/platform/status_reporter.cpp
+++ b/src/platform/status_reporter.cpp
@@ -13,7 +13,7 @@
 
 constexpr Millis kInterval = 5000;
 
-// Counts by name; both arrays are indexed by the same enumeration.
+// The counts by name; both arrays are indexed by the same enum.
 template <std::size_t Size>
 nlohmann::json counts_by_name(const std::array<const char*, Size>& names,
                               const std::array<std::uint64_t, Size>& values) {
@@ -77,9 +77,9 @@
     fields["endpoints"] = sources_.endpoints.all().size();
     fields["client_connections"] = sources_.client_connections.connections();
     fields["upstream_connections"] = sources_.connection_pool.connections();
-    fields["open_requests"] = lifecycle.open();
+    fields["open_requests"] = lifecycle.open_requests();
     fields["attempts_in_flight"] = lifecycle.attempts_in_flight();
-    fields["releases_in_progress"] = lifecycle.releases();
+    fields["releases_in_progress"] = lifecycle.releases_in_progress();
 }
 
 void StatusReporter::add_requests(nlohmann::json& fields) const {
@@ -106,7 +106,7 @@
     const RequestLifecycle& lifecycle = sources_.lifecycle;
     const Counters& counters = lifecycle.counters();
     const LeaseReleaser::Counts& releases = lifecycle.release_counts();
-    fields["released"] = {releases.begun, releases.asked_again, releases.failed};
+    fields["released"] = {releases.started, releases.retries, releases.failed};
     fields["release_ends"] = counts_by_name(kReleaseEnds, counters.release_ends);
     fields["release_reasons"] = counts_by_name(kReleaseReasons, counters.release_reasons);
     fields["health_checks"] = {{"sent", lifecycle.health_checker().checks_sent()},
@@ -118,7 +118,7 @@
 void StatusReporter::add_connections(nlohmann::json& fields) const {
     const ClientConnections::Counters& clients = sources_.client_connections.counters();
     const proxy::ConnectionPool::Counters& upstream = sources_.connection_pool.counters();
-    fields["close_blocks"] = counts_by_name(control::kCloseBlockReasonNames, clients.close_denials);
+    fields["close_blocks"] = counts_by_name(control::kCloseBlockReasonNames, clients.close_blocks);
     fields["client_connection_ends"] = counts_by_name(kEndReasonNames, clients.ended);
     fields["upstream_connection_ends"] = counts_by_name(proxy::kConnectionEndNames, upstream.ended_by_cause);
     fields["new_connections"] = {upstream.new_connections, upstream.new_broken};
@@ -128,7 +128,7 @@
     fields["evicted"] = clients.of(EndReason::evicted);
     fields["accept_failed"] = clients.accept_failed;
     fields["request_timeouts"] = clients.of(EndReason::request_timeout);
-    fields["bad_requests"] = clients.bad;
+    fields["bad_requests"] = clients.bad_requests;
 }
 
 }  // namespace gorsenotch::platform
--- a/src/platform/status_reporter.h
+++ b/src/platform/status_reporter.h
@@ -1,4 +1,4 @@
-// The periodic status line of a node: what is open, and counts since the start of the process.
+// The periodic status line of a gateway node: current gauges, and counters since the start of the process.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,8 +13,8 @@
 
 namespace gorsenotch::platform {
 
-// Ownership: its timer; the components it reports on belong to the node and have to outlive it, and it
-// changes none of them. Times: ms. Errors: none. Threading: the event loop's thread.
+// Ownership: its timer. The components that it reports on belong to the node, have to outlive it, and are not
+// changed. Times: ms. Errors: none. Threading: the event loop's thread.
 class StatusReporter {
 public:
     struct Sources {
@@ -26,12 +26,12 @@
 
     StatusReporter(net::EventLoop& loop, Sources sources);
 
-    // `started_at`: when the process began to start, on the clock of net::now(). The first line follows one
-    // interval later.
+    // Starts the periodic reports; the first follows one interval later. `started_at`: the start of the
+    // process, on the clock of net::now().
     void start(Millis started_at);
-    // Logs a line now; the next one follows one interval later.
+    // Logs a status line now and restarts the interval.
     void report();
-    // The fields of the line.
+    // The fields of a status line.
     nlohmann::json fields() const;
 
 private:
--- a/src/platform/stream_forwarder.cpp
+++ b/src/platform/stream_forwarder.cpp
@@ -7,11 +7,12 @@
 namespace gorsenotch::platform {
 namespace {
 
-// A stream whose endpoint is silent for so long is broken. Below the 5 s within which a client must see its
-// end, above what an endpoint eight times too slow takes for a few tokens.
+// Less than the 5 s within which a client has to see the end of a broken stream; more than an endpoint at an
+// eighth of its normal speed needs for a few tokens.
 constexpr Millis kStreamIdleTimeout = 4000;
-// While the process stops, a stream that has been silent for so long is not expected to end before the kill.
-constexpr Millis kSilentWhileStopping = 1000;
+// While the process is stopping, a stream that has stalled for this long is not expected to complete before
+// the process is killed.
+constexpr Millis kMaxStallWhileStopping = 1000;
 
 bool is_open_stream(const RequestState& request) { return !request.closed && request.stream_begun(); }
 
@@ -28,12 +29,12 @@
     if (!attempt || !attempt->in_flight()) return;
     const Millis now = context_.environment.now();
     attempt->phase = AttemptPhase::streaming;
-    attempt->last_heard = now;
+    attempt->last_event_at = now;
     request->stream_begun_at = now;
     if (DiscoveredEndpoint* endpoint = context_.endpoints.find(attempt->endpoint))
         endpoint->last_success = now;
     context_.invariant_checker.on_lease_taken(handle);
-    lease_keeper_.on_taken(*request);
+    lease_keeper_.on_kv_cache_fetched(*request);
     request->inbound.body = std::string();
     set_idle_timer(*request, attempt_index, now);
     if (request->client) {
@@ -43,7 +44,7 @@
     attempt = context_.requests.find_attempt(handle, attempt_index);
     if (!attempt) return;
     context_.driver.feed(FirstToken{std::to_string(handle), attempt_index, attempt->endpoint,
-                                    attempt->last_heard - attempt->sent});
+                                    attempt->last_event_at - attempt->started_at});
     request = context_.requests.find(handle);
     if (!request || !request->closed) return;
     // The client disconnected before the first token.
@@ -55,23 +56,23 @@
     RequestState* request = context_.requests.find(handle);
     AttemptState* attempt = context_.requests.find_attempt(handle, attempt_index);
     if (!attempt || !attempt->in_flight() || request->closed) return;
-    attempt->last_heard = context_.environment.now();
+    attempt->last_event_at = context_.environment.now();
     if (const double tokens = completion_tokens(events); tokens > 0) request->completion_tokens = tokens;
     if (request->client) request->client->send_events(events);
 }
 
-void StreamForwarder::set_idle_timer(RequestState& request, int attempt_index, Millis last_heard) {
-    context_.driver.set_timer(TimerKind::stream_idle, last_heard + kStreamIdleTimeout, &request,
+void StreamForwarder::set_idle_timer(RequestState& request, int attempt_index, Millis last_event_at) {
+    context_.driver.set_timer(TimerKind::stream_idle, last_event_at + kStreamIdleTimeout, &request,
                               attempt_index, 0, true);
 }
 
-// Guards against a begun stream whose endpoint went silent: nothing else would end it.
+// Guards against a stream whose endpoint has stopped responding: nothing else would end it.
 void StreamForwarder::on_idle_timer(RequestState& request, int attempt_index) {
     AttemptState& attempt = *request.find_attempt(attempt_index);
     const Millis now = context_.environment.now();
-    if (request.congested) attempt.last_heard = now;
-    if (attempt.last_heard + kStreamIdleTimeout > now)
-        return set_idle_timer(request, attempt_index, attempt.last_heard);
+    if (request.congested) attempt.last_event_at = now;
+    if (attempt.last_event_at + kStreamIdleTimeout > now)
+        return set_idle_timer(request, attempt_index, attempt.last_event_at);
     abort_attempt(context_.environment, attempt, AttemptResult::reset);
 }
 
@@ -81,7 +82,7 @@
     request->congested = congested;
     if (!request->stream_in_flight()) return;
     AttemptState& attempt = request->attempts.back();
-    attempt.last_heard = context_.environment.now();
+    attempt.last_event_at = context_.environment.now();
     context_.environment.pause(*attempt.exchange, congested);
 }
 
@@ -114,13 +115,13 @@
     }
 }
 
-void StreamForwarder::end_silent(Millis arrived_since) {
+void StreamForwarder::end_stalled(Millis arrived_since) {
     const Millis now = context_.environment.now();
     std::vector<std::uint64_t> handles;
     for (const auto& [handle, request] : context_.requests.all()) {
         if (!is_open_stream(request) || request.congested || request.arrived < arrived_since) continue;
         const AttemptState& attempt = request.attempts.back();
-        if (attempt.in_flight() && now - attempt.last_heard >= kSilentWhileStopping)
+        if (attempt.in_flight() && now - attempt.last_event_at >= kMaxStallWhileStopping)
             handles.push_back(handle);
     }
     for (const std::uint64_t handle : handles) {
--- a/src/platform/stream_forwarder.h
+++ b/src/platform/stream_forwarder.h
@@ -1,5 +1,5 @@
-// Streams that have begun: events from the endpoint to the client, a limit on the endpoint's silence, pauses
-// for a client that reads slowly, and streams ended early as the process stops.
+// Forwards streams that have begun: passes events from the endpoint to the client, enforces the endpoint's
+// idle timeout, pauses for slow clients, and ends streams early while the process is stopping.
 #pragma once
 
 #include <cstddef>
@@ -14,36 +14,36 @@
 namespace gorsenotch::platform {
 
 // Ownership: no state of its own; it may change RequestState::congested, stream_begun_at and
-// completion_tokens, and the phase and last_heard of the attempt whose stream has begun. Errors: an endpoint
-// that stays silent for kStreamIdleTimeout has its attempt ended as reset. Times: ms.
+// completion_tokens, and the phase and last_event_at of the attempt whose stream has begun. Errors: if an
+// endpoint sends nothing for kStreamIdleTimeout, its attempt ends as reset. Times: ms. Threading: one thread.
 class StreamForwarder {
 public:
-    // All have to outlive it.
+    // All references have to outlive this object.
     StreamForwarder(LifecycleContext& context, LeaseKeeper& lease_keeper, RequestCompletion& completion);
 
-    // ---- from the exchange of an attempt ----
+    // ---- called by the exchange of an attempt ----
     void on_first_event(std::uint64_t handle, int attempt_index, std::string_view events);
     void on_more_events(std::uint64_t handle, int attempt_index, std::string_view events);
 
-    // The timer `TimerKind::stream_idle` of an attempt in flight.
+    // The timer `TimerKind::stream_idle` of an attempt in flight has fired.
     void on_idle_timer(RequestState& request, int attempt_index);
-    // Pauses and resumes reading from the endpoint; its silence is not counted meanwhile.
+    // Pauses or resumes reading from the endpoint. The idle timeout does not run while paused.
     void on_client_congested(std::uint64_t handle, bool congested);
-    // Ends the attempt of a stream whose client is gone.
+    // Cancels the attempt of a stream whose client has disconnected.
     void stop_reading(const RequestState& request);
-    // Ends the client's side of the stream, whose client then repeats the request, and its attempt.
+    // Aborts the stream towards its client, which then repeats the request, and cancels its attempt.
     void migrate(RequestState& request);
 
-    // ---- while the process stops ----
+    // ---- while the process is stopping ----
     // Streams that have begun and not ended.
     std::size_t streams() const;
-    // Migrates the `count` streams that began to be served last, which have the most ahead of them.
+    // Migrates the `count` streams of the requests that arrived last, which have the most left to generate.
     void migrate_latest(std::size_t count);
-    // Ends streams of requests that arrived at `arrived_since` or later and whose endpoint is silent.
-    void end_silent(Millis arrived_since);
+    // Ends stalled streams of requests that arrived at `arrived_since` or later.
+    void end_stalled(Millis arrived_since);
 
 private:
-    void set_idle_timer(RequestState& request, int attempt_index, Millis last_heard);
+    void set_idle_timer(RequestState& request, int attempt_index, Millis last_event_at);
 
     LifecycleContext& context_;
     LeaseKeeper& lease_keeper_;
--- a/src/platform/upstream_exchange.cpp
+++ b/src/platform/upstream_exchange.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t kMaxHeadBytes = 16 * kKibibyte;
 constexpr std::size_t kMaxHeaders = 100;
 constexpr std::size_t kMaxFirstEventBytes = 64 * kKibibyte;
-constexpr std::size_t kMaxBodyBytes = 16 * kKibibyte;      // of a response that is no stream
-constexpr std::uint64_t kMaxChunkBytes = 256 * kKibibyte;  // no body on this platform is longer
+constexpr std::size_t kMaxBodyBytes = 16 * kKibibyte;      // of a response that is not a stream
+constexpr std::uint64_t kMaxChunkBytes = 256 * kKibibyte;  // the maximum body length on this platform
 constexpr int kMaxInterimResponses = 16;                   // 1xx responses before the response
 constexpr double kMaxCachedTokens = 1e9;
 
@@ -45,17 +45,18 @@
 
 void UpstreamExchange::on_data(std::string_view bytes) {
     if (!over_ && !std::exchange(response_begun_, true) && on_first_byte) on_first_byte();
-    if (connection_spoilt_) return;
-    if (response_complete_) {  // behind the end of the response, which is good; the connection is not
-        connection_spoilt_ = true;
+    if (connection_unusable_) return;
+    if (response_complete_) {  // bytes after a complete response: the response is valid, the connection
+                               // unusable
+        connection_unusable_ = true;
         return;
     }
-    while (!bytes.empty() && !response_complete_ && !connection_spoilt_) {
+    while (!bytes.empty() && !response_complete_ && !connection_unusable_) {
         bytes.remove_prefix(std::min(bytes.size(), parser_.feed(bytes)));
         if (parser_.fault() != http::Fault::none) return on_malformed_response();
         if (!parser_.complete()) return;
     }
-    if (!bytes.empty()) connection_spoilt_ = true;
+    if (!bytes.empty()) connection_unusable_ = true;
 }
 
 void UpstreamExchange::on_head() {
@@ -68,7 +69,7 @@
 }
 
 void UpstreamExchange::on_body(std::string_view bytes) {
-    if (over_ || connection_spoilt_) return;
+    if (over_ || connection_unusable_) return;
     if (stream_begun_) return on_more_events ? on_more_events(bytes) : void();
     if (body_.size() + bytes.size() > (is_stream_ ? kMaxFirstEventBytes : kMaxBodyBytes))
         return on_malformed_response();
@@ -87,11 +88,11 @@
     }
     if (!parser_.framed && status_ != 204 && status_ != 304) return on_malformed_response();
     response_complete_ = true;
-    if (!parser_.keep_alive) connection_spoilt_ = true;
+    if (!parser_.keep_alive) connection_unusable_ = true;
     if (over_) return;
     if (kind_ == Kind::lease_call) return finish(AttemptResult::served);
     if (rejected_ && (status_ == 503 || status_ == 504)) return finish(AttemptResult::rejected);
-    if (rejected_ && status_ == 410) return finish(AttemptResult::rejected, kNoStateToFetch);
+    if (rejected_ && status_ == 410) return finish(AttemptResult::rejected, kNoKvCacheToFetch);
     if (kind_ == Kind::prefill && status_ == 202)
         return finish(AttemptResult::prefill_done, cached_tokens(body_));
     if (stream_begun_) return finish(AttemptResult::served);
@@ -99,26 +100,26 @@
 }
 
 void UpstreamExchange::on_malformed_response() {
-    connection_spoilt_ = true;
+    connection_unusable_ = true;
     finish(stream_begun_ ? AttemptResult::reset : AttemptResult::error);
 }
 
 void UpstreamExchange::on_connection_closed() {
-    connection_spoilt_ = true;
-    // Until its last byte was handed over the request can't have run.
+    connection_unusable_ = true;
+    // A request whose last byte was not passed to the kernel can't have run.
     finish(request_written_ ? AttemptResult::reset : AttemptResult::unreachable);
 }
 
 void UpstreamExchange::on_connect_failed() {
-    connection_spoilt_ = true;
+    connection_unusable_ = true;
     finish(AttemptResult::unreachable);
 }
 
 void UpstreamExchange::on_not_sent() { finish(AttemptResult::not_sent); }
 
 void UpstreamExchange::abort(AttemptResult result, std::string_view /*reason*/) {
-    connection_spoilt_ = true;
-    // What was never fully written never ran, however it ended.
+    connection_unusable_ = true;
+    // A request that was not fully written has not run, whatever ended it.
     if (!request_written_ && result == AttemptResult::timed_out) result = AttemptResult::unreachable;
     if (!request_written_ && result == AttemptResult::cancelled) result = AttemptResult::not_sent;
     finish(result);
--- a/src/platform/upstream_exchange.h
+++ b/src/platform/upstream_exchange.h
@@ -1,10 +1,10 @@
-// One request to an endpoint, from its connection to its end: what the response's bytes mean, by the
-// protocol's table. No I/O, no clock.
+// One request to an endpoint and its response, interpreted by the rules of the platform's protocol. No I/O,
+// no clock.
 //
-// Calls its owner in order: on_sent, on_written and on_first_byte at most once, on_first_event at most once,
-// on_more_events after that, on_ended exactly once and last. Events of a stream are passed on as they came;
-// the first waits until it is complete, as a response that breaks before it is a failed attempt and no begun
-// stream. After on_ended every call changes nothing.
+// Order of calls to the owner: on_sent, on_written and on_first_byte at most once, on_first_event at most
+// once, on_more_events after that, on_ended exactly once and last. Events are passed on unchanged as they
+// arrive. Only the first event is buffered until it is complete: a response that breaks before is a failed
+// attempt, not a stream that has begun. After on_ended calls have no effect.
 #pragma once
 
 #include <functional>
@@ -16,33 +16,33 @@
 
 namespace gorsenotch::platform {
 
-// AttemptOutcome::detail of a rejected decode attempt whose endpoint has no state for it to read.
-constexpr double kNoStateToFetch = 1;
+// AttemptOutcome::detail of a rejected decode attempt for which the endpoint has no KV cache to fetch.
+constexpr double kNoKvCacheToFetch = 1;
 
 // How an exchange ended.
 struct AttemptOutcome {
     AttemptResult result = AttemptResult::error;
-    int status = 0;      // of the response; 0: none came
+    int status = 0;      // of the response; 0: none received
     double detail = 0;   // as AttemptEnded::detail
     bool begun = false;  // the stream had begun
 };
 
-// Ownership: shared between whoever started it and the connection that carries it. Errors: a response that
-// cannot be read ends it as `error`, or as `reset` once its stream has begun. Threading: one thread; hooks
-// may end it from within their call.
+// Ownership: shared between the caller that started it and the connection that carries it. Errors: a
+// malformed response ends it as `error`, or as `reset` once its stream has begun. Threading: one thread;
+// hooks may end it from within their call.
 class UpstreamExchange : public proxy::UpstreamCall {
 public:
     enum class Kind {
         prefill,
         decode,
-        lease_call  // reserves a slot or releases a lease; every response is its end
+        lease_call  // reserves a slot or releases a lease; ends with any complete response
     };
 
-    std::function<bool()> may_start_hook;        // whether it may still be sent; asked before its first byte
-    std::function<void(std::string&)> on_stamp;  // gets the request right before its first byte goes out
-    std::function<void()> on_sent;               // its first byte goes out
-    std::function<void()> on_written;            // its last byte is in the kernel's hands
-    std::function<void()> on_first_byte;         // of a response: it has reached an endpoint that runs
+    std::function<bool()> may_start_hook;  // whether it may still be sent; called before its first byte
+    std::function<void(std::string&)> stamp_hook;  // may change the request right before its first byte
+    std::function<void()> on_sent;                 // its first byte is about to be written
+    std::function<void()> on_written;              // its last byte was passed to the kernel
+    std::function<void()> on_first_byte;           // of the response: the endpoint is running and was reached
     std::function<void(std::string_view)> on_first_event;
     std::function<void(std::string_view)> on_more_events;
     std::function<void(const AttemptOutcome&)> on_ended;
@@ -51,7 +51,7 @@
 
     bool may_start() override { return !over_ && (!may_start_hook || may_start_hook()); }
     void stamp_request(std::string& request) override {
-        if (on_stamp) on_stamp(request);
+        if (stamp_hook) stamp_hook(request);
     }
     void on_first_byte_sent() override {
         if (on_sent) on_sent();
@@ -62,12 +62,12 @@
     void on_connect_failed() override;
     void on_not_sent() override;
     bool is_over() const override { return over_; }
-    bool request_written() const { return request_written_; }  // its last byte is in the kernel's hands
-    bool is_reusable() const override { return over_ && response_complete_ && !connection_spoilt_; }
+    bool request_written() const { return request_written_; }  // its last byte was passed to the kernel
+    bool is_reusable() const override { return over_ && response_complete_ && !connection_unusable_; }
     bool is_lingering() const override { return false; }
 
-    // Ends it from this side: its time is up, or nobody wants it any more. Its connection is to be closed.
-    // The reason is not used; the parameter stays for callers outside this package.
+    // Ends the exchange from this side, because of a timeout or a cancellation. The caller has to close its
+    // connection. `reason` is unused; the parameter remains for callers outside this package.
     void abort(AttemptResult result, std::string_view reason = {});
 
 private:
@@ -79,17 +79,17 @@
 
     const Kind kind_;
     http::Parser parser_;
-    std::string body_;  // of a response that is no stream, or the beginning of the first event
+    std::string body_;  // of a response that is not a stream, or the start of an incomplete first event
     int status_ = 0;
     int interim_responses_ = 0;
     bool request_written_ = false;
-    bool response_begun_ = false;     // its first byte has come
-    bool response_complete_ = false;  // its last byte has come
+    bool response_begun_ = false;     // its first byte was received
+    bool response_complete_ = false;  // its last byte was received
     bool is_stream_ = false;
     bool stream_begun_ = false;  // its first event was passed on
-    bool rejected_ = false;      // the endpoint says that it has not taken the request
+    bool rejected_ = false;      // the endpoint states that it has not accepted the request
     bool over_ = false;          // on_ended was called
-    bool connection_spoilt_ = false;
+    bool connection_unusable_ = false;
 };
 
 }  // namespace gorsenotch::platform
--- a/tests/platform/access_log_test.cpp
+++ b/tests/platform/access_log_test.cpp
@@ -24,17 +24,17 @@
     record.prompt_tokens = 2000;  // aim: 1,200 ms
     record.attempts = {{"r", true, false, AttemptResult::prefill_done, 0, 100},
                        {"w", false, false, AttemptResult::served, 100, 2000}};
-    record.first = 200, record.ended = 2000, record.tokens = 100;
-    EXPECT_EQ(log.served(record), RequestOutcome::in_time);
-    record.tokens = 20;
-    EXPECT_EQ(log.served(record), RequestOutcome::slow_stream);
-    record.tokens = 0;
-    EXPECT_EQ(log.served(record), RequestOutcome::in_time)
+    record.first_token = 200, record.ended = 2000, record.completion_tokens = 100;
+    EXPECT_EQ(log.classify_served(record), RequestOutcome::in_time);
+    record.completion_tokens = 20;
+    EXPECT_EQ(log.classify_served(record), RequestOutcome::slow_stream);
+    record.completion_tokens = 0;
+    EXPECT_EQ(log.classify_served(record), RequestOutcome::in_time)
         << "an answer that does not say its length is not judged by pace";
-    record.first = 1300;
-    EXPECT_EQ(log.served(record), RequestOutcome::late_decode);
-    record.attempts[0].ended = 1250;
-    EXPECT_EQ(log.served(record), RequestOutcome::late_prefill);
+    record.first_token = 1300;
+    EXPECT_EQ(log.classify_served(record), RequestOutcome::late_decode);
+    record.attempts[0].ended_at = 1250;
+    EXPECT_EQ(log.classify_served(record), RequestOutcome::late_prefill);
 }
 
 TEST(AccessLog, LinesAreBoundedAndWhatIsLeftOutCounts) {
@@ -81,12 +81,12 @@
               "lease 677 slot_requested at w2, acquired 23, expiring 623, release 640");
 }
 
-TEST(LineBudget, SoManyASecondAndTheRestIsCounted) {
-    LineBudget lines(2);
-    EXPECT_TRUE(lines.take(0));
-    EXPECT_TRUE(lines.take(10));
-    EXPECT_FALSE(lines.take(999));
-    EXPECT_TRUE(lines.take(1000));
+TEST(LogRateLimiter, SoManyASecondAndTheRestIsCounted) {
+    LogRateLimiter lines(2);
+    EXPECT_TRUE(lines.allow(0));
+    EXPECT_TRUE(lines.allow(10));
+    EXPECT_FALSE(lines.allow(999));
+    EXPECT_TRUE(lines.allow(1000));
     EXPECT_EQ(lines.not_logged(), 1u);
 }
 
--- a/tests/platform/client_connections_fixture.h
+++ b/tests/platform/client_connections_fixture.h
@@ -29,7 +29,7 @@
 
     void start(ClientConnections::Config listener_config) {
         std::string why;
-        auto list = hosts.take(config.known, EndpointList::Source::same_address, 0, why);
+        auto list = hosts.take(config.cached_list, EndpointList::Source::same_address, 0, why);
         ASSERT_TRUE(list) << why;
         relay.on_endpoint_update(std::move(*list));
         listener_config.listen = "127.0.0.1:0";
--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -70,7 +70,7 @@
     for (int i = 0; i < 60; ++i) {
         flood.push_back(std::make_unique<BlockingClient>(clients->port()));
         run(1);
-        EXPECT_LE(clients->connections(), 2 + ClientConnections::kEndingMost);
+        EXPECT_LE(clients->connections(), 2 + ClientConnections::kMaxEndingConnections);
     }
     until([&] {
         std::size_t answered = 0;
--- a/tests/platform/lease_keeper_test.cpp
+++ b/tests/platform/lease_keeper_test.cpp
@@ -202,7 +202,7 @@
         EXPECT_EQ(last().address, "10.0.0.3:1");
         const std::size_t call = world.sent.size() - 1;
         if (*status) answer(std::string("HTTP/1.1 ") + status + "\r\ncontent-length: 0\r\n\r\n");
-        EXPECT_TRUE(lifecycle.open(txn)) << "whatever the answer, the request goes on";
+        EXPECT_TRUE(lifecycle.is_open(txn)) << "whatever the answer, the request goes on";
         if (!*status) {
             advance(1200);
             EXPECT_TRUE(world.sent[call].closed) << "a silent writer keeps no connection for good";
--- a/tests/platform/lease_releaser_test.cpp
+++ b/tests/platform/lease_releaser_test.cpp
@@ -113,7 +113,7 @@
     const std::size_t in_time = releases();
     advance(12000);
     EXPECT_LE(releases() - in_time, 50u * 7) << "and ever more seldom after that";
-    EXPECT_EQ(lifecycle.releases(), 0u);
+    EXPECT_EQ(lifecycle.releases_in_progress(), 0u);
 }
 
 }  // namespace
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -68,7 +68,7 @@
 };
 
 TEST_F(List, KnownThenChangesThenGone) {
-    const auto saved = take(config.known, EndpointList::Source::cached);
+    const auto saved = take(config.cached_list, EndpointList::Source::cached);
     ASSERT_TRUE(saved);
     EXPECT_EQ(saved->kind, EndpointUpdate::Kind::cached);
     EXPECT_EQ(saved->endpoints.size(), 3u);
@@ -88,7 +88,7 @@
 }
 
 TEST_F(List, BadTextChangesNothingAndSaysWhy) {
-    ASSERT_TRUE(take(config.known));
+    ASSERT_TRUE(take(config.cached_list));
     const std::pair<std::string, const char*> bad[] = {
         {"{\"seq\":5,\"whole\":true,\"hosts\":[", "JSON"},
         {"{\"seq\":5,\"whole\":true}", "hosts"},
@@ -109,7 +109,7 @@
 }
 
 TEST_F(List, AnOlderWholeListIsTakenWhereDiscoveryStaysWithIt) {
-    ASSERT_TRUE(take(config.known));
+    ASSERT_TRUE(take(config.cached_list));
     const std::string older = list(2, true, row("x", "up"));
     EXPECT_FALSE(take(older));
     EXPECT_FALSE(take(older));
@@ -118,7 +118,7 @@
 }
 
 TEST_F(List, TheWholeListOfAnotherDiscoveryIsTakenWhateverItsVersion) {
-    ASSERT_TRUE(take(config.known));
+    ASSERT_TRUE(take(config.cached_list));
     EXPECT_FALSE(take(list(2, false, row("x", "up")), EndpointList::Source::new_address))
         << "changes of a list not held";
     ASSERT_TRUE(take(list(2, true, row("x", "draining")), EndpointList::Source::new_address)) << why;
@@ -147,7 +147,7 @@
 }
 
 TEST_F(List, OfTheFirstListTheClocksTell) {
-    ASSERT_TRUE(take(config.known, EndpointList::Source::cached));
+    ASSERT_TRUE(take(config.cached_list, EndpointList::Source::cached));
     const auto update = take(list(5, true, row("w1", "up", 5000) + "," + row("w2", "up", 3600000)));
     ASSERT_TRUE(update) << why;
     EXPECT_EQ(update->endpoints[0].started_at, 4000);
@@ -159,7 +159,7 @@
 struct Heads : ::testing::Test {
     Config config = parse_config(kConfig, "", "");
     std::variant<Refusal, Inbound> read(const std::string& head) {
-        http::Parser parser(http::Parser::Kind::request, http::Limits{std::size_t{16} * 1024, 64, kMaxBody});
+        http::Parser parser(http::Parser::Kind::request, http::Limits{std::size_t{16} * 1024, 64, kMaxBodyBytes});
         parser.feed("POST /v1/chat/completions HTTP/1.1\r\n" + head + "content-length: 0\r\n\r\n");
         EXPECT_EQ(parser.fault(), http::Fault::none) << head;
         return read_head(config.named, parser);
@@ -216,7 +216,7 @@
     ASSERT_TRUE(std::holds_alternative<Inbound>(result)) << std::get<Refusal>(result).why;
     EXPECT_NE(std::get<Inbound>(result).head.find("x-note: a\tb caf\xc3\xa9 \xe9\r\n"), std::string::npos);
     for (const char control : {'\x01', '\x0b', '\x7f'}) {
-        http::Parser parser(http::Parser::Kind::request, http::Limits{std::size_t{16} * 1024, 64, kMaxBody});
+        http::Parser parser(http::Parser::Kind::request, http::Limits{std::size_t{16} * 1024, 64, kMaxBodyBytes});
         parser.feed("POST /v1/chat/completions HTTP/1.1\r\nX-Note: a" + std::string(1, control) +
                     "b\r\n\r\n");
         EXPECT_NE(parser.fault(), http::Fault::none) << int{control};
--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -104,11 +104,11 @@
     RequestLifecycle lifecycle{config.named, 1, hosts, world};
     RecordingClient client;
 
-    void SetUp() override { list(config.known); }
+    void SetUp() override { list(config.cached_list); }
     void TearDown() override {
-        EXPECT_EQ(lifecycle.open(), 0u);
+        EXPECT_EQ(lifecycle.open_requests(), 0u);
         EXPECT_EQ(lifecycle.attempts_in_flight(), 0u);
-        EXPECT_EQ(lifecycle.releases(), 0u);
+        EXPECT_EQ(lifecycle.releases_in_progress(), 0u);
     }
     void list(const std::string& text) {
         std::string why;
--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -156,9 +156,9 @@
         }
         for (const auto& [id, a] : asked) EXPECT_EQ(a.client.ended, a.gone ? 0 : 1) << id;
         EXPECT_TRUE(held.empty()) << *held.begin() << " is still held";
-        EXPECT_EQ(lifecycle.open(), 0u);
+        EXPECT_EQ(lifecycle.open_requests(), 0u);
         EXPECT_EQ(lifecycle.attempts_in_flight(), 0u);
-        EXPECT_EQ(lifecycle.releases(), 0u);
+        EXPECT_EQ(lifecycle.releases_in_progress(), 0u);
         if (drained) drain_decode_endpoint(false);
         if (HasFailure()) FAIL() << "seed " << seed;
     }
