--- a/tests/platform/access_log_test.cpp
+++ b/tests/platform/access_log_test.cpp
@@ -1,4 +1,4 @@
-// What the platform's log tells of requests that did not end well: which part the worth went to, and bounds.
+// Log lines of requests that were not served in time: their outcome, their text, and the rate limit.
 #include "platform/access_log.h"
 
 #include <gtest/gtest.h>
@@ -17,11 +17,11 @@
     return settings;
 }
 
-TEST(AccessLog, AWholeAnswerIsInTimeLateOrSlow) {
+TEST(AccessLog, ACompleteAnswerIsInTimeLateOrSlow) {
     const Settings settings = chat();
     const AccessLog log(settings);
     RequestRecord record;
-    record.prompt_tokens = 2000;  // aim: 1,200 ms
+    record.prompt_tokens = 2000;  // latency objective: 1,200 ms
     record.attempts = {{"r", true, false, AttemptResult::prefill_done, 0, 100},
                        {"w", false, false, AttemptResult::served, 100, 2000}};
     record.first_token = 200, record.ended = 2000, record.completion_tokens = 100;
@@ -30,22 +30,22 @@
     EXPECT_EQ(log.classify_served(record), RequestOutcome::slow_stream);
     record.completion_tokens = 0;
     EXPECT_EQ(log.classify_served(record), RequestOutcome::in_time)
-        << "an answer that does not say its length is not judged by pace";
+        << "without its number of tokens the inter-token time of an answer is unknown";
     record.first_token = 1300;
     EXPECT_EQ(log.classify_served(record), RequestOutcome::late_decode);
     record.attempts[0].ended_at = 1250;
     EXPECT_EQ(log.classify_served(record), RequestOutcome::late_prefill);
 }
 
-TEST(AccessLog, LinesAreBoundedAndWhatIsLeftOutCounts) {
+TEST(AccessLog, LinesAreRateLimitedAndSuppressedOnesCounted) {
     const Settings settings = chat();
     AccessLog log(settings);
-    int told = 0;
-    for (int i = 0; i < 1000; ++i) told += log.count(i, RequestOutcome::rejected, EndCause::shed_load);
-    EXPECT_EQ(told, AccessLog::kLinesPerSecond);
+    int logged = 0;
+    for (int i = 0; i < 1000; ++i) logged += log.count(i, RequestOutcome::rejected, EndCause::shed_load);
+    EXPECT_EQ(logged, AccessLog::kLinesPerSecond);
     EXPECT_EQ(log.not_logged(), 1000u - AccessLog::kLinesPerSecond);
     EXPECT_TRUE(log.count(1001, RequestOutcome::rejected));
-    EXPECT_FALSE(log.count(5000, RequestOutcome::in_time)) << "what ended well is only counted";
+    EXPECT_FALSE(log.count(5000, RequestOutcome::in_time)) << "a request served in time is only counted";
     EXPECT_EQ(log.outcomes()[static_cast<std::size_t>(RequestOutcome::rejected)], 1001u);
     EXPECT_EQ(log.causes()[static_cast<std::size_t>(EndCause::shed_load)], 1000u);
     RequestRecord record;
@@ -59,14 +59,14 @@
     EXPECT_LT(line.size(), 400u);
 }
 
-TEST(AccessLog, TheLengthOfAnAnswerIsReadFromItsClosingEvent) {
+TEST(AccessLog, CompletionTokensAreReadFromTheClosingEvent) {
     EXPECT_EQ(completion_tokens("data: {\"usage\":{\"completion_tokens\": 37,\"x\":1}}\n\n"), 37);
     EXPECT_EQ(completion_tokens("data: {\"choices\":[]}\n\n"), 0);
     EXPECT_EQ(completion_tokens("\"completion_tokens\":"), 0);
     EXPECT_EQ(completion_tokens("\"completion_tokens\":-5"), 0);
 }
 
-TEST(AccessLog, ALineTellsWhatWasHeldAndWhatWasProved) {
+TEST(AccessLog, TheLeaseTimelineShowsOriginTimesAndConfirmation) {
     control::KvLease::Timeline timeline;
     timeline.acquired = 1023, timeline.expiring = 1623, timeline.written = 1024;
     EXPECT_EQ(describe_timeline(timeline, 1000, 1700, "r1", "w1"),
@@ -81,13 +81,13 @@
               "lease 677 slot_requested at w2, acquired 23, expiring 623, release 640");
 }
 
-TEST(LogRateLimiter, SoManyASecondAndTheRestIsCounted) {
-    LogRateLimiter lines(2);
-    EXPECT_TRUE(lines.allow(0));
-    EXPECT_TRUE(lines.allow(10));
-    EXPECT_FALSE(lines.allow(999));
-    EXPECT_TRUE(lines.allow(1000));
-    EXPECT_EQ(lines.not_logged(), 1u);
+TEST(LogRateLimiter, AllowsLinesPerSecondAndCountsTheRest) {
+    LogRateLimiter limiter(2);
+    EXPECT_TRUE(limiter.allow(0));
+    EXPECT_TRUE(limiter.allow(10));
+    EXPECT_FALSE(limiter.allow(999));
+    EXPECT_TRUE(limiter.allow(1000));
+    EXPECT_EQ(limiter.not_logged(), 1u);
 }
 
 }  // namespace
--- a/tests/platform/client_connection_test.cpp
+++ b/tests/platform/client_connection_test.cpp
@@ -1,64 +1,63 @@
-// One connection of a client: what is ended in the very moment in which bytes come, pipelined requests,
-// timeouts.
+// A client connection: closes that race with incoming bytes, pipelined requests, timeouts.
 #include "platform/client_connections_fixture.h"
 
 namespace gorsenotch::test {
 namespace {
 
-// A client that asks for the close waits for it: it would hold its place for as long as idle ones may.
-TEST_F(ClientConnectionsTest, AStreamWhoseClientAskedForTheCloseIsFollowedByAFin) {
+// Guards against not closing the connection of a client that has sent `connection: close` and waits for the
+// close: it would occupy a connection slot until its idle timeout.
+TEST_F(ClientConnectionsTest, AStreamIsFollowedByAFinIfTheClientRequestedTheClose) {
     BlockingClient peer(clients->port());
-    peer.send(with(post("t1"), "x-lane", "connection: close\r\nx-lane"));
-    until([&] { return sent("t1") > 0; });
-    serve();
-    until([&] { return peer.look(), peer.ended; });
+    peer.send(replace_once(post_request("t1"), "x-lane", "connection: close\r\nx-lane"));
+    run_until([&] { return times_sent("t1") > 0; });
+    answer_exchanges();
+    run_until([&] { return peer.look(), peer.ended; });
     EXPECT_NE(peer.text.find("connection: close\r\n"), std::string::npos);
     EXPECT_NE(peer.text.find("0\r\n\r\n"), std::string::npos);
     EXPECT_FALSE(peer.reset);
 }
 
-TEST_F(ClientConnectionsTest, ARequestThatLiesUnreadAsTheGatewayDepartsIsServed) {
-    const auto peer = rested("t1");
-    peer->send(post("t2"));  // in the kernel, and not read yet
+TEST_F(ClientConnectionsTest, AnUnreadRequestIsServedWhenTheGatewayStops) {
+    const auto peer = idle_connection("t1");
+    peer->send(post_request("t2"));  // in the kernel, and not read yet
     clients->stop_accepting();
-    until([&] { return sent("t2") > 0; });
-    serve();
-    until([&] { return peer->look(), peer->ended; });
+    run_until([&] { return times_sent("t2") > 0; });
+    answer_exchanges();
+    run_until([&] { return peer->look(), peer->ended; });
     EXPECT_NE(peer->text.find("HTTP/1.1 200"), std::string::npos);
     EXPECT_NE(peer->text.find("0\r\n\r\n"), std::string::npos);
     EXPECT_FALSE(peer->reset);
 }
 
-TEST_F(ClientConnectionsTest, ARequestThatComesAfterTheFinIsNotSentOnAndItsClientSeesNoReset) {
-    const auto peer = rested("t1");
+TEST_F(ClientConnectionsTest, ARequestAfterTheFinIsNotForwardedAndItsClientSeesNoReset) {
+    const auto peer = idle_connection("t1");
     clients->stop_accepting();
-    until([&] { return peer->look(), peer->ended; });
-    peer->send(post("t2"));
+    run_until([&] { return peer->look(), peer->ended; });
+    peer->send(post_request("t2"));
     run(50);
     peer->look();
-    EXPECT_EQ(sent("t2"), 0u);
+    EXPECT_EQ(times_sent("t2"), 0u);
     EXPECT_EQ(peer->text, "");
-    EXPECT_FALSE(peer->reset) << "what comes late is read and thrown away";
+    EXPECT_FALSE(peer->reset) << "input after the FIN is read and discarded";
     peer->close();
-    until([&] { return clients->connections() == 0; });
+    run_until([&] { return clients->connections() == 0; });
 }
 
-// Pipelined requests that the gateway has read behind an open one as it departs, and one that lies unread
-// then.
-TEST_F(ClientConnectionsTest, RequestsBehindAnOpenOneAreServedThoughTheGatewayDeparts) {
+// Covers a pipelined request that the gateway has already read when it stops, and one that it has not.
+TEST_F(ClientConnectionsTest, PipelinedRequestsAreServedWhenTheGatewayStops) {
     BlockingClient peer(clients->port());
-    peer.send(post("t1") + post("t2"));
-    until([&] { return sent("t1") > 0; });
+    peer.send(post_request("t1") + post_request("t2"));
+    run_until([&] { return times_sent("t1") > 0; });
     clients->stop_accepting();
-    serve();
-    serve();
-    peer.send(post("t3"));  // unread as the first answer ends
+    answer_exchanges();
+    answer_exchanges();
+    peer.send(post_request("t3"));  // unread as the first answer ends
     for (const char* txn : {"t2", "t3"}) {
-        until([&] { return sent(txn) > 0; });
-        serve();
-        serve();
+        run_until([&] { return times_sent(txn) > 0; });
+        answer_exchanges();
+        answer_exchanges();
     }
-    until([&] { return peer.look(), peer.ended; });
+    run_until([&] { return peer.look(), peer.ended; });
     std::size_t answers = 0;
     for (std::size_t at = 0; (at = peer.text.find("0\r\n\r\n", at)) != std::string::npos; ++at) ++answers;
     EXPECT_EQ(answers, 3u) << peer.text;
@@ -73,19 +72,20 @@
     }
 };
 
-// Guards against an empty line taken for half a request: some clients send one behind a body (RFC 9112, 2.2),
-// and would be answered 408 on a connection that rests, in which their next request may cross.
-TEST_F(ShortRequestTimeoutTest, EmptyLinesBeforeARequestAreNoRequest) {
-    const auto peer = rested("t1");
+// Guards against treating an empty line as the start of a request. Some clients send one after a body (RFC
+// 9112, 2.2); they would be answered 408 on an idle connection, possibly just as they send their next
+// request.
+TEST_F(ShortRequestTimeoutTest, EmptyLinesBeforeARequestAreIgnored) {
+    const auto peer = idle_connection("t1");
     peer->send("\r\n");
     run(400);
     peer->look();
     EXPECT_EQ(peer->text, "");
     EXPECT_FALSE(peer->ended);
-    peer->send("\r\n" + post("t2"));
-    until([&] { return sent("t2") > 0; });
-    serve();
-    until([&] { return peer->look(), peer->text.find("0\r\n\r\n") != std::string::npos; });
+    peer->send("\r\n" + post_request("t2"));
+    run_until([&] { return times_sent("t2") > 0; });
+    answer_exchanges();
+    run_until([&] { return peer->look(), peer->text.find("0\r\n\r\n") != std::string::npos; });
     EXPECT_EQ(peer->text.rfind("HTTP/1.1 200", 0), 0u) << peer->text;
 }
 
@@ -99,34 +99,34 @@
     }
 };
 
-TEST_F(ShortIdleTimeoutTest, AnIdleConnectionEndsByAFinThatCrossesARequestWithoutAReset) {
-    const auto peer = rested("t1");
-    until([&] { return peer->look(), peer->ended; });
-    peer->send(post("t2"));
+TEST_F(ShortIdleTimeoutTest, ARequestThatCrossesTheIdleFinSeesNoReset) {
+    const auto peer = idle_connection("t1");
+    run_until([&] { return peer->look(), peer->ended; });
+    peer->send(post_request("t2"));
     run(30);
     peer->look();
-    EXPECT_EQ(sent("t2"), 0u);
+    EXPECT_EQ(times_sent("t2"), 0u);
     EXPECT_FALSE(peer->reset);
 }
 
-TEST_F(ShortIdleTimeoutTest, ASilentNewConnectionEndsWithoutAnAnswerAndWithoutAReset) {
+TEST_F(ShortIdleTimeoutTest, ANewConnectionWithoutARequestEndsWithoutAnAnswerOrReset) {
     BlockingClient peer(clients->port());
-    until([&] { return peer.look(), peer.ended || peer.reset; });
+    run_until([&] { return peer.look(), peer.ended || peer.reset; });
     EXPECT_FALSE(peer.reset);
     EXPECT_EQ(peer.text, "");
 }
 
-TEST_F(ClientConnectionsTest, WhoSendsTooMuchBehindAnOpenRequestIsEndedAndItsRequestCalledOff) {
+TEST_F(ClientConnectionsTest, TooManyPipelinedBytesEndTheConnectionAndCancelItsRequest) {
     BlockingClient peer(clients->port());
-    peer.send(post("t1"));
-    until([&] { return sent("t1") > 0; });
-    const auto read = world.sent.back().attempt;
-    for (int i = 0; i < 10; ++i) peer.send(post("flood" + std::to_string(i), std::string(2000, 'x')));
-    until([&] { return peer.look(), peer.ended; });
-    EXPECT_TRUE(read->is_over());
-    EXPECT_EQ(sent("flood0"), 0u);
+    peer.send(post_request("t1"));
+    run_until([&] { return times_sent("t1") > 0; });
+    const auto prefill = environment.exchanges.back().exchange;
+    for (int i = 0; i < 10; ++i) peer.send(post_request("flood" + std::to_string(i), std::string(2000, 'x')));
+    run_until([&] { return peer.look(), peer.ended; });
+    EXPECT_TRUE(prefill->is_over());
+    EXPECT_EQ(times_sent("flood0"), 0u);
     EXPECT_FALSE(peer.reset);
-    serve();
+    answer_exchanges();
 }
 
 }  // namespace
--- a/tests/platform/client_connections_fixture.h
+++ b/tests/platform/client_connections_fixture.h
@@ -1,5 +1,6 @@
-// A listener of ClientConnections on loopback for tests, with real sockets and a fake environment behind it.
-// The peer's bytes lie in the kernel before the gateway acts, so each order of events happens every time.
+// The fixture for tests of client connections: a listener on loopback with real sockets, and a fake
+// environment in place of the endpoints. The peer's bytes are in the kernel before the gateway acts, so that
+// the order of events is the same in every run.
 #pragma once
 
 #include <functional>
@@ -13,7 +14,7 @@
 
 namespace gorsenotch::test {
 
-inline std::string post(const std::string& txn, const std::string& body = "{}") {
+inline std::string post_request(const std::string& txn, const std::string& body = "{}") {
     return "POST /v1/chat/completions HTTP/1.1\r\nx-txn: " + txn +
            "\r\nx-lane: chat\r\nx-org: acme\r\nx-remaining: 5000m\r\ncontent-length: " +
            std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -22,58 +23,60 @@
 struct ClientConnectionsTest : ::testing::Test {
     net::EventLoop loop;
     platform::Config config = parse_config(kConfig, "", "");
-    FakeEnvironment world;
-    EndpointList hosts{config.named, 0};
-    RequestLifecycle relay{config.named, 1, hosts, world};
+    FakeEnvironment environment;
+    EndpointList endpoints{config.named, 0};
+    RequestLifecycle lifecycle{config.named, 1, endpoints, environment};
     std::unique_ptr<ClientConnections> clients;
 
     void start(ClientConnections::Config listener_config) {
-        std::string why;
-        auto list = hosts.take(config.cached_list, EndpointList::Source::same_address, 0, why);
-        ASSERT_TRUE(list) << why;
-        relay.on_endpoint_update(std::move(*list));
+        std::string rejection;
+        auto list = endpoints.take(config.cached_list, EndpointList::Source::same_address, 0, rejection);
+        ASSERT_TRUE(list) << rejection;
+        lifecycle.on_endpoint_update(std::move(*list));
         listener_config.listen = "127.0.0.1:0";
-        clients = std::make_unique<ClientConnections>(loop, config.named, relay, listener_config);
+        clients = std::make_unique<ClientConnections>(loop, config.named, lifecycle, listener_config);
         ASSERT_EQ(clients->listen(), 0);
     }
     void SetUp() override { start(ClientConnections::Config()); }
-    void run(Millis ms) {
+    void run(Millis duration) {
         net::Timer end(loop, [this] { loop.stop(); });
-        end.fire_after(ms);
+        end.fire_after(duration);
         loop.run();
     }
-    // Runs the loop until `holds`, two seconds at most.
-    void until(const std::function<bool()>& holds) {
-        for (const Millis end = net::now() + 2000; !holds() && net::now() < end;) run(2);
-        EXPECT_TRUE(holds());
+    // Runs the loop until `condition` is true, for two seconds at most.
+    void run_until(const std::function<bool()>& condition) {
+        for (const Millis end = net::now() + 2000; !condition() && net::now() < end;) run(2);
+        EXPECT_TRUE(condition());
     }
-    std::size_t sent(const std::string& txn) const {
+    // How often a request with this transaction id was sent to an endpoint.
+    std::size_t times_sent(const std::string& txn) const {
         return static_cast<std::size_t>(
-            std::count_if(world.sent.begin(), world.sent.end(), [&](const FakeEnvironment::Sent& call) {
-                return call.request.find("x-txn: " + txn + "\r\n") != std::string::npos;
-            }));
+            std::count_if(environment.exchanges.begin(), environment.exchanges.end(),
+                          [&](const FakeEnvironment::StartedExchange& call) {
+                              return call.request.find("x-txn: " + txn + "\r\n") != std::string::npos;
+                          }));
     }
-    // Serves whatever is out: reads are done, writes stream one event.
-    void serve() {
-        for (std::size_t i = 0; i < world.sent.size(); ++i) {
-            const auto sent = world.sent[i];
-            if (sent.attempt->is_over() || sent.closed) continue;
-            if (sent.request.rfind("DELETE", 0) == 0) {
-                sent.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
-            } else if (sent.address == "10.0.0.3:1") {
-                sent.attempt->on_data(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
+    // Answers all exchanges in flight: releases and prefills succeed, decodes stream one event.
+    void answer_exchanges() {
+        for (std::size_t i = 0; i < environment.exchanges.size(); ++i) {
+            const auto started = environment.exchanges[i];
+            if (started.exchange->is_over() || started.closed) continue;
+            if (started.request.rfind("DELETE", 0) == 0) {
+                started.exchange->on_data("HTTP/1.1 204 No Content\r\n\r\n");
+            } else if (started.address == "10.0.0.3:1") {
+                started.exchange->on_data(kStreamHead + chunked("data: a\n\n") + "0\r\n\r\n");
             } else {
-                sent.attempt->on_data("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}");
+                started.exchange->on_data("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}");
             }
         }
     }
-    // A connection on which one request has been answered.
-    std::unique_ptr<BlockingClient> rested(const std::string& txn) {
+    // An idle connection on which one request was answered.
+    std::unique_ptr<BlockingClient> idle_connection(const std::string& txn) {
         auto peer = std::make_unique<BlockingClient>(clients->port());
-        peer->send(post(txn));
-        until([&] { return sent(txn) > 0; });
-        serve();
-        until([&] { return peer->look(), peer->text.find("0\r\n\r\n") != std::string::npos; });
+        peer->send(post_request(txn));
+        run_until([&] { return times_sent(txn) > 0; });
+        answer_exchanges();
+        run_until([&] { return peer->look(), peer->text.find("0\r\n\r\n") != std::string::npos; });
         peer->text.clear();
         return peer;
     }
--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -1,4 +1,5 @@
-// The listener of client connections: capacity, eviction, and what lies unaccepted as the gateway stops.
+// The listener of client connections: capacity, eviction, and connections not yet accepted when the gateway
+// stops.
 #include <vector>
 
 #include "platform/client_connections_fixture.h"
@@ -6,14 +7,14 @@
 namespace gorsenotch::test {
 namespace {
 
-TEST_F(ClientConnectionsTest, AConnectionThatLiesUnacceptedAsTheGatewayDepartsIsServed) {
+TEST_F(ClientConnectionsTest, AnUnacceptedConnectionIsServedWhenTheGatewayStops) {
     const int port = clients->port();
     BlockingClient peer(port);
-    peer.send(post("t1"));
+    peer.send(post_request("t1"));
     clients->stop_accepting();
-    until([&] { return sent("t1") > 0; });
-    serve();
-    until([&] { return peer.look(), peer.ended; });
+    run_until([&] { return times_sent("t1") > 0; });
+    answer_exchanges();
+    run_until([&] { return peer.look(), peer.ended; });
     EXPECT_NE(peer.text.find("0\r\n\r\n"), std::string::npos);
     EXPECT_FALSE(peer.reset);
 }
@@ -27,60 +28,60 @@
     }
 };
 
-TEST_F(FewConnectionsTest, ARefusedConnectionGetsItsAnswerThoughItsRequestIsUnread) {
+TEST_F(FewConnectionsTest, ARejectedConnectionIsAnsweredThoughItsRequestIsUnread) {
     BlockingClient one(clients->port());
     BlockingClient two(clients->port());
-    one.send(post("t1")), two.send(post("t2"));
-    until([&] { return sent("t1") + sent("t2") == 2; });
+    one.send(post_request("t1")), two.send(post_request("t2"));
+    run_until([&] { return times_sent("t1") + times_sent("t2") == 2; });
     BlockingClient third(clients->port());
-    third.send(post("t3"));
-    until([&] { return third.look(), third.ended || third.reset; });
+    third.send(post_request("t3"));
+    run_until([&] { return third.look(), third.ended || third.reset; });
     EXPECT_NE(third.text.find("HTTP/1.1 503"), std::string::npos);
     EXPECT_FALSE(third.reset);
-    EXPECT_EQ(sent("t3"), 0u);
-    serve();
-    serve();
-    until([&] { return one.look(), two.look(), !one.text.empty() && !two.text.empty(); });
+    EXPECT_EQ(times_sent("t3"), 0u);
+    answer_exchanges();
+    answer_exchanges();
+    run_until([&] { return one.look(), two.look(), !one.text.empty() && !two.text.empty(); });
 }
 
-TEST_F(FewConnectionsTest, TheOneThatMakesRoomIsNotOneWhoseRequestHasCome) {
+TEST_F(FewConnectionsTest, AConnectionWithAnUnreadRequestIsNotEvicted) {
     BlockingClient first(clients->port());
     BlockingClient second(clients->port());
-    until([&] { return clients->connections() == 2; });
+    run_until([&] { return clients->connections() == 2; });
     run(150);
     BlockingClient third(clients->port());
-    third.send(post("t2"));
-    first.send(post("t1"));  // on the one that has been silent for longer; read after the third is accepted
-    until([&] { return sent("t1") + sent("t2") == 2; });
-    until([&] { return second.look(), second.ended; });
-    serve();
-    serve();
-    until([&] { return first.look(), third.look(), !first.text.empty() && !third.text.empty(); });
+    third.send(post_request("t2"));
+    first.send(post_request("t1"));  // on the oldest connection; read only after the third is accepted
+    run_until([&] { return times_sent("t1") + times_sent("t2") == 2; });
+    run_until([&] { return second.look(), second.ended; });
+    answer_exchanges();
+    answer_exchanges();
+    run_until([&] { return first.look(), third.look(), !first.text.empty() && !third.text.empty(); });
     EXPECT_NE(first.text.find("HTTP/1.1 200"), std::string::npos);
     EXPECT_NE(third.text.find("HTTP/1.1 200"), std::string::npos);
     EXPECT_FALSE(first.reset || second.reset || third.reset);
 }
 
-TEST_F(FewConnectionsTest, ConnectionsThatEndAreBoundedUnderAFlood) {
+TEST_F(FewConnectionsTest, EndingConnectionsAreBoundedUnderAConnectionFlood) {
     BlockingClient one(clients->port());
     BlockingClient two(clients->port());
-    one.send(post("t1")), two.send(post("t2"));
-    until([&] { return sent("t1") + sent("t2") == 2; });
+    one.send(post_request("t1")), two.send(post_request("t2"));
+    run_until([&] { return times_sent("t1") + times_sent("t2") == 2; });
     std::vector<std::unique_ptr<BlockingClient>> flood;
     for (int i = 0; i < 60; ++i) {
         flood.push_back(std::make_unique<BlockingClient>(clients->port()));
         run(1);
         EXPECT_LE(clients->connections(), 2 + ClientConnections::kMaxEndingConnections);
     }
-    until([&] {
+    run_until([&] {
         std::size_t answered = 0;
         for (auto& client : flood) client->look(), answered += client->text.rfind("HTTP/1.1 503", 0) == 0;
         return answered == flood.size();
     });
     flood.clear();
-    serve();
-    serve();
-    until([&] { return one.look(), two.look(), !one.text.empty() && !two.text.empty(); });
+    answer_exchanges();
+    answer_exchanges();
+    run_until([&] { return one.look(), two.look(), !one.text.empty() && !two.text.empty(); });
 }
 
 }  // namespace
--- a/tests/platform/config_reloader_test.cpp
+++ b/tests/platform/config_reloader_test.cpp
@@ -1,5 +1,5 @@
-// A reload of the configuration file: taken at once where it can be, else tried again with the old one in
-// force.
+// Reloads of the configuration file: a valid file applies at once; an invalid one is retried while the
+// current configuration stays.
 #include "platform/config_reloader.h"
 
 #include <unistd.h>
@@ -39,26 +39,26 @@
     }
 };
 
-TEST_F(ConfigReloaderTest, AGoodFileIsTakenAtOnce) {
-    write(with(kConfig, "127.0.0.1:8500", "127.0.0.1:8501"));
+TEST_F(ConfigReloaderTest, AValidFileAppliesAtOnce) {
+    write(replace_once(kConfig, "127.0.0.1:8500", "127.0.0.1:8501"));
     reloader.reload();
     EXPECT_EQ(discoveries, std::vector<std::string>{"127.0.0.1:8501"});
     EXPECT_EQ(events, std::vector<std::string>{"reloaded"});
 }
 
-TEST_F(ConfigReloaderTest, AFileWithoutDiscoveryKeepsTheAddressInForce) {
-    write(with(kConfig, "\"discovery\":\"127.0.0.1:8500\",", ""));
+TEST_F(ConfigReloaderTest, AFileWithoutDiscoveryKeepsTheCurrentAddress) {
+    write(replace_once(kConfig, "\"discovery\":\"127.0.0.1:8500\",", ""));
     reloader.reload();
     EXPECT_EQ(discoveries, std::vector<std::string>{"127.0.0.1:8500"});
 }
 
-TEST_F(ConfigReloaderTest, AFileThatIsHalfWrittenIsReadAgainAndItsRejectionLoggedOnce) {
+TEST_F(ConfigReloaderTest, ATruncatedFileIsRetriedAndItsRejectionLoggedOnce) {
     write(std::string(kConfig).substr(0, 100));
     reloader.reload();
     run(180);
     EXPECT_TRUE(discoveries.empty());
     EXPECT_EQ(events, std::vector<std::string>{"reload_refused"});
-    write(with(kConfig, "127.0.0.1:8500", "127.0.0.1:8502"));
+    write(replace_once(kConfig, "127.0.0.1:8500", "127.0.0.1:8502"));
     run(180);
     EXPECT_EQ(discoveries, std::vector<std::string>{"127.0.0.1:8502"});
     EXPECT_EQ(events, (std::vector<std::string>{"reload_refused", "reloaded"}));
--- a/tests/platform/lease_keeper_test.cpp
+++ b/tests/platform/lease_keeper_test.cpp
@@ -1,34 +1,35 @@
-// KV-cache leases, from the end of a prefill to the release: each path by which a decode attempt, a prefill,
-// a connection or a reserved slot may say nothing. The settings allow 1,000 ms for a release; one has to
-// begin early enough for 450 ms of silent endpoints after it.
+// KV-cache leases, from the end of a prefill to the release, if a decode attempt, a prefill, a connection or
+// a slot reservation gets no response. The release timeout is 1,000 ms; a release has to start early enough
+// to leave 450 ms for calls to unresponsive endpoints.
 #include "platform/platform_world.h"
 
 namespace gorsenotch::test {
 namespace {
 
-// After a state came to be held a release has been sent: while a decode attempt is in flight, and while a
-// prefill is.
-constexpr Millis kInTime = 650;
-constexpr Millis kReadInTime = 710;
+// The limits for the time from the acquisition of a lease to its first release call, with a decode attempt
+// and with a prefill in flight.
+constexpr Millis kDecodeReleaseLimit = 650;
+constexpr Millis kPrefillReleaseLimit = 710;
 
 struct LeaseKeeperTest : PlatformTest {
-    Millis made = 0;
-    void made_now() { made = world.clock; }
-    std::size_t released_by(Millis after) {
-        if (world.clock < made + after) advance(made + after - world.clock);
-        return releases();
+    Millis acquired_at = 0;
+    void mark_acquired() { acquired_at = environment.now_ms; }
+    // Advances to `duration` after the acquisition; returns the number of release calls so far.
+    std::size_t release_calls_within(Millis duration) {
+        if (environment.now_ms < acquired_at + duration) advance(acquired_at + duration - environment.now_ms);
+        return release_calls();
     }
-    // Two requests that are long over, so that a server can be asked by their ids.
-    void serve_two() {
+    // Completes two requests, whose ids health checks may use afterwards.
+    void complete_two_requests() {
         for (const char* txn : {"over1", "over2"}) {
             send_request(txn, client);
             answer_prefill();
-            answer(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
+            answer(kStreamHead + chunked("data: a\n\n") + "0\r\n\r\n");
             advance(1100);
         }
-        world.sent.clear();
+        environment.exchanges.clear();
     }
-    void finish() {
+    void shut_down() {
         lifecycle.shutdown();
         for (int i = 0; i < 6; ++i) {
             answer_all_releases();
@@ -37,152 +38,157 @@
     }
 };
 
-TEST_F(LeaseKeeperTest, AnUnprovedStateIsReleasedInTime) {
-    serve_two();
-    const auto silent_write = [&] {
+TEST_F(LeaseKeeperTest, AnUnconfirmedLeaseIsReleasedInTime) {
+    complete_two_requests();
+    const auto start_unanswered_decode = [&] {
         send_request("t1", client);
         answer_prefill();
-        made_now();
-        ASSERT_EQ(last().address, "10.0.0.3:1");
+        mark_acquired();
+        ASSERT_EQ(last_exchange().address, "10.0.0.3:1");
     };
     {
-        SCOPED_TRACE("its bytes are swallowed");
-        silent_write();
-        EXPECT_EQ(released_by(500), 0u) << "proof may still come";
-        const auto write = last().attempt;
-        EXPECT_GE(released_by(kInTime), 1u);
-        EXPECT_FALSE(write->is_over()) << "a sound but slow write loses nothing by it";
-        finish();
+        SCOPED_TRACE("the decode request is never answered");
+        start_unanswered_decode();
+        EXPECT_EQ(release_calls_within(500), 0u) << "the decode may still be confirmed";
+        const auto decode = last_exchange().exchange;
+        EXPECT_GE(release_calls_within(kDecodeReleaseLimit), 1u);
+        EXPECT_FALSE(decode->is_over()) << "the release must not end a decode that is only slow";
+        shut_down();
     }
     {
-        SCOPED_TRACE("its connection does not come up");
-        world.sent.clear();
-        world.dials_wait = true;
+        SCOPED_TRACE("the connection of the decode is not established");
+        environment.exchanges.clear();
+        environment.manual_connect = true;
         send_request("t2", client);
-        world.sent.back().attempt->on_request_written();
+        environment.exchanges.back().exchange->on_request_written();
         answer_prefill();
-        made_now();
-        EXPECT_GE(released_by(kInTime), 1u);
-        world.dials_wait = false;
-        for (const auto& sent : world.sent) {
-            const bool write = sent.address == "10.0.0.3:1" && sent.request.rfind("DELETE", 0) != 0;
-            if (!write) continue;
-            EXPECT_FALSE(sent.attempt->may_start()) << "there is nothing for it to take any more";
+        mark_acquired();
+        EXPECT_GE(release_calls_within(kDecodeReleaseLimit), 1u);
+        environment.manual_connect = false;
+        for (const auto& started : environment.exchanges) {
+            const bool is_decode = started.address == "10.0.0.3:1" && started.request.rfind("DELETE", 0) != 0;
+            if (!is_decode) continue;
+            EXPECT_FALSE(started.exchange->may_start()) << "the KV cache was released";
         }
-        finish();
+        shut_down();
     }
     {
-        SCOPED_TRACE("a read is out while what an earlier one left may stand");
-        world.sent.clear();
+        SCOPED_TRACE("a prefill is in flight while an earlier one may have left a KV cache");
+        environment.exchanges.clear();
         send_request("t3", client);
-        last().attempt->on_connection_closed();  // the connection broke: it may have ended well
-        made_now();
-        ASSERT_NE(last().address, "10.0.0.3:1");
-        ASSERT_FALSE(last().attempt->is_over()) << "a second read is out, and nobody says anything";
-        EXPECT_GE(released_by(kReadInTime), 1u);
-        finish();
+        last_exchange().exchange->on_connection_closed();  // the prefill may have completed
+        mark_acquired();
+        ASSERT_NE(last_exchange().address, "10.0.0.3:1");
+        ASSERT_FALSE(last_exchange().exchange->is_over())
+            << "the second prefill is in flight and not answered";
+        EXPECT_GE(release_calls_within(kPrefillReleaseLimit), 1u);
+        shut_down();
     }
     {
-        SCOPED_TRACE("a place is held");
-        world.sent.clear();
+        SCOPED_TRACE("a slot may be reserved");
+        environment.exchanges.clear();
         const auto handle = send_request("t4", client);
-        EndpointId writer = 0;
-        for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
-        lifecycle.execute(ReserveSlot{std::to_string(handle), writer});
-        made_now();
-        EXPECT_GE(released_by(kReadInTime), 1u);
-        finish();
+        EndpointId decode_endpoint = 0;
+        for (const auto& [id, listed] : endpoints.all())
+            decode_endpoint = listed.name == "w1" ? id : decode_endpoint;
+        lifecycle.execute(ReserveSlot{std::to_string(handle), decode_endpoint});
+        mark_acquired();
+        EXPECT_GE(release_calls_within(kPrefillReleaseLimit), 1u);
+        shut_down();
     }
 }
 
-// Found on the fleet bench (four in five writers silent, release within 500 ms): a state stood at its reader
-// while four connections, one after another, did not come up.
+// Guards against a KV cache being held beyond a release timeout of 500 ms: with four in five decode endpoints
+// unresponsive, four connections in a row were not established, and the lease was not released meanwhile.
 struct HalfSecondLeaseTest : PlatformTest {
-    HalfSecondLeaseTest() : PlatformTest(with(kConfig, "\"LetGoByMs\":1000.0", "\"LetGoByMs\":500.0")) {}
+    HalfSecondLeaseTest()
+        : PlatformTest(replace_once(kConfig, "\"LetGoByMs\":1000.0", "\"LetGoByMs\":500.0")) {}
 };
 
-TEST_F(HalfSecondLeaseTest, AStateIsReleasedWhileConnectionsDoNotComeUp) {
+TEST_F(HalfSecondLeaseTest, ALeaseIsReleasedWhileConnectionsAreNotEstablished) {
     std::string rows =
         R"({"host":"r1","dial":"10.0.0.1:1","site":"a","class":"prefill","block":1,"health":"up","share":1.0,"born_ms":0})";
     for (int i = 1; i <= 4; ++i) {
         rows += R"(,{"host":"w)" + std::to_string(i) + R"(","dial":"10.0.1.)" + std::to_string(i) +
                 R"(:1","site":"a","class":"decode","block":1,"health":"up","share":1.0,"born_ms":0})";
     }
-    list("{\"seq\":9,\"whole\":true,\"hosts\":[" + rows + "]}");
-    world.dials_wait = true;
+    apply_list("{\"seq\":9,\"whole\":true,\"hosts\":[" + rows + "]}");
+    environment.manual_connect = true;
     send_request("t1", client);
-    ASSERT_EQ(last().address, "10.0.0.1:1");
+    ASSERT_EQ(last_exchange().address, "10.0.0.1:1");
     answer_prefill();
-    const Millis made = world.clock;
-    Millis released = -1;
-    bool read_again = false;
-    for (int dial = 0; dial < 4 && released < 0; ++dial) {
-        for (int step = 0; step < 50 && released < 0; ++step) {
+    const Millis acquired_at = environment.now_ms;
+    Millis released_at = -1;
+    bool prefill_repeated = false;
+    for (int attempt = 0; attempt < 4 && released_at < 0; ++attempt) {
+        for (int step = 0; step < 50 && released_at < 0; ++step) {
             advance(5);
-            if (releases() > 0) released = world.clock;
+            if (release_calls() > 0) released_at = environment.now_ms;
         }
-        if (released >= 0) break;
-        last().attempt->on_connect_failed();
+        if (released_at >= 0) break;
+        last_exchange().exchange->on_connect_failed();
     }
-    for (const auto& sent : world.sent) {
-        const bool read = sent.address == "10.0.0.1:1" && sent.request.rfind("DELETE", 0) != 0;
-        read_again |= read && &sent != &world.sent.front();
+    for (const auto& started : environment.exchanges) {
+        const bool is_prefill = started.address == "10.0.0.1:1" && started.request.rfind("DELETE", 0) != 0;
+        prefill_repeated |= is_prefill && &started != &environment.exchanges.front();
     }
-    EXPECT_GE(released, 0);
-    EXPECT_LE(released - made, 400);
-    EXPECT_TRUE(read_again) << "the write whose connection was still awaited is given up for another read";
+    EXPECT_GE(released_at, 0);
+    EXPECT_LE(released_at - acquired_at, 400);
+    EXPECT_TRUE(prefill_repeated)
+        << "the decode that is still connecting is cancelled in favour of another prefill";
     lifecycle.shutdown();
     answer_all_releases();
     advance(12000);
 }
 
-// A release that is due while the read of the same request is out, at a server that answers others, would
-// take what that read leaves: its server is asked first.
-TEST_F(HalfSecondLeaseTest, ASlowPrefillWhoseEndpointAnswersChecksKeepsItsState) {
-    const auto served = [&](const std::string& txn) {
+// Guards against freeing the KV cache of a slow prefill: while a prefill is in flight, a release would free
+// what it leaves. So its endpoint gets health checks first, and the lease is extended while it answers them.
+TEST_F(HalfSecondLeaseTest, ASlowPrefillWhoseEndpointAnswersChecksKeepsItsLease) {
+    const auto complete_request = [&](const std::string& txn) {
         send_request(txn, client);
         answer_prefill();
-        answer(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
+        answer(kStreamHead + chunked("data: a\n\n") + "0\r\n\r\n");
     };
-    served("t1");
+    complete_request("t1");
     advance(1100);
-    served("t2");  // the first is long over now
+    complete_request("t2");  // more than a second after the end of t1
     advance(1100);
-    served("t3");
-    world.sent.clear();
+    complete_request("t3");
+    environment.exchanges.clear();
     send_request("t4", client);
-    const std::string reader = last().address;
+    const std::string prefill_endpoint = last_exchange().address;
     for (int round = 0; round < 2; ++round) {
-        const std::size_t before = world.sent.size();
+        const std::size_t before = environment.exchanges.size();
         advance(285);
-        ASSERT_EQ(world.sent.size(), before + 1) << "one question, round " << round;
-        EXPECT_EQ(last().address, reader);
-        EXPECT_EQ(last().request.rfind("DELETE /bootstrap/rooms/t1 ", 0) == 0 ||
-                      last().request.rfind("DELETE /bootstrap/rooms/t2 ", 0) == 0,
+        ASSERT_EQ(environment.exchanges.size(), before + 1) << "one health check in round " << round;
+        EXPECT_EQ(last_exchange().address, prefill_endpoint);
+        EXPECT_EQ(last_exchange().request.rfind("DELETE /bootstrap/rooms/t1 ", 0) == 0 ||
+                      last_exchange().request.rfind("DELETE /bootstrap/rooms/t2 ", 0) == 0,
                   true)
-            << last().request;
+            << last_exchange().request;
         answer("HTTP/1.1 204 No Content\r\n\r\n");
     }
-    for (const auto& sent : world.sent) EXPECT_EQ(sent.request.find("rooms/t4"), std::string::npos);
-    advance(290);  // and now it says nothing
+    for (const auto& started : environment.exchanges)
+        EXPECT_EQ(started.request.find("rooms/t4"), std::string::npos);
+    advance(290);  // this health check is not answered
     advance(155);
-    EXPECT_NE(last().request.find("rooms/t4"), std::string::npos);
-    EXPECT_NE(last().address, reader);
+    EXPECT_NE(last_exchange().request.find("rooms/t4"), std::string::npos);
+    EXPECT_NE(last_exchange().address, prefill_endpoint);
     lifecycle.shutdown();
     answer_all_releases();
     advance(12000);
 }
 
-TEST_F(PlatformTest, APrefillCutOffByADisconnectIsReleasedTwice) {
+TEST_F(PlatformTest, APrefillCancelledByADisconnectIsReleasedTwice) {
     const auto handle = send_request("t1", client);
     lifecycle.on_client_disconnected(handle);
-    EXPECT_TRUE(world.sent[0].closed);
-    EXPECT_EQ(releases(), 1u);
-    release();
+    EXPECT_TRUE(environment.exchanges[0].closed);
+    EXPECT_EQ(release_calls(), 1u);
+    answer_release();
     advance(400);
-    EXPECT_EQ(releases(), 2u) << "the read may have ended well just as it was cut off";
-    release();
-    EXPECT_EQ(client.ended, 0);
+    EXPECT_EQ(release_calls(), 2u) << "the prefill may have completed just before it was cancelled";
+    answer_release();
+    EXPECT_EQ(client.answers_ended, 0);
 }
 
 TEST_F(PlatformTest, EveryReservationIsReleasedWhateverItsAnswer) {
@@ -190,43 +196,46 @@
                                                            {"t409", "409 Conflict"},
                                                            {"t204", "204 No"},
                                                            {"t404", "404 Not"},
-                                                           {"silent", ""}};
+                                                           {"unanswered", ""}};
     for (const auto& [txn, status] : answers) {
         const auto handle = send_request(txn, client);
-        const std::size_t read = world.sent.size() - 1;
-        EndpointId writer = 0;
-        for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
-        lifecycle.execute(ReserveSlot{std::to_string(handle), writer});
-        ASSERT_EQ(world.sent.size(), read + 2);
-        EXPECT_EQ(last().request.rfind("POST /bootstrap/rooms/" + txn + " HTTP/1.1\r\n", 0), 0u);
-        EXPECT_EQ(last().address, "10.0.0.3:1");
-        const std::size_t call = world.sent.size() - 1;
+        const std::size_t prefill = environment.exchanges.size() - 1;
+        EndpointId decode_endpoint = 0;
+        for (const auto& [id, listed] : endpoints.all())
+            decode_endpoint = listed.name == "w1" ? id : decode_endpoint;
+        lifecycle.execute(ReserveSlot{std::to_string(handle), decode_endpoint});
+        ASSERT_EQ(environment.exchanges.size(), prefill + 2);
+        EXPECT_EQ(last_exchange().request.rfind("POST /bootstrap/rooms/" + txn + " HTTP/1.1\r\n", 0), 0u);
+        EXPECT_EQ(last_exchange().address, "10.0.0.3:1");
+        const std::size_t call = environment.exchanges.size() - 1;
         if (*status) answer(std::string("HTTP/1.1 ") + status + "\r\ncontent-length: 0\r\n\r\n");
-        EXPECT_TRUE(lifecycle.is_open(txn)) << "whatever the answer, the request goes on";
+        EXPECT_TRUE(lifecycle.is_open(txn)) << "the answer must not end the request";
         if (!*status) {
             advance(1200);
-            EXPECT_TRUE(world.sent[call].closed) << "a silent writer keeps no connection for good";
+            EXPECT_TRUE(environment.exchanges[call].closed) << "an unanswered reservation is closed";
         }
-        const std::size_t before = releases();
+        const std::size_t before = release_calls();
         lifecycle.on_client_disconnected(handle);
-        // Where the writer was silent a release is under way already, and several servers are asked at once.
-        EXPECT_GE(releases(), before + 1) << "a place may be held whatever was answered";
+        // After an unanswered reservation a release is in progress already, and may make several calls at
+        // once.
+        EXPECT_GE(release_calls(), before + 1) << "a slot may be reserved whatever the answer";
         if (*status) {
-            EXPECT_EQ(releases(), before + 1);
+            EXPECT_EQ(release_calls(), before + 1);
         }
-        EXPECT_TRUE(world.sent[read].closed);
+        EXPECT_TRUE(environment.exchanges[prefill].closed);
         answer_all_releases();
     }
 }
 
 TEST_F(PlatformTest, NoSlotIsReservedAtADrainingEndpoint) {
     const auto handle = send_request("t1", client);
-    EndpointId writer = 0;
-    for (const auto& [id, h] : hosts.all()) writer = h.name == "w1" ? id : writer;
+    EndpointId decode_endpoint = 0;
+    for (const auto& [id, listed] : endpoints.all())
+        decode_endpoint = listed.name == "w1" ? id : decode_endpoint;
     drain_decode_endpoint();
-    const std::size_t before = world.sent.size();
-    lifecycle.execute(ReserveSlot{std::to_string(handle), writer});
-    EXPECT_EQ(world.sent.size(), before);
+    const std::size_t before = environment.exchanges.size();
+    lifecycle.execute(ReserveSlot{std::to_string(handle), decode_endpoint});
+    EXPECT_EQ(environment.exchanges.size(), before);
     lifecycle.on_client_disconnected(handle);
     answer_all_releases();
 }
--- a/tests/platform/lease_releaser_test.cpp
+++ b/tests/platform/lease_releaser_test.cpp
@@ -1,118 +1,122 @@
-// Releases: which endpoints are asked, how often, until when, and how many calls may be in flight.
+// Releases: which endpoints are called, how often, for how long, and how many calls may be in flight.
 #include "platform/platform_world.h"
 
 namespace gorsenotch::test {
 namespace {
 
-TEST_F(PlatformTest, ARetryGoesElsewhereUntilAnAnswer) {
+TEST_F(PlatformTest, RetriesCallOtherEndpointsUntilAnAnswer) {
     const auto handle = send_request("t1", client);
     answer_prefill();
     lifecycle.on_client_disconnected(handle);
-    ASSERT_EQ(releases(), 1u);
-    const std::string first = last().address;
+    ASSERT_EQ(release_calls(), 1u);
+    const std::string first = last_exchange().address;
     advance(200);
-    ASSERT_EQ(releases(), 2u);
-    EXPECT_NE(last().address, first);
-    release();
+    ASSERT_EQ(release_calls(), 2u);
+    EXPECT_NE(last_exchange().address, first);
+    answer_release();
     advance(300);
-    EXPECT_EQ(releases(), 2u);
+    EXPECT_EQ(release_calls(), 2u);
     advance(100);
-    EXPECT_EQ(releases(), 3u) << "the end of the write may have been overtaken by the first";
-    release();
+    EXPECT_EQ(release_calls(), 3u)
+        << "the first release may have reached its endpoint before the cancelled decode ended";
+    answer_release();
     advance(2000);
-    EXPECT_EQ(releases(), 3u);
+    EXPECT_EQ(release_calls(), 3u);
 }
 
-// Guards against a release that goes from one silent server to the next of the same role while its time runs
-// out.
-TEST_F(PlatformTest, ARetryTurnsToTheOtherRoleThenToSeveralAtOnce) {
+// Guards against a release that times out by calling one unresponsive endpoint after another of the same
+// role.
+TEST_F(PlatformTest, RetriesCallTheOtherRoleThenSeveralEndpointsAtOnce) {
     std::string rows;
     for (int i = 0; i < 12; ++i) {
-        const bool reads = i < 6;
-        rows += std::string(i ? "," : "") + "{\"host\":\"" + (reads ? "r" : "w") + std::to_string(i) +
+        const bool is_prefill = i < 6;
+        rows += std::string(i ? "," : "") + "{\"host\":\"" + (is_prefill ? "r" : "w") + std::to_string(i) +
                 "\",\"dial\":\"10.0.1." + std::to_string(i) + ":1\",\"site\":\"a\",\"class\":\"" +
-                (reads ? "prefill" : "decode") +
+                (is_prefill ? "prefill" : "decode") +
                 "\",\"block\":1,\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
     }
-    list("{\"seq\":9,\"whole\":true,\"hosts\":[" + rows + "]}");
+    apply_list("{\"seq\":9,\"whole\":true,\"hosts\":[" + rows + "]}");
     const auto handle = send_request("t1", client);
     answer_prefill();
     lifecycle.on_client_disconnected(handle);
     advance(160);
-    ASSERT_EQ(releases(), 2u);
-    const auto reads = [](const std::string& address) { return address < std::string("10.0.1.6"); };
-    std::vector<std::string> asked;
-    for (const auto& sent : world.sent) {
-        if (sent.request.rfind("DELETE", 0) == 0) asked.push_back(sent.address);
+    ASSERT_EQ(release_calls(), 2u);
+    const auto is_prefill = [](const std::string& address) { return address < std::string("10.0.1.6"); };
+    std::vector<std::string> called;
+    for (const auto& started : environment.exchanges) {
+        if (started.request.rfind("DELETE", 0) == 0) called.push_back(started.address);
     }
-    EXPECT_NE(reads(asked[0]), reads(asked[1])) << asked[0] << " " << asked[1];
+    EXPECT_NE(is_prefill(called[0]), is_prefill(called[1])) << called[0] << " " << called[1];
     advance(350);
-    EXPECT_GE(releases(), 6u) << "within its time more than half of a role has been asked";
-    release();
+    EXPECT_GE(release_calls(), 6u) << "half of the endpoints are called before the release times out";
+    answer_release();
     advance(2000);
 }
 
 struct ShortReleaseTimeoutTest : PlatformTest {
-    ShortReleaseTimeoutTest() : PlatformTest(with(kConfig, "\"LetGoByMs\":1000.0", "\"LetGoByMs\":300.0")) {}
+    ShortReleaseTimeoutTest()
+        : PlatformTest(replace_once(kConfig, "\"LetGoByMs\":1000.0", "\"LetGoByMs\":300.0")) {}
 };
 
-// Guards against times that only suit long settings: with 300 ms for a release, four servers in five silent.
-TEST_F(ShortReleaseTimeoutTest, MostEndpointsAreAskedInTime) {
+// Guards against fixed intervals that only suit long release timeouts: with a timeout of 300 ms and four in
+// five endpoints unresponsive, most endpoints have to be called in time.
+TEST_F(ShortReleaseTimeoutTest, MostEndpointsAreCalledInTime) {
     std::string rows;
     for (int i = 0; i < 10; ++i) {
         rows += std::string(i ? "," : "") + "{\"host\":\"h" + std::to_string(i) + "\",\"dial\":\"10.0.1." +
                 std::to_string(i) + ":1\",\"site\":\"a\",\"class\":\"" + (i < 5 ? "prefill" : "decode") +
                 "\",\"block\":1,\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
     }
-    list("{\"seq\":9,\"whole\":true,\"hosts\":[" + rows + "]}");
+    apply_list("{\"seq\":9,\"whole\":true,\"hosts\":[" + rows + "]}");
     const auto handle = send_request("t1", client);
     answer_prefill();
-    const Millis began = world.clock;
+    const Millis started_at = environment.now_ms;
     lifecycle.on_client_disconnected(handle);
     advance(250);
-    EXPECT_GE(releases(), 8u) << "most servers have been asked";
-    EXPECT_LE(world.clock, began + 300);
-    advance(12000);  // nobody answers: it is asked on for some seconds, and given up
+    EXPECT_GE(release_calls(), 8u) << "most endpoints have been called";
+    EXPECT_LE(environment.now_ms, started_at + 300);
+    advance(12000);  // no endpoint answers: it is retried with backoff for some seconds, then ended
 }
 
-TEST_F(ShortReleaseTimeoutTest, TheSecondReleaseOfACutOffPrefillComesInTime) {
+TEST_F(ShortReleaseTimeoutTest, TheSecondReleaseOfACancelledPrefillStartsInTime) {
     const auto handle = send_request("t1", client);
     lifecycle.on_client_disconnected(handle);
-    ASSERT_EQ(releases(), 1u);
-    release();
+    ASSERT_EQ(release_calls(), 1u);
+    answer_release();
     advance(120);
-    EXPECT_EQ(releases(), 2u);
-    release();
+    EXPECT_EQ(release_calls(), 2u);
+    answer_release();
 }
 
-// Found by the soak: the process stood still when the second release of a pair was due, and it was skipped.
+// Guards against skipping the second release of a pair because the process was stalled when it was due.
 TEST_F(PlatformTest, AStallDoesNotSkipTheSecondRelease) {
     const auto handle = send_request("t1", client);
-    lifecycle.on_client_disconnected(handle);  // its read may have ended well
-    ASSERT_EQ(releases(), 1u);
-    release();
-    world.clock += 5000;
+    lifecycle.on_client_disconnected(handle);  // its prefill may have completed
+    ASSERT_EQ(release_calls(), 1u);
+    answer_release();
+    environment.now_ms += 5000;
     advance(20);
-    EXPECT_EQ(releases(), 2u);
-    release();
+    EXPECT_EQ(release_calls(), 2u);
+    answer_release();
     advance(2000);
 }
 
-// Guards against many releases, of many gateways, that add up to a storm of calls where nobody answers.
-TEST_F(PlatformTest, CallsAreBoundedWhereEveryEndpointIsSilent) {
+// Guards against a retry storm of many releases, from many gateways, if no endpoint answers.
+TEST_F(PlatformTest, CallsAreBoundedIfEveryEndpointIsUnresponsive) {
     for (int i = 0; i < 50; ++i) {
         const auto handle = send_request("t" + std::to_string(i), client);
         lifecycle.on_client_disconnected(handle);
     }
     advance(1300);
-    EXPECT_LE(releases(), 50u * 13);
-    const auto out = std::count_if(world.sent.begin(), world.sent.end(), [](const auto& call) {
-        return call.request.rfind("DELETE", 0) == 0 && !call.closed && !call.attempt->is_over();
-    });
-    EXPECT_LE(out, 33);
-    const std::size_t in_time = releases();
+    EXPECT_LE(release_calls(), 50u * 13);
+    const auto in_flight =
+        std::count_if(environment.exchanges.begin(), environment.exchanges.end(), [](const auto& call) {
+            return call.request.rfind("DELETE", 0) == 0 && !call.closed && !call.exchange->is_over();
+        });
+    EXPECT_LE(in_flight, 33);
+    const std::size_t calls_in_time = release_calls();
     advance(12000);
-    EXPECT_LE(releases() - in_time, 50u * 7) << "and ever more seldom after that";
+    EXPECT_LE(release_calls() - calls_in_time, 50u * 7) << "the retry interval grows";
     EXPECT_EQ(lifecycle.releases_in_progress(), 0u);
 }
 
--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -1,5 +1,5 @@
-// A world for tests of the platform's parts: a configuration, a client and ports that only note what is asked
-// of them, and a RequestLifecycle between the two on a clock of the test's own.
+// The fixture for tests of the platform gateway: a configuration, a client and an environment that record the
+// calls to them, and a RequestLifecycle between the two that runs on a fake clock.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -27,138 +27,145 @@
            {"Name":"bulk job","SloMs":1000.0,"DeadlineMs":5000.0,"Effect":"once"}],
   "Tenants":[{"Name":"acme","QuotaPerS":100.0}],"StepMs":4.0}})";
 
-inline std::string with(std::string text, const std::string& from, const std::string& to) {
+// `text` with the first occurrence of `from`, which has to exist, replaced by `to`.
+inline std::string replace_once(std::string text, const std::string& from, const std::string& to) {
     const auto at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
     return at == std::string::npos ? text : text.replace(at, from.size(), to);
 }
 
-inline const std::string kStream =
+inline const std::string kStreamHead =
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 inline std::string chunked(const std::string& text) { return http::chunk(text); }
 
-// Records what its request is answered with.
+// Records the answer to its request.
 struct RecordingClient : Client {
     std::string events;
-    int begun = 0;
-    int ended = 0;
+    int streams_begun = 0;
+    int answers_ended = 0;
     int status = 0;
-    bool cutoff = false;
-    bool closed = false;  // its connection, though nobody has read that yet
+    bool stream_aborted = false;
+    bool disconnected = false;  // the client has closed its connection; RequestLifecycle does not know yet
 
-    bool has_disconnected() override { return closed; }
+    bool has_disconnected() override { return disconnected; }
     void begin_stream(std::string_view first) override {
-        ++begun;
+        ++streams_begun;
         events.append(first);
     }
     void send_events(std::string_view more) override { events.append(more); }
-    void finish_stream() override { ++ended; }
+    void finish_stream() override { ++answers_ended; }
     void abort_stream() override {
-        ++ended;
-        cutoff = true;
+        ++answers_ended;
+        stream_aborted = true;
     }
     void send_final(int final_status, Millis, std::string_view) override {
-        ++ended;
+        ++answers_ended;
         status = final_status;
     }
 };
 
-// A clock of the test's own, and a note of each exchange that was started.
+// A fake clock, and a record of each exchange that was started.
 struct FakeEnvironment : Environment {
-    struct Sent {
+    struct StartedExchange {
         std::string address, request;
-        std::shared_ptr<platform::UpstreamExchange> attempt;
+        std::shared_ptr<platform::UpstreamExchange> exchange;
         bool closed = false;
     };
-    Millis clock = 1000;
-    Millis dial = 0;          // how long connections take to come up
-    bool dials_wait = false;  // the test says itself when one has come up
-    std::vector<Sent> sent;
-    Millis now() override { return clock; }
+    Millis now_ms = 1000;
+    Millis connect_time = 0;
+    bool manual_connect = false;  // the test reports by itself when a connection is established
+    std::vector<StartedExchange> exchanges;
+    Millis now() override { return now_ms; }
     void start_exchange(const std::string& address, std::string request,
                         std::shared_ptr<platform::UpstreamExchange> exchange, Connection) override {
-        if (dials_wait) return sent.push_back({address, std::move(request), std::move(exchange), false});
+        if (manual_connect)
+            return exchanges.push_back({address, std::move(request), std::move(exchange), false});
         if (!exchange->may_start()) {
-            sent.push_back({address, "", exchange, true});
+            exchanges.push_back({address, "", exchange, true});
             return exchange->on_not_sent();
         }
-        clock += dial;
+        now_ms += connect_time;
         exchange->stamp_request(request);
         exchange->on_first_byte_sent();
         exchange->on_request_written();
-        sent.push_back({address, std::move(request), std::move(exchange), false});
+        exchanges.push_back({address, std::move(request), std::move(exchange), false});
     }
     void pause(const platform::UpstreamExchange&, bool) override {}
     void close(const platform::UpstreamExchange& exchange) override {
-        for (Sent& each : sent) each.closed |= each.attempt.get() == &exchange;
+        for (StartedExchange& started : exchanges) started.closed |= started.exchange.get() == &exchange;
     }
     bool has_idle_connection(const std::string&) override { return false; }
     void log(const char*, const char*, const std::string&) override {}
 };
 
+// Connects a RequestLifecycle to the fakes; each test has to leave no request, attempt or release behind.
 struct PlatformTest : ::testing::Test {
     explicit PlatformTest(const std::string& text = kConfig) : config(parse_config(text, "", "")) {}
     Config config;
-    FakeEnvironment world;
-    EndpointList hosts{config.named, 0};
-    RequestLifecycle lifecycle{config.named, 1, hosts, world};
+    FakeEnvironment environment;
+    EndpointList endpoints{config.named, 0};
+    RequestLifecycle lifecycle{config.named, 1, endpoints, environment};
     RecordingClient client;
 
-    void SetUp() override { list(config.cached_list); }
+    void SetUp() override { apply_list(config.cached_list); }
     void TearDown() override {
         EXPECT_EQ(lifecycle.open_requests(), 0u);
         EXPECT_EQ(lifecycle.attempts_in_flight(), 0u);
         EXPECT_EQ(lifecycle.releases_in_progress(), 0u);
     }
-    void list(const std::string& text) {
-        std::string why;
-        auto update = hosts.take(text, EndpointList::Source::same_address, world.clock, why);
-        ASSERT_TRUE(update) << why;
+    void apply_list(const std::string& text) {
+        std::string rejection;
+        auto update = endpoints.take(text, EndpointList::Source::same_address, environment.now_ms, rejection);
+        ASSERT_TRUE(update) << rejection;
         lifecycle.on_endpoint_update(std::move(*update));
     }
-    std::uint64_t send_request(const std::string& txn, RecordingClient& asker, int cls = 0) {
-        Inbound in;
-        in.txn = txn, in.head = "POST /v1/chat/completions HTTP/1.1\r\nx-txn: " + txn + "\r\n",
-        in.body = "{}";
-        in.arrival.cls = cls, in.arrival.deadline = 5000, in.arrival.tenant = 0,
-        in.arrival.prompt_tokens = 100;
-        return lifecycle.on_request(std::move(in), 0, &asker);
+    std::uint64_t send_request(const std::string& txn, RecordingClient& recorder, int cls = 0) {
+        Inbound inbound;
+        inbound.txn = txn, inbound.head = "POST /v1/chat/completions HTTP/1.1\r\nx-txn: " + txn + "\r\n",
+        inbound.body = "{}";
+        inbound.arrival.cls = cls, inbound.arrival.deadline = 5000, inbound.arrival.tenant = 0,
+        inbound.arrival.prompt_tokens = 100;
+        return lifecycle.on_request(std::move(inbound), 0, &recorder);
     }
-    void advance(Millis ms) {
-        for (const Millis until = world.clock + ms; world.clock < until;) {
-            world.clock += 5;
-            lifecycle.after_poll(world.clock);
+    // Advances the clock and runs the timers that become due.
+    void advance(Millis duration) {
+        for (const Millis end = environment.now_ms + duration; environment.now_ms < end;) {
+            environment.now_ms += 5;
+            lifecycle.after_poll(environment.now_ms);
             lifecycle.tick();
-            lifecycle.before_poll(world.clock + 5);
+            lifecycle.before_poll(environment.now_ms + 5);
         }
     }
-    FakeEnvironment::Sent& last() { return world.sent.back(); }
-    void answer(const std::string& bytes) { last().attempt->on_data(bytes); }
+    FakeEnvironment::StartedExchange& last_exchange() { return environment.exchanges.back(); }
+    // Delivers response bytes to the exchange that was started last.
+    void answer(const std::string& bytes) { last_exchange().exchange->on_data(bytes); }
     void answer_prefill() { answer("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}"); }
-    std::size_t releases() const {
+    std::size_t release_calls() const {
         return static_cast<std::size_t>(std::count_if(
-            world.sent.begin(), world.sent.end(),
-            [](const auto& each) { return each.request.rfind("DELETE /bootstrap/rooms/", 0) == 0; }));
+            environment.exchanges.begin(), environment.exchanges.end(),
+            [](const auto& started) { return started.request.rfind("DELETE /bootstrap/rooms/", 0) == 0; }));
     }
-    void drain_decode_endpoint(bool on = true) {
-        list(
+    void drain_decode_endpoint(bool draining = true) {
+        apply_list(
             std::string(
                 R"({"seq":9,"whole":false,"hosts":[{"host":"w1","dial":"10.0.0.3:1","site":"a","class":"decode",)") +
-            R"("block":1,"share":1.0,"born_ms":0,"health":")" + (on ? "draining" : "up") + "\"}]}");
+            R"("block":1,"share":1.0,"born_ms":0,"health":")" + (draining ? "draining" : "up") + "\"}]}");
     }
-    // All releases are answered, the second ones too.
+    // Answers all release calls, including those of second releases.
     void answer_all_releases() {
-        for (int i = 0; i < 2; ++i) {
-            for (std::size_t n = 0; n < world.sent.size(); ++n) {
-                auto& sent = world.sent[n];
-                if (sent.request.rfind("DELETE", 0) == 0 && !sent.attempt->is_over())
-                    sent.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
+        for (int round = 0; round < 2; ++round) {
+            for (std::size_t index = 0; index < environment.exchanges.size(); ++index) {
+                auto& started = environment.exchanges[index];
+                if (started.request.rfind("DELETE", 0) == 0 && !started.exchange->is_over())
+                    started.exchange->on_data("HTTP/1.1 204 No Content\r\n\r\n");
             }
             advance(400);
         }
     }
-    void release() {
-        ASSERT_EQ(last().request.rfind("DELETE /bootstrap/rooms/t1 ", 0), 0u) << last().request;
+    // Answers the latest exchange, which has to be a release call for t1.
+    void answer_release() {
+        ASSERT_EQ(last_exchange().request.rfind("DELETE /bootstrap/rooms/t1 ", 0), 0u)
+            << last_exchange().request;
         answer("HTTP/1.1 204 No Content\r\n\r\n");
     }
 };
--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -1,5 +1,5 @@
-// The life of a request in RequestLifecycle, against a fake environment: answers, releases, stops, clients
-// that disconnect, and every order of them.
+// RequestLifecycle with a fake environment: answers, releases, shutdown, client disconnects, and random
+// orders of these events.
 #include <map>
 #include <random>
 #include <set>
@@ -9,157 +9,160 @@
 namespace gorsenotch::test {
 namespace {
 
-TEST_F(PlatformTest, PrefillThenDecodeThenServedUnchanged) {
+TEST_F(PlatformTest, APrefillAndADecodeServeTheStreamUnchanged) {
     send_request("t1", client);
-    EXPECT_NE(last().request.find("\r\nx-txn: t1\r\n"), std::string::npos);
-    EXPECT_NE(last().request.find("\r\nx-remaining: "), std::string::npos);
-    EXPECT_TRUE(last().request.ends_with("\r\n\r\n{}"));
-    EXPECT_NE(last().address, "10.0.0.3:1");
+    EXPECT_NE(last_exchange().request.find("\r\nx-txn: t1\r\n"), std::string::npos);
+    EXPECT_NE(last_exchange().request.find("\r\nx-remaining: "), std::string::npos);
+    EXPECT_TRUE(last_exchange().request.ends_with("\r\n\r\n{}"));
+    EXPECT_NE(last_exchange().address, "10.0.0.3:1");
     answer_prefill();
-    EXPECT_EQ(last().address, "10.0.0.3:1");
-    EXPECT_TRUE(last().request.ends_with("\r\n\r\n{}"));
-    answer(kStream + chunked("data: a\n\n"));
-    EXPECT_EQ(client.begun, 1);
+    EXPECT_EQ(last_exchange().address, "10.0.0.3:1");
+    EXPECT_TRUE(last_exchange().request.ends_with("\r\n\r\n{}"));
+    answer(kStreamHead + chunked("data: a\n\n"));
+    EXPECT_EQ(client.streams_begun, 1);
     answer(chunked("data: [DONE]\n\n") + "0\r\n\r\n");
     EXPECT_EQ(client.events, "data: a\n\ndata: [DONE]\n\n");
-    EXPECT_EQ(client.ended, 1);
-    EXPECT_EQ(releases(), 0u) << "the write took the state";
+    EXPECT_EQ(client.answers_ended, 1);
+    EXPECT_EQ(release_calls(), 0u) << "the decode has fetched the KV cache";
 }
 
-TEST_F(PlatformTest, AnOpenIdIsRejectedAndMayComeAgainLater) {
+TEST_F(PlatformTest, AnOpenTransactionIdIsRejectedAndMayBeReusedLater) {
     send_request("t1", client);
     RecordingClient other;
     EXPECT_EQ(send_request("t1", other), 0u);
     answer_prefill();
-    answer(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
-    EXPECT_EQ(other.ended, 0);
+    answer(kStreamHead + chunked("data: a\n\n") + "0\r\n\r\n");
+    EXPECT_EQ(other.answers_ended, 0);
     EXPECT_NE(send_request("t1", other), 0u);
     answer_prefill();
-    answer(kStream + chunked("data: b\n\n") + "0\r\n\r\n");
+    answer(kStreamHead + chunked("data: b\n\n") + "0\r\n\r\n");
     EXPECT_EQ(other.events, "data: b\n\n");
 }
 
-TEST_F(PlatformTest, AStopMigratesStreamsAndAnswersTheRest) {
+TEST_F(PlatformTest, AShutdownMigratesStreamsAndAnswersOtherRequests) {
     send_request("t1", client);
     answer_prefill();
-    answer(kStream + chunked("data: a\n\n"));
+    answer(kStreamHead + chunked("data: a\n\n"));
     RecordingClient waiting;
     send_request("t2", waiting);
     EXPECT_EQ(lifecycle.streams(), 1u);
     lifecycle.migrate_streams(5);
-    EXPECT_TRUE(client.cutoff);
+    EXPECT_TRUE(client.stream_aborted);
     EXPECT_EQ(lifecycle.streams(), 0u);
-    EXPECT_EQ(waiting.ended, 0);
+    EXPECT_EQ(waiting.answers_ended, 0);
     lifecycle.shutdown();
     EXPECT_EQ(waiting.status, 503);
     answer_all_releases();
 }
 
-// Every order of arrivals, answers, breaks, leaving clients, lists and a stop: one end for each client, one
-// attempt of a request at a time, nothing new to what drains, no state left.
-TEST_F(PlatformTest, InvariantsHoldInEveryOrder) {
+// Random orders of arrivals, answers, broken connections, client disconnects, list updates and a shutdown:
+// each client gets one end, a request has one attempt at a time, draining endpoints get no attempts, and no
+// KV cache stays leased.
+TEST_F(PlatformTest, InvariantsHoldInRandomOrders) {
     for (std::uint64_t seed = 1; seed <= 150; ++seed) {
         std::mt19937_64 random(seed);
-        const auto below = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
-        struct Asked {
+        const auto below = [&](std::size_t bound) { return static_cast<std::size_t>(random() % bound); };
+        struct TestRequest {
             RecordingClient client;
             std::uint64_t handle = 0;
-            bool gone = false;
+            bool disconnected = false;
         };
-        std::map<std::string, Asked> asked;
-        std::set<std::string> held;
-        world.sent.clear();
-        std::size_t seen = 0;
-        bool drained = false;
-        const auto txn = [](const FakeEnvironment::Sent& sent) {
+        std::map<std::string, TestRequest> requests;
+        std::set<std::string> leased;
+        environment.exchanges.clear();
+        std::size_t checked = 0;
+        bool draining = false;
+        const auto txn = [](const FakeEnvironment::StartedExchange& sent) {
             const auto at = sent.request.find("x-txn: ") + 7;
             return sent.request.substr(at, sent.request.find("\r\n", at) - at);
         };
-        const auto release = [](const FakeEnvironment::Sent& sent) {
+        const auto is_release = [](const FakeEnvironment::StartedExchange& sent) {
             return sent.request.rfind("DELETE", 0) == 0;
         };
-        const auto look = [&] {  // at what was sent since
-            for (; seen < world.sent.size(); ++seen) {
-                const auto& sent = world.sent[seen];
-                if (release(sent)) {  // it counts once it has reached a server, answered or not
+        const auto check_new_exchanges = [&] {
+            for (; checked < environment.exchanges.size(); ++checked) {
+                const auto& sent = environment.exchanges[checked];
+                if (is_release(sent)) {  // takes effect when it reaches an endpoint, answered or not
                     const auto from = sent.request.find("rooms/") + 6;
-                    held.erase(sent.request.substr(from, sent.request.find(' ', from) - from));
+                    leased.erase(sent.request.substr(from, sent.request.find(' ', from) - from));
                 }
-                if (sent.request.empty() || release(sent)) continue;
-                EXPECT_FALSE(drained && sent.address == "10.0.0.3:1");
-                for (std::size_t i = 0; i < seen; ++i) {
-                    const auto& o = world.sent[i];
-                    EXPECT_FALSE(!o.request.empty() && !release(o) && txn(o) == txn(sent) && !o.closed &&
-                                 !o.attempt->is_over())
+                if (sent.request.empty() || is_release(sent)) continue;
+                EXPECT_FALSE(draining && sent.address == "10.0.0.3:1");
+                for (std::size_t i = 0; i < checked; ++i) {
+                    const auto& earlier = environment.exchanges[i];
+                    EXPECT_FALSE(!earlier.request.empty() && !is_release(earlier) &&
+                                 txn(earlier) == txn(sent) && !earlier.closed && !earlier.exchange->is_over())
                         << "two attempts of " << txn(sent);
                 }
             }
         };
-        const auto engine = [&](bool kindly) {  // one of those that wait does something
-            std::vector<std::size_t> out;
-            for (std::size_t i = 0; i < world.sent.size(); ++i) {
-                if (!world.sent[i].request.empty() && !world.sent[i].closed &&
-                    !world.sent[i].attempt->is_over())
-                    out.push_back(i);
+        // Lets a random exchange in flight succeed, or end in a random way; returns false if there is none.
+        const auto step_endpoint = [&](bool succeed) {
+            std::vector<std::size_t> in_flight;
+            for (std::size_t i = 0; i < environment.exchanges.size(); ++i) {
+                if (!environment.exchanges[i].request.empty() && !environment.exchanges[i].closed &&
+                    !environment.exchanges[i].exchange->is_over())
+                    in_flight.push_back(i);
             }
-            if (out.empty()) return false;
-            // Copies: an answer may send more.
-            const auto sent = world.sent[out[below(out.size())]];
-            const std::size_t how = kindly ? 0 : below(6);
-            if (release(sent)) {
-                if (how > 4)
-                    sent.attempt->on_connection_closed();
+            if (in_flight.empty()) return false;
+            // Copied, because an answer may start further exchanges.
+            const auto sent = environment.exchanges[in_flight[below(in_flight.size())]];
+            const std::size_t behaviour = succeed ? 0 : below(6);
+            if (is_release(sent)) {
+                if (behaviour > 4)
+                    sent.exchange->on_connection_closed();
                 else
-                    sent.attempt->on_data("HTTP/1.1 204 No Content\r\n\r\n");
-            } else if (how == 5) {
-                sent.attempt->on_connection_closed();
-            } else if (how == 4) {
-                sent.attempt->on_data("HTTP/1.1 503 no\r\nx-turned-away: 1\r\ncontent-length: 0\r\n\r\n");
+                    sent.exchange->on_data("HTTP/1.1 204 No Content\r\n\r\n");
+            } else if (behaviour == 5) {
+                sent.exchange->on_connection_closed();
+            } else if (behaviour == 4) {
+                sent.exchange->on_data("HTTP/1.1 503 no\r\nx-turned-away: 1\r\ncontent-length: 0\r\n\r\n");
             } else if (sent.address != "10.0.0.3:1") {
-                held.insert(txn(sent));
-                sent.attempt->on_data("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}");
-            } else if (how == 3) {
-                sent.attempt->on_data("noise");
+                leased.insert(txn(sent));
+                sent.exchange->on_data("HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}");
+            } else if (behaviour == 3) {
+                sent.exchange->on_data("noise");
             } else {
-                held.erase(txn(sent));  // the write has taken it
-                if (how < 2)
-                    sent.attempt->on_data(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
+                leased.erase(txn(sent));  // the decode has fetched the KV cache
+                if (behaviour < 2)
+                    sent.exchange->on_data(kStreamHead + chunked("data: a\n\n") + "0\r\n\r\n");
                 else
-                    sent.attempt->on_data(kStream + chunked("data: a\n\n") + "zz");
+                    sent.exchange->on_data(kStreamHead + chunked("data: a\n\n") + "zz");
             }
             return true;
         };
         for (int step = 0; step < 120; ++step) {
-            const std::size_t what = below(10);
-            if (what < 3) {
+            const std::size_t event = below(10);
+            if (event < 3) {
                 const std::string id = std::to_string(seed) + "-" + std::to_string(step);
-                Asked& a = asked[id];
-                a.handle = send_request(id, a.client);
-            } else if (what < 7) {
-                engine(false);
-            } else if (what == 7 && !asked.empty()) {
-                auto it = std::next(asked.begin(), static_cast<std::ptrdiff_t>(below(asked.size())));
-                if (it->second.client.ended == 0 && !it->second.gone)
-                    it->second.gone = true, lifecycle.on_client_disconnected(it->second.handle);
-            } else if (what == 8 && below(3) == 0) {
-                drained = !drained;
-                drain_decode_endpoint(drained);
+                TestRequest& request = requests[id];
+                request.handle = send_request(id, request.client);
+            } else if (event < 7) {
+                step_endpoint(false);
+            } else if (event == 7 && !requests.empty()) {
+                auto it = std::next(requests.begin(), static_cast<std::ptrdiff_t>(below(requests.size())));
+                if (it->second.client.answers_ended == 0 && !it->second.disconnected)
+                    it->second.disconnected = true, lifecycle.on_client_disconnected(it->second.handle);
+            } else if (event == 8 && below(3) == 0) {
+                draining = !draining;
+                drain_decode_endpoint(draining);
             } else {
                 advance(static_cast<Millis>(5 * below(40)));
             }
-            look();
+            check_new_exchanges();
         }
         if (below(2) == 0) lifecycle.migrate_streams(lifecycle.streams()), lifecycle.shutdown();
         for (int i = 0; i < 40; ++i) {
-            while (engine(true)) look();
+            while (step_endpoint(true)) check_new_exchanges();
             advance(400);
         }
-        for (const auto& [id, a] : asked) EXPECT_EQ(a.client.ended, a.gone ? 0 : 1) << id;
-        EXPECT_TRUE(held.empty()) << *held.begin() << " is still held";
+        for (const auto& [id, request] : requests)
+            EXPECT_EQ(request.client.answers_ended, request.disconnected ? 0 : 1) << id;
+        EXPECT_TRUE(leased.empty()) << *leased.begin() << " is still leased";
         EXPECT_EQ(lifecycle.open_requests(), 0u);
         EXPECT_EQ(lifecycle.attempts_in_flight(), 0u);
         EXPECT_EQ(lifecycle.releases_in_progress(), 0u);
-        if (drained) drain_decode_endpoint(false);
+        if (draining) drain_decode_endpoint(false);
         if (HasFailure()) FAIL() << "seed " << seed;
     }
 }
--- a/tests/platform/request_state_test.cpp
+++ b/tests/platform/request_state_test.cpp
@@ -1,4 +1,4 @@
-// The records of requests and attempts: phases of an attempt, lookups, handles that never repeat.
+// The state of requests and attempts: attempt phases, lookups, handles that are never reused.
 #include "platform/request_state.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
     return inbound;
 }
 
-TEST(AttemptStateTest, AnEndKeepsWhetherTheStreamHadBegun) {
+TEST(AttemptStateTest, TheEndedPhaseRecordsWhetherAStreamHadBegun) {
     AttemptState unanswered;
     EXPECT_TRUE(unanswered.in_flight());
     EXPECT_FALSE(unanswered.stream_begun());
@@ -35,7 +35,7 @@
     EXPECT_TRUE(streaming.stream_begun());
 }
 
-TEST(RequestStateTest, OnlyTheLatestAttemptSaysWhetherAStreamHasBegun) {
+TEST(RequestStateTest, OnlyTheLatestAttemptDeterminesWhetherAStreamHasBegun) {
     RequestState request(kReleaseTimeout);
     EXPECT_FALSE(request.stream_begun());
     EXPECT_FALSE(request.attempt_in_flight());
@@ -51,7 +51,7 @@
     EXPECT_FALSE(request.stream_in_flight());
 }
 
-TEST(RequestStateTest, AnAttemptIsFoundByItsIndexAlone) {
+TEST(RequestStateTest, FindAttemptChecksTheIndexRange) {
     RequestState request(kReleaseTimeout);
     request.attempts.emplace_back();
     EXPECT_EQ(request.find_attempt(0), &request.attempts[0]);
@@ -59,7 +59,7 @@
     EXPECT_EQ(request.find_attempt(1), nullptr);
 }
 
-TEST(RequestTableTest, HandlesNeverRepeatAndIdsMayComeAgain) {
+TEST(RequestTableTest, HandlesAreNeverReusedAndTransactionIdsMayBe) {
     RequestTable table(kReleaseTimeout);
     const std::uint64_t first = table.add(inbound_with_id("t1")).handle;
     EXPECT_EQ(first, 1u);
--- a/tests/platform/status_reporter_test.cpp
+++ b/tests/platform/status_reporter_test.cpp
@@ -1,4 +1,4 @@
-// The status line: every field is there, and counts are those of the components reported on.
+// The status line: it has every documented field, with the counts of the components.
 #include "platform/status_reporter.h"
 
 #include <set>
@@ -13,10 +13,10 @@
     net::EventLoop loop;
     proxy::ConnectionPool connection_pool{loop, proxy::ConnectionPool::Config()};
     ClientConnections client_connections{loop, config.named, lifecycle, ClientConnections::Config()};
-    StatusReporter reporter{loop, {hosts, lifecycle, client_connections, connection_pool}};
+    StatusReporter reporter{loop, {endpoints, lifecycle, client_connections, connection_pool}};
 };
 
-TEST_F(StatusReporterTest, TheFieldsAreThoseThatOperatorsReadInTheLog) {
+TEST_F(StatusReporterTest, TheFieldNamesAreStable) {
     const std::set<std::string> expected = {"up_ms",
                                             "cpu_ms",
                                             "peak_kb",
@@ -62,14 +62,14 @@
     EXPECT_EQ(names, expected);
 }
 
-TEST_F(StatusReporterTest, ARequestIsCountedWhileOpenAndByItsOutcome) {
+TEST_F(StatusReporterTest, ARequestIsCountedWhileOpenAndThenByItsOutcome) {
     send_request("t1", client);
     nlohmann::json fields = reporter.fields();
     EXPECT_EQ(fields["endpoints"], 3);
     EXPECT_EQ(fields["open_requests"], 1);
     EXPECT_EQ(fields["attempts_in_flight"], 1);
     answer_prefill();
-    answer(kStream + chunked("data: a\n\n") + "0\r\n\r\n");
+    answer(kStreamHead + chunked("data: a\n\n") + "0\r\n\r\n");
     fields = reporter.fields();
     EXPECT_EQ(fields["open_requests"], 0);
     EXPECT_EQ(fields["arrived"], 1);
