--- a/src/platform/access_log.cpp
+++ b/src/platform/access_log.cpp
@@ -12,16 +12,16 @@
                                                      "cancelled", "not_sent",    "prefill_done"};
 constexpr std::size_t kMaxAttemptsLogged = 8;
 
-std::string rounded(double number) { return std::to_string(std::lround(number)); }
+std::string rounded_text(double number) { return std::to_string(std::lround(number)); }
 
 void append_attempt(std::string& text, const AttemptRecord& attempt) {
     text.append(attempt.is_prefill ? "; prefill " : "; decode ").append(attempt.endpoint);
-    text.append(" ").append(rounded(attempt.started_at));
+    text.append(" ").append(rounded_text(attempt.started_at));
     if (attempt.in_flight) {
         text.append(" in_flight");
         return;
     }
-    text.append(" +").append(rounded(attempt.ended_at - attempt.started_at));
+    text.append(" +").append(rounded_text(attempt.ended_at - attempt.started_at));
     text.append(" ").append(kResultNames[static_cast<std::size_t>(attempt.result)]);
 }
 
@@ -40,17 +40,17 @@
 std::string describe_timeline(const control::KvLease::Timeline& timeline, Millis arrived, Millis now,
                               const std::string& holder, const std::string& awaited) {
     std::string text("lease ");
-    text.append(rounded(now - timeline.acquired)).append(" ");
+    text.append(rounded_text(now - timeline.acquired)).append(" ");
     text.append(control::kLeaseOriginNames[static_cast<std::size_t>(timeline.origin)])
         .append(" at ")
         .append(holder);
-    text.append(", acquired ").append(rounded(timeline.acquired - arrived));
-    if (timeline.expiring >= 0) text.append(", expiring ").append(rounded(timeline.expiring - arrived));
-    if (timeline.released >= 0) text.append(", release ").append(rounded(timeline.released - arrived));
+    text.append(", acquired ").append(rounded_text(timeline.acquired - arrived));
+    if (timeline.expiring >= 0) text.append(", expiring ").append(rounded_text(timeline.expiring - arrived));
+    if (timeline.released >= 0) text.append(", release ").append(rounded_text(timeline.released - arrived));
     if (timeline.written < timeline.acquired) return text;
-    text.append("; ").append(awaited).append(" sent ").append(rounded(timeline.written - arrived));
+    text.append("; ").append(awaited).append(" sent ").append(rounded_text(timeline.written - arrived));
     if (timeline.arrived < 0) return text.append(" unconfirmed");
-    return text.append(" arrived ").append(rounded(timeline.arrived - arrived));
+    return text.append(" arrived ").append(rounded_text(timeline.arrived - arrived));
 }
 
 RequestOutcome AccessLog::classify_served(const RequestRecord& record) const {
@@ -71,21 +71,21 @@
     return slow ? RequestOutcome::slow_stream : RequestOutcome::in_time;
 }
 
-bool AccessLog::count(Millis now, RequestOutcome outcome, std::optional<EndCause> cause) {
+bool AccessLog::count_outcome(Millis now, RequestOutcome outcome, std::optional<EndCause> cause) {
     ++outcomes_[static_cast<std::size_t>(outcome)];
     if (cause) ++causes_[static_cast<std::size_t>(*cause)];
     if (outcome == RequestOutcome::in_time) return false;
     return rate_limiter_.allow(now);
 }
 
-std::string AccessLog::line(const RequestRecord& record, RequestOutcome outcome) {
+std::string AccessLog::format_line(const RequestRecord& record, RequestOutcome outcome) {
     std::string text(record.txn);
     text.append(" ").append(kOutcomeNames[static_cast<std::size_t>(outcome)]);
     if (record.cause) text.append(" cause ").append(kEndCauseNames[static_cast<std::size_t>(*record.cause)]);
     text.append(" class ").append(std::to_string(record.cls));
-    text.append(" prompt ").append(rounded(record.prompt_tokens));
-    if (record.first_token >= 0) text.append(" first ").append(rounded(record.first_token));
-    text.append(" end ").append(rounded(record.ended));
+    text.append(" prompt ").append(rounded_text(record.prompt_tokens));
+    if (record.first_token >= 0) text.append(" first ").append(rounded_text(record.first_token));
+    text.append(" end ").append(rounded_text(record.ended));
     const std::size_t logged = std::min(kMaxAttemptsLogged, record.attempts.size());
     for (std::size_t i = 0; i < logged; ++i) append_attempt(text, record.attempts[i]);
     if (!record.lease.empty()) text.append("; ").append(record.lease);
--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -89,8 +89,8 @@
     // The outcome of a request with a complete answer: in time, late or slow.
     RequestOutcome classify_served(const RequestRecord& record) const;
     // Counts the outcome of a request; returns true if its line is to be logged.
-    bool count(Millis now, RequestOutcome outcome, std::optional<EndCause> cause = std::nullopt);
-    static std::string line(const RequestRecord& record, RequestOutcome outcome);
+    bool count_outcome(Millis now, RequestOutcome outcome, std::optional<EndCause> cause = std::nullopt);
+    static std::string format_line(const RequestRecord& record, RequestOutcome outcome);
 
     const std::array<std::uint64_t, kOutcomeNames.size()>& outcomes() const { return outcomes_; }
     const std::array<std::uint64_t, kEndCauses>& causes() const { return causes_; }
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -13,32 +13,32 @@
 constexpr int kMaxDepth = 16;      // of nested settings
 constexpr double kMaxLimit = 1e9;  // for a number in `limits`
 
-std::string plain(const Json& json) {
+std::string to_text(const Json& json) {
     if (json.is_string()) return json.get<std::string>();
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-void flatten(const Json& json, const std::string& path, int depth, settings::SettingValues& out) {
+void flatten(const Json& json, const std::string& path, int depth, settings::SettingValues& values) {
     if (depth > kMaxDepth) throw ConfigError("settings." + path + ": nested deeper than 16 levels");
     if (json.is_object()) {
         const std::string prefix = path.empty() ? "" : path + ".";
-        for (const auto& [name, value] : json.items()) flatten(value, prefix + name, depth + 1, out);
+        for (const auto& [name, value] : json.items()) flatten(value, prefix + name, depth + 1, values);
     } else if (json.is_array() && !json.empty() && json[0].is_object()) {
-        out.set(path + ".count", {std::to_string(json.size())});
+        values.set(path + ".count", {std::to_string(json.size())});
         for (std::size_t i = 0; i < json.size(); ++i)
-            flatten(json[i], path + "." + std::to_string(i), depth + 1, out);
+            flatten(json[i], path + "." + std::to_string(i), depth + 1, values);
     } else if (json.is_array()) {
         std::vector<std::string> items;
-        for (const auto& item : json) items.push_back(plain(item));
-        out.set(path, std::move(items));
+        for (const auto& item : json) items.push_back(to_text(item));
+        values.set(path, std::move(items));
     } else if (!json.is_null()) {
-        out.set(path, {plain(json)});
+        values.set(path, {to_text(json)});
     }
 }
 
-std::string text_at(const Json& json, const char* name, const std::string& absent) {
+std::string text_at(const Json& json, const char* name, const std::string& default_value) {
     const auto it = json.find(name);
-    if (it == json.end()) return absent;
+    if (it == json.end()) return default_value;
     if (!it->is_string()) throw ConfigError(std::string(name) + ": expected a string");
     return it->get<std::string>();
 }
@@ -70,7 +70,7 @@
     require_address("listen", config.listen);
     require_address("discovery", config.discovery);
     if (const auto it = json.find("seed"); it != json.end()) {
-        const std::string seed = plain(*it);
+        const std::string seed = to_text(*it);
         const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
         if (error != std::errc() || end != seed.data() + seed.size())
             throw ConfigError("seed: expected a hexadecimal number of up to 64 bits, got '" + seed + "'");
@@ -81,15 +81,15 @@
     }
     const auto settings = json.find("settings");
     if (settings == json.end() || !settings->is_object()) throw ConfigError("settings: expected an object");
-    settings::SettingValues info;
-    flatten(*settings, "", 0, info);
+    settings::SettingValues values;
+    flatten(*settings, "", 0, values);
     try {
-        config.named = settings::parse_named_settings(info);
+        config.named = settings::parse_named_settings(values);
     } catch (const settings::SettingsError& error) {
         throw ConfigError(std::string("settings.") + error.what());
     }
     if (const auto it = json.find("known"); it != json.end() && it->is_object())
-        config.cached_list = plain(*it);
+        config.cached_list = to_text(*it);
     return config;
 }
 
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -21,33 +21,33 @@
 // After this many consecutive full lists of a lower version, the lower version is accepted as current.
 constexpr int kMinOlderListsToAccept = 3;
 
-// Why a list is rejected: the path of the field and what is wrong with it.
+// Thrown to reject a list; the message gives the path of the field and the fault.
 struct ListError {
     std::string message;
 };
 
-double number(const Json& json, const char* name, double absent) {
+double number_field(const Json& json, const char* name, double default_value) {
     const auto it = json.find(name);
-    if (it == json.end() || it->is_null()) return absent;
+    if (it == json.end() || it->is_null()) return default_value;
     if (!it->is_number() || !std::isfinite(it->get<double>()))
         throw ListError{std::string(name) + ": expected a finite number"};
     return it->get<double>();
 }
 
-std::string text(const Json& json, const char* name) {
+std::string text_field(const Json& json, const char* name) {
     const auto it = json.find(name);
     if (it == json.end() || !it->is_string()) throw ListError{std::string(name) + ": expected a string"};
     return it->get<std::string>();
 }
 
-int index(const std::map<std::string, int>& names, const std::string& name, const char* field) {
+int index_field(const std::map<std::string, int>& names, const std::string& name, const char* field) {
     const auto it = names.find(name);
     if (it == names.end()) throw ListError{std::string(field) + ": unknown '" + name + "'"};
     return it->second;
 }
 
 // The endpoint status for a value of discovery's `health` field.
-EndpointStatus status(const std::string& health) {
+EndpointStatus parse_status(const std::string& health) {
     if (health == "up") return EndpointStatus::healthy;
     if (health == "draining") return EndpointStatus::draining;
     if (health == "removed") return EndpointStatus::removed;
@@ -57,22 +57,22 @@
 DiscoveredEndpoint read_row(const Json& row, const settings::NamedSettings& named) {
     if (!row.is_object()) throw ListError{"expected an object"};
     DiscoveredEndpoint discovered;
-    discovered.name = text(row, "host");
+    discovered.name = text_field(row, "host");
     Endpoint& endpoint = discovered.endpoint;
-    endpoint.status = status(text(row, "health"));
+    endpoint.status = parse_status(text_field(row, "health"));
     // A removed endpoint needs no more than its name.
     if (endpoint.status == EndpointStatus::removed && !row.contains("class")) return discovered;
-    discovered.dial_address = text(row, "dial");
+    discovered.dial_address = text_field(row, "dial");
     sockaddr_storage storage{};
     if (!net::parse_address(discovered.dial_address, storage))
         throw ListError{"dial: expected an address such as 10.0.0.4:5000, got '" + discovered.dial_address +
                         "'"};
-    endpoint.zone = index(named.zones, text(row, "site"), "site");
-    endpoint.kind = index(named.kinds, text(row, "class"), "class");
-    const double cell = number(row, "block", 0);
+    endpoint.zone = index_field(named.zones, text_field(row, "site"), "site");
+    endpoint.kind = index_field(named.kinds, text_field(row, "class"), "class");
+    const double cell = number_field(row, "block", 0);
     endpoint.cell = cell > 0 && cell < kMaxCell ? static_cast<std::uint64_t>(cell) : 0;
-    endpoint.weight = number(row, "share", 1);
-    discovered.incarnation = std::max(0.0, number(row, "born_ms", 0));
+    endpoint.weight = number_field(row, "share", 1);
+    discovered.incarnation = std::max(0.0, number_field(row, "born_ms", 0));
     return discovered;
 }
 
@@ -121,13 +121,13 @@
 }
 
 std::optional<EndpointUpdate> EndpointList::take(const std::string& body, Source source, Millis now,
-                                                 std::string& why) {
+                                                 std::string& rejection) {
     try {
         const Json json = Json::parse(body, nullptr, false);
         if (json.is_discarded() || !json.is_object()) throw ListError{"expected a JSON object"};
         const auto rows = json.find("hosts");
         if (rows == json.end() || !rows->is_array()) throw ListError{"hosts: expected an array"};
-        const double seq = number(json, "seq", kNoVersion);
+        const double seq = number_field(json, "seq", kNoVersion);
         if (seq < 0 || seq > kMaxVersion) throw ListError{"seq: expected a version from 0 to 1e15"};
         ParsedList list;
         list.version = static_cast<std::uint64_t>(seq);
@@ -138,7 +138,7 @@
         version_ = list.version;
         return apply(std::move(list.endpoints), list.full, source, now);
     } catch (const ListError& error) {
-        why = error.message;
+        rejection = error.message;
         return std::nullopt;
     }
 }
--- a/src/platform/endpoint_list.h
+++ b/src/platform/endpoint_list.h
@@ -48,8 +48,10 @@
     // The source of a text: the list cached in the configuration, the same discovery address as before, or
     // another one.
     enum class Source { cached, same_address, new_address };
-    // Applies a full list or changes. Returns the update for the Router, or nothing and the reason in `why`.
-    std::optional<EndpointUpdate> take(const std::string& text, Source source, Millis now, std::string& why);
+    // Applies a full list or changes. Returns the update for the Router, or nothing and the reason in
+    // `rejection`.
+    std::optional<EndpointUpdate> take(const std::string& text, Source source, Millis now,
+                                       std::string& rejection);
     std::uint64_t version() const { return version_; }
     DiscoveredEndpoint* find(EndpointId id);
     std::map<EndpointId, DiscoveredEndpoint>& all() { return endpoints_; }
--- a/src/platform/endpoint_watcher.cpp
+++ b/src/platform/endpoint_watcher.cpp
@@ -139,8 +139,8 @@
 
 // Keeps the current list and schedules a successor soon: a list of discovery applies from the time at which
 // it could have been read.
-void EndpointWatcher::on_poll_failed(Poll& poll, const std::string& why) {
-    if (!why.empty()) report_fault(why);
+void EndpointWatcher::on_poll_failed(Poll& poll, const std::string& reason) {
+    if (!reason.empty()) report_fault(reason);
     if (&poll == successor_.get()) {
         discard(successor_);
         return schedule_successor();
@@ -151,9 +151,9 @@
     if (!successor_) schedule_successor();
 }
 
-void EndpointWatcher::report_fault(const std::string& why) {
+void EndpointWatcher::report_fault(const std::string& reason) {
     if (std::exchange(fault_reported_, true)) return;
-    if (on_fault) on_fault(why);
+    if (on_fault) on_fault(reason);
 }
 
 void EndpointWatcher::discard(std::unique_ptr<Poll>& poll) {
--- a/src/platform/endpoint_watcher.h
+++ b/src/platform/endpoint_watcher.h
@@ -76,8 +76,8 @@
     void on_data(Poll& poll, std::string_view bytes);
     void on_progress(Poll& poll);
     void on_response(Poll& poll);
-    void on_poll_failed(Poll& poll, const std::string& why);
-    void report_fault(const std::string& why);
+    void on_poll_failed(Poll& poll, const std::string& reason);
+    void report_fault(const std::string& reason);
     void discard(std::unique_ptr<Poll>& poll);
 
     net::EventLoop& loop_;
--- a/src/platform/environment.h
+++ b/src/platform/environment.h
@@ -26,7 +26,7 @@
                                 std::shared_ptr<UpstreamExchange> exchange,
                                 Connection connection = Connection::any) = 0;
     // Stops or resumes reading the response.
-    virtual void pause(const UpstreamExchange& exchange, bool on) = 0;
+    virtual void pause(const UpstreamExchange& exchange, bool paused) = 0;
     // Closes the connection of the exchange without a further call to the exchange.
     virtual void close(const UpstreamExchange& exchange) = 0;
     virtual bool has_idle_connection(const std::string& address) = 0;
--- a/src/platform/health_checker.cpp
+++ b/src/platform/health_checker.cpp
@@ -61,10 +61,10 @@
     if (environment_.now() + kTimerTolerance < it->second.check_sent_at + timeout_)
         return;  // the timer of an earlier check
     ++checks_unanswered_;
-    close(it->second);
+    close_check(it->second);
 }
 
-void HealthChecker::close(EndpointHealth& health) {
+void HealthChecker::close_check(EndpointHealth& health) {
     const auto check = std::exchange(health.check, nullptr);
     if (!check || check->is_over()) return;
     check->on_ended = nullptr;
@@ -77,7 +77,7 @@
             ++it;
             continue;
         }
-        close(it->second);
+        close_check(it->second);
         it = endpoint_health_.erase(it);
     }
 }
--- a/src/platform/health_checker.h
+++ b/src/platform/health_checker.h
@@ -54,7 +54,7 @@
         std::shared_ptr<UpstreamExchange> check;
         Millis check_sent_at = 0;
     };
-    void close(EndpointHealth& health);
+    void close_check(EndpointHealth& health);
 
     const Millis timeout_;
     EndpointList& endpoints_;
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -202,7 +202,7 @@
     if (stopped_at_) return;
     stopped_at_ = net::now();
     on_drained_ = std::move(on_drained);
-    log("info", "stopping", std::to_string(lifecycle_.open_requests()) + " open");
+    log("info", "stopping", std::to_string(lifecycle_.open_requests()) + " requests open");
     client_connections_.drain();
     drain_schedule_.emplace(*stopped_at_, earliest_kill(), config_.named.settings.stream_migration);
     drain_timer_.fire_after(kDrainInterval);
@@ -219,10 +219,10 @@
     drain_timer_.fire_after(kDrainInterval);
     const Millis now = net::now();
     const bool stop_accepting = is_idle(now) || drain_schedule_->stop_accepting(now);
-    if (!stop_accepting && lifecycle_.streams() == 0) return;
+    if (!stop_accepting && lifecycle_.open_streams() == 0) return;
     if (stop_accepting) client_connections_.stop_accepting();
     if (config_.named.settings.stream_migration)
-        lifecycle_.migrate_streams(drain_schedule_->streams_to_migrate(now, lifecycle_.streams()));
+        lifecycle_.migrate_streams(drain_schedule_->streams_to_migrate(now, lifecycle_.open_streams()));
     if (drain_schedule_->answer_remaining(now)) {
         lifecycle_.shutdown();
         lifecycle_.end_stalled_streams(*stopped_at_ + kEndedByKillPeriod);
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -49,7 +49,9 @@
     Millis now() override { return net::now(); }
     void start_exchange(const std::string& address, std::string request,
                         std::shared_ptr<UpstreamExchange> exchange, Connection connection) override;
-    void pause(const UpstreamExchange& exchange, bool on) override { connection_pool_.pause(exchange, on); }
+    void pause(const UpstreamExchange& exchange, bool paused) override {
+        connection_pool_.pause(exchange, paused);
+    }
     void close(const UpstreamExchange& exchange) override { connection_pool_.close(exchange); }
     bool has_idle_connection(const std::string& address) override {
         return connection_pool_.has_idle(address);
--- a/src/platform/request_completion.cpp
+++ b/src/platform/request_completion.cpp
@@ -13,7 +13,7 @@
     return request.attempts.empty() ? RequestOutcome::rejected_unsent : RequestOutcome::rejected;
 }
 
-AttemptRecord record_of(const AttemptState& attempt, Millis arrived) {
+AttemptRecord to_record(const AttemptState& attempt, Millis arrived) {
     AttemptRecord record;
     record.is_prefill = attempt.is_prefill;
     record.in_flight = attempt.in_flight();
@@ -86,12 +86,12 @@
     if (request.stream_begun_at) record.first_token = *request.stream_begun_at - request.arrived;
     record.ended = context_.environment.now() - request.arrived;
     for (const AttemptState& attempt : request.attempts)
-        record.attempts.push_back(record_of(attempt, request.arrived));
+        record.attempts.push_back(to_record(attempt, request.arrived));
     const RequestOutcome final_outcome = outcome ? *outcome : access_log_.classify_served(record);
-    if (!access_log_.count(context_.environment.now(), final_outcome, cause)) return;
+    if (!access_log_.count_outcome(context_.environment.now(), final_outcome, cause)) return;
     for (std::size_t i = 0; i < record.attempts.size(); ++i)
         record.attempts[i].endpoint = context_.endpoint_name(request.attempts[i].endpoint);
-    context_.environment.log("info", "request", access_log_.line(record, final_outcome));
+    context_.environment.log("info", "request", access_log_.format_line(record, final_outcome));
 }
 
 void RequestCompletion::remove_ended() {
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -81,7 +81,7 @@
     completion_.record_client_disconnect(*request);
     context_.driver.feed(ClientDisconnected{std::to_string(handle)});
     request = context_.requests.find(handle);
-    if (request) streams_.stop_reading(*request);
+    if (request) streams_.cancel_stream(*request);
 }
 
 Millis RequestLifecycle::tick() {
@@ -125,7 +125,8 @@
     RequestState* request = context_.requests.find(fail.request);
     if (!request) return;
     if (!request->closed) ++context_.counters.failed;
-    completion_.send_final(*request, {kStatusBadGateway, 0, "failed; it may have run", fail.cause});
+    completion_.send_final(*request,
+                           {kStatusBadGateway, 0, "request failed; an attempt may have run", fail.cause});
 }
 
 void RequestLifecycle::on_router_migrate(const MigrateStream& migrate) {
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -60,7 +60,7 @@
 
     // ---- while the process is stopping ----
     // Streams that have begun and not ended.
-    std::size_t streams() const { return streams_.streams(); }
+    std::size_t open_streams() const { return streams_.open_streams(); }
     // Ends the latest `count` streams; their clients resume them at another gateway.
     void migrate_streams(std::size_t count) { streams_.migrate_latest(count); }
     // Ends stalled streams of requests that arrived at `arrived_since` or later. The platform accepts streams
--- a/src/platform/status_reporter.cpp
+++ b/src/platform/status_reporter.cpp
@@ -11,7 +11,7 @@
 namespace gorsenotch::platform {
 namespace {
 
-constexpr Millis kInterval = 5000;
+constexpr Millis kReportInterval = 5000;
 
 // The counts by name; both arrays are indexed by the same enum.
 template <std::size_t Size>
@@ -46,11 +46,11 @@
 
 void StatusReporter::start(Millis started_at) {
     started_at_ = started_at;
-    timer_.fire_after(kInterval);
+    timer_.fire_after(kReportInterval);
 }
 
 void StatusReporter::report() {
-    timer_.fire_after(kInterval);
+    timer_.fire_after(kReportInterval);
     log::write("info", "status", fields());
 }
 
--- a/src/platform/status_reporter.h
+++ b/src/platform/status_reporter.h
@@ -1,4 +1,4 @@
-// The periodic status line of a gateway node: current gauges, and counters since the start of the process.
+// The periodic status line of a gateway node: gauges, and counters since the start of the process.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/platform/stream_forwarder.cpp
+++ b/src/platform/stream_forwarder.cpp
@@ -86,17 +86,17 @@
     context_.environment.pause(*attempt.exchange, congested);
 }
 
-void StreamForwarder::stop_reading(const RequestState& request) {
+void StreamForwarder::cancel_stream(const RequestState& request) {
     if (!request.stream_in_flight()) return;
     abort_attempt(context_.environment, request.attempts.back(), AttemptResult::cancelled);
 }
 
 void StreamForwarder::migrate(RequestState& request) {
     completion_.abort_migrated_stream(request);
-    stop_reading(request);
+    cancel_stream(request);
 }
 
-std::size_t StreamForwarder::streams() const {
+std::size_t StreamForwarder::open_streams() const {
     const auto& requests = context_.requests.all();
     return static_cast<std::size_t>(std::count_if(
         requests.begin(), requests.end(), [](const auto& entry) { return is_open_stream(entry.second); }));
--- a/src/platform/stream_forwarder.h
+++ b/src/platform/stream_forwarder.h
@@ -30,13 +30,13 @@
     // Pauses or resumes reading from the endpoint. The idle timeout does not run while paused.
     void on_client_congested(std::uint64_t handle, bool congested);
     // Cancels the attempt of a stream whose client has disconnected.
-    void stop_reading(const RequestState& request);
+    void cancel_stream(const RequestState& request);
     // Aborts the stream towards its client, which then repeats the request, and cancels its attempt.
     void migrate(RequestState& request);
 
     // ---- while the process is stopping ----
     // Streams that have begun and not ended.
-    std::size_t streams() const;
+    std::size_t open_streams() const;
     // Migrates the `count` streams of the requests that arrived last, which have the most left to generate.
     void migrate_latest(std::size_t count);
     // Ends stalled streams of requests that arrived at `arrived_since` or later.
--- a/src/platform/upstream_exchange.cpp
+++ b/src/platform/upstream_exchange.cpp
@@ -46,8 +46,7 @@
 void UpstreamExchange::on_data(std::string_view bytes) {
     if (!over_ && !std::exchange(response_begun_, true) && on_first_byte) on_first_byte();
     if (connection_unusable_) return;
-    if (response_complete_) {  // bytes after a complete response: the response is valid, the connection
-                               // unusable
+    if (response_complete_) {  // bytes after a valid response make only the connection unusable
         connection_unusable_ = true;
         return;
     }
--- a/tests/platform/access_log_test.cpp
+++ b/tests/platform/access_log_test.cpp
@@ -41,11 +41,13 @@
     const Settings settings = chat();
     AccessLog log(settings);
     int logged = 0;
-    for (int i = 0; i < 1000; ++i) logged += log.count(i, RequestOutcome::rejected, EndCause::shed_load);
+    for (int i = 0; i < 1000; ++i)
+        logged += log.count_outcome(i, RequestOutcome::rejected, EndCause::shed_load);
     EXPECT_EQ(logged, AccessLog::kLinesPerSecond);
     EXPECT_EQ(log.not_logged(), 1000u - AccessLog::kLinesPerSecond);
-    EXPECT_TRUE(log.count(1001, RequestOutcome::rejected));
-    EXPECT_FALSE(log.count(5000, RequestOutcome::in_time)) << "a request served in time is only counted";
+    EXPECT_TRUE(log.count_outcome(1001, RequestOutcome::rejected));
+    EXPECT_FALSE(log.count_outcome(5000, RequestOutcome::in_time))
+        << "a request served in time is only counted";
     EXPECT_EQ(log.outcomes()[static_cast<std::size_t>(RequestOutcome::rejected)], 1001u);
     EXPECT_EQ(log.causes()[static_cast<std::size_t>(EndCause::shed_load)], 1000u);
     RequestRecord record;
@@ -53,7 +55,7 @@
     record.cause = EndCause::retry_budget;
     for (int i = 0; i < 500; ++i)
         record.attempts.push_back({"w1", false, false, AttemptResult::unreachable, 1, 251});
-    const std::string line = log.line(record, RequestOutcome::rejected);
+    const std::string line = log.format_line(record, RequestOutcome::rejected);
     EXPECT_EQ(line.rfind("t1 rejected cause retry_budget class 0", 0), 0u) << line;
     EXPECT_NE(line.find("decode w1 1 +250 unreachable"), std::string::npos) << line;
     EXPECT_LT(line.size(), 400u);
--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -45,10 +45,10 @@
     answer(kStreamHead + chunked("data: a\n\n"));
     RecordingClient waiting;
     send_request("t2", waiting);
-    EXPECT_EQ(lifecycle.streams(), 1u);
+    EXPECT_EQ(lifecycle.open_streams(), 1u);
     lifecycle.migrate_streams(5);
     EXPECT_TRUE(client.stream_aborted);
-    EXPECT_EQ(lifecycle.streams(), 0u);
+    EXPECT_EQ(lifecycle.open_streams(), 0u);
     EXPECT_EQ(waiting.answers_ended, 0);
     lifecycle.shutdown();
     EXPECT_EQ(waiting.status, 503);
@@ -151,7 +151,7 @@
             }
             check_new_exchanges();
         }
-        if (below(2) == 0) lifecycle.migrate_streams(lifecycle.streams()), lifecycle.shutdown();
+        if (below(2) == 0) lifecycle.migrate_streams(lifecycle.open_streams()), lifecycle.shutdown();
         for (int i = 0; i < 40; ++i) {
             while (step_endpoint(true)) check_new_exchanges();
             advance(400);
