--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -24,6 +24,7 @@
     explicit LogRateLimiter(int lines_per_second) : lines_per_second_(lines_per_second) {}
     // Returns true if a line may be logged now.
     bool allow(Millis now);
+    // The number of suppressed lines.
     std::uint64_t not_logged() const { return not_logged_; }
 
 private:
@@ -90,6 +91,7 @@
     RequestOutcome classify_served(const RequestRecord& record) const;
     // Counts the outcome of a request; returns true if its line is to be logged.
     bool count_outcome(Millis now, RequestOutcome outcome, std::optional<EndCause> cause = std::nullopt);
+    // The log line of a request.
     static std::string format_line(const RequestRecord& record, RequestOutcome outcome);
 
     const std::array<std::uint64_t, kOutcomeNames.size()>& outcomes() const { return outcomes_; }
--- a/src/platform/client_connection.h
+++ b/src/platform/client_connection.h
@@ -95,6 +95,7 @@
         ending,   // a FIN was sent; input is discarded until the client closes
         gone      // its socket is closed
     };
+    // The callbacks of a connection to its owner.
     class Owner {
     public:
         virtual ~Owner() = default;
@@ -133,7 +134,9 @@
     bool fresh() const { return fresh_; }
     // When it was opened, completed its last answer, or was last active while ending.
     Millis last_activity() const { return last_activity_; }
+    // Bytes were received that nobody has read from the socket.
     bool has_unread_input() const { return stream_->has_unread_input(); }
+    // Bytes were read behind the open request and are not parsed yet.
     bool has_pipelined_input() const { return !pipelined_.empty(); }
 
     // ---- Client ----
--- a/src/platform/endpoint_list.h
+++ b/src/platform/endpoint_list.h
@@ -27,6 +27,7 @@
     Millis last_success = -1e18;
     Millis last_failure = -1e18;
 
+    // Copies the evidence from an earlier listing of the same endpoint.
     void copy_evidence(const DiscoveredEndpoint& other) {
         last_success = other.last_success;
         last_failure = other.last_failure;
@@ -52,8 +53,11 @@
     // `rejection`.
     std::optional<EndpointUpdate> take(const std::string& text, Source source, Millis now,
                                        std::string& rejection);
+    // The version of the current list.
     std::uint64_t version() const { return version_; }
+    // Null if the endpoint is not listed.
     DiscoveredEndpoint* find(EndpointId id);
+    // All listed endpoints.
     std::map<EndpointId, DiscoveredEndpoint>& all() { return endpoints_; }
 
 private:
--- a/src/platform/environment.h
+++ b/src/platform/environment.h
@@ -29,6 +29,7 @@
     virtual void pause(const UpstreamExchange& exchange, bool paused) = 0;
     // Closes the connection of the exchange without a further call to the exchange.
     virtual void close(const UpstreamExchange& exchange) = 0;
+    // Whether an idle connection to `address` is available.
     virtual bool has_idle_connection(const std::string& address) = 0;
     // `level`: debug, info, warn or error.
     virtual void log(const char* level, const char* event, const std::string& text) = 0;
--- a/src/platform/lease_keeper.cpp
+++ b/src/platform/lease_keeper.cpp
@@ -32,7 +32,7 @@
 void LeaseKeeper::on_attempt_begun(RequestState& request, const AttemptState& attempt) {
     request.lease.on_attempt_begun(attempt.started_at, attempt.endpoint, !attempt.is_prefill);
     // A release does not harm a new prefill attempt: it frees what an earlier attempt has left.
-    if (!attempt.is_prefill) releaser_.withdraw(request.release);
+    if (!attempt.is_prefill) releaser_.withdraw(request.release_id);
     schedule_check(request);
 }
 
@@ -112,7 +112,7 @@
 void LeaseKeeper::release(RequestState& request, ReleaseReason reason) {
     if (!request.lease.held()) return;
     // The endpoint may have answered the release in progress before the lease was last acquired.
-    if (releaser_.in_progress(request.release)) return releaser_.restart(request.release);
+    if (releaser_.in_progress(request.release_id)) return releaser_.restart(request.release_id);
     request.lease.on_release_begun(context_.environment.now());
     LeaseReleaser::ReleaseRequest release;
     release.txn = request.inbound.txn;
@@ -123,11 +123,11 @@
     release.reason = reason;
     ++context_.counters.release_reasons[static_cast<std::size_t>(reason)];
     release.lease_description = describe(request);
-    request.release = releaser_.start(std::move(release));
+    request.release_id = releaser_.start(std::move(release));
 }
 
 bool LeaseKeeper::release_in_progress(const RequestState& request) const {
-    return releaser_.in_progress(request.release);
+    return releaser_.in_progress(request.release_id);
 }
 
 void LeaseKeeper::on_release_ended(const LeaseReleaser::Result& result) {
--- a/src/platform/lease_keeper.h
+++ b/src/platform/lease_keeper.h
@@ -22,23 +22,27 @@
 // logged and counted. Times: ms. Threading: one thread.
 class LeaseKeeper {
 public:
-    // `context` has to outlive it.
+    // `context` has to outlive this object.
     explicit LeaseKeeper(LifecycleContext& context);
 
     // ---- evidence, from AttemptRunner and StreamForwarder ----
     // A decode attempt withdraws a release in progress, which would free the KV cache that the attempt is to
     // read.
     void on_attempt_begun(RequestState& request, const AttemptState& attempt);
+    // The last byte of the attempt's request was passed to the kernel.
     void on_request_written(RequestState& request, const AttemptState& attempt);
     // The first byte of a response to the attempt in flight was received.
     void on_attempt_answered(RequestState& request);
     // The decode endpoint has fetched the KV cache.
     void on_kv_cache_fetched(RequestState& request);
+    // The attempt has ended. A prefill that may have run acquires the lease.
     void on_attempt_ended(RequestState& request, const AttemptState& attempt, const AttemptOutcome& outcome);
 
     // Asks a decode endpoint to reserve a slot for the request. The Router is informed only if the slot was
     // reserved or is taken.
     void reserve_slot(const ReserveSlot& reserve);
+    // The timer `TimerKind::reservation` of the request has fired: closes a reservation call that is still
+    // unanswered.
     void on_reservation_timeout(const RequestState& request);
     // Closes a reservation call that is still unanswered, without informing the Router.
     void abandon_reservation(const RequestState& request);
@@ -46,10 +50,11 @@
     // Releases everything that may be held for the request, or restarts a release in progress. Does not wait
     // for an attempt in flight: a release does not affect an attempt that has arrived, see control/kv_lease.
     void release(RequestState& request, ReleaseReason reason);
+    // The latest release of the request has neither ended nor been withdrawn.
     bool release_in_progress(const RequestState& request) const;
-    // The timer `TimerKind::release` of the release with that id.
+    // The timer `TimerKind::release` of the release with that id has fired.
     void retry_release(std::uint64_t release_id) { releaser_.retry(release_id); }
-    // The timer `TimerKind::lease` of the request.
+    // The timer `TimerKind::lease` of the request has fired.
     void on_lease_timer(RequestState& request);
 
     // The history of the request's lease, for log lines.
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -181,7 +181,8 @@
 
 // Parses a number of milliseconds followed by m, or of microseconds followed by u.
 Rejection read_remaining(const std::string* header, Arrival& arrival) {
-    if (!header || header->size() < 2) return Refusal{400, "x-remaining: expected digits followed by m or u"};
+    if (!header || header->size() < 2)
+        return Refusal{400, "x-remaining: expected a number followed by m or u"};
     const char unit = header->back();
     const double remaining = parse_amount(std::string_view(*header).substr(0, header->size() - 1));
     if (remaining <= 0 || (unit != 'm' && unit != 'u') || remaining > kMaxRemaining)
@@ -194,7 +195,7 @@
 
 Rejection read_hints(const KnownHeaders& known, Arrival& arrival) {
     if (known.labels && !read_labels(*known.labels, arrival))
-        return Refusal{400, "x-labels: expected name=value pairs separated by commas"};
+        return Refusal{400, "x-labels: expected comma-separated name=value pairs with valid values"};
     arrival.client_retry = known.resent && *known.resent == "1";
     arrival.resumed = known.resent && *known.resent == "again";
     if (!known.estimate) return std::nullopt;
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -48,7 +48,9 @@
     // Accepts a request and returns its handle for the calls below; 0: a request with its transaction id is
     // open, and this one was not accepted. `age`: ms since its first byte was received.
     std::uint64_t on_request(Inbound inbound, Millis age, Client* client);
+    // The client of the request has closed its connection.
     void on_client_disconnected(std::uint64_t handle);
+    // The client of the request has stopped, or resumed, reading its stream fast enough.
     void on_client_congested(std::uint64_t handle, bool congested) {
         streams_.on_client_congested(handle, congested);
     }
--- a/src/platform/request_state.h
+++ b/src/platform/request_state.h
@@ -2,9 +2,9 @@
 //
 // Ownership: RequestTable owns the records. RequestLifecycle adds a record when a request arrives;
 // RequestCompletion closes and removes it. `attempts` is changed by AttemptRunner and, for a begun stream, by
-// StreamForwarder; `lease`, `reservation`, `release` and `lease_check_at` by LeaseKeeper alone. Pointers to a
-// record stay valid until it is removed, which happens only while the Router is idle: after any call that may
-// feed an event to the Router the record has to be looked up again. Times are ms on the clock of
+// StreamForwarder; `lease`, `reservation`, `release_id` and `lease_check_at` by LeaseKeeper alone. Pointers
+// to a record stay valid until it is removed, which happens only while the Router is idle: after any call
+// that may feed an event to the Router the record has to be looked up again. Times are ms on the clock of
 // Environment::now(). Threading: one thread.
 #pragma once
 
@@ -82,7 +82,7 @@
     std::optional<Millis> lease_check_at;  // when the earliest lease timer fires
     std::deque<AttemptState> attempts;
     std::shared_ptr<UpstreamExchange> reservation;  // the latest call to reserve a slot
-    std::uint64_t release = 0;                      // id of the latest release at LeaseReleaser, 0: none
+    std::uint64_t release_id = 0;                   // id of the latest release at LeaseReleaser; 0: none
     Driver::OwnedTimers timers, timeouts;
 
     // Null if there is no attempt with this index.
@@ -101,6 +101,7 @@
 
     // Adds a record under a new handle; handles start at 1 and never repeat.
     RequestState& add(Inbound inbound);
+    // Removes the record; an unknown handle has no effect.
     void remove(std::uint64_t handle);
 
     // Null if there is no such request or attempt.
@@ -108,6 +109,7 @@
     RequestState* find(const RequestId& id);
     AttemptState* find_attempt(std::uint64_t handle, int index);
 
+    // A request with this transaction id is open.
     bool contains_transaction(const std::string& txn) const { return open_transactions_.count(txn) > 0; }
     std::size_t size() const { return requests_.size(); }
     const std::unordered_map<std::uint64_t, RequestState>& all() const { return requests_; }
--- a/src/platform/stream_forwarder.h
+++ b/src/platform/stream_forwarder.h
@@ -22,7 +22,9 @@
     StreamForwarder(LifecycleContext& context, LeaseKeeper& lease_keeper, RequestCompletion& completion);
 
     // ---- called by the exchange of an attempt ----
+    // The first event of the attempt's stream was received: starts the client's stream.
     void on_first_event(std::uint64_t handle, int attempt_index, std::string_view events);
+    // Further events were received; they are forwarded unchanged.
     void on_more_events(std::uint64_t handle, int attempt_index, std::string_view events);
 
     // The timer `TimerKind::stream_idle` of an attempt in flight has fired.
--- a/src/platform/upstream_exchange.h
+++ b/src/platform/upstream_exchange.h
@@ -49,6 +49,7 @@
 
     explicit UpstreamExchange(Kind kind);
 
+    // ---- UpstreamCall ----
     bool may_start() override { return !over_ && (!may_start_hook || may_start_hook()); }
     void stamp_request(std::string& request) override {
         if (stamp_hook) stamp_hook(request);
@@ -62,10 +63,12 @@
     void on_connect_failed() override;
     void on_not_sent() override;
     bool is_over() const override { return over_; }
-    bool request_written() const { return request_written_; }  // its last byte was passed to the kernel
     bool is_reusable() const override { return over_ && response_complete_ && !connection_unusable_; }
     bool is_lingering() const override { return false; }
 
+    // ---- for the owner ----
+    // The last byte of the request was passed to the kernel.
+    bool request_written() const { return request_written_; }
     // Ends the exchange from this side, because of a timeout or a cancellation. The caller has to close its
     // connection. `reason` is unused; the parameter remains for callers outside this package.
     void abort(AttemptResult result, std::string_view reason = {});
