--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -1,8 +1,8 @@
-// A library that is preloaded into a process under test (LD_PRELOAD) and makes its system calls and its wall clock
-// misbehave as told in a file of fixed layout that the soak maps and writes (FAULTS_FILE; see faults.mjs).
+// Fault library, preloaded into a process under test (LD_PRELOAD): makes its system calls fail and shifts its wall clock, as
+// configured in a control file of fixed layout (FAULTS_FILE) that the tests write (see faults.mjs).
 //
-// The process does not know of it. Without FAULTS_FILE every call passes through. Errors are drawn by a generator of
-// its own, seeded from the file. Only IPv4 sockets and, for disk calls, regular files are touched.
+// The process needs no changes. Without FAULTS_FILE every call passes through. Faults are drawn by a generator of the library,
+// seeded from the file. Only IPv4 sockets and, for disk calls, regular files are affected.
 #define _GNU_SOURCE
 #include <arpa/inet.h>
 #include <dlfcn.h>
@@ -26,211 +26,215 @@
 #include <time.h>
 #include <unistd.h>
 
+// System calls and the ways they can fail; the order is that of CALLS in faults.mjs.
 enum Call {
     ACCEPT, SOCKET, CONNECT, LISTEN, POLL, WAIT, READ, WRITE, READ_SHORT, WRITE_SHORT, CONNECT_HANG,
-    OPEN_FILE, WRITE_FILE, SYNC_FILE, WRITE_DELAY, CONNECT_DELAY, CALLS
+    OPEN_FILE, WRITE_FILE, SYNC_FILE, WRITE_DELAY, CONNECT_DELAY, CALL_COUNT
 };
 
 struct Fault {
-    int32_t error;             // errno to return; the most bytes that pass a short call; ms that a slow one takes
-    uint32_t per_65536;        // part of the calls that fail, of 65,536
-    volatile uint32_t given;   // how many have failed
-    volatile uint32_t calls;   // how many were made
+    int32_t error;                    // errno to return; maximum bytes of a short call; ms of a delayed call
+    uint32_t failures_per_65536;      // of 65,536 calls, how many fail
+    volatile uint32_t failure_count;  // calls that have failed
+    volatile uint32_t call_count;     // calls made
 };
 
+// The control file.
 struct Control {
     volatile int64_t wall_offset_ms;
     uint32_t seed;
     uint32_t unused;
-    struct Fault faults[CALLS];
+    struct Fault faults[CALL_COUNT];
 };
 
-#define MOST_DESCRIPTORS 65536
-static unsigned char connected[MOST_DESCRIPTORS];  // 1: an IPv4 stream socket that is no listener
+#define MAX_DESCRIPTORS 65536
+static unsigned char stream_sockets[MAX_DESCRIPTORS];  // 1: an IPv4 stream socket that does not listen
 
+// Maps the control file; NULL without one.
 static struct Control* control(void) {
     static struct Control* mapped = NULL;
-    static int tried = 0;
-    if (tried) return mapped;
-    tried = 1;
+    static int initialized = 0;
+    if (initialized) return mapped;
+    initialized = 1;
     const char* name = getenv("FAULTS_FILE");
     if (!name) return NULL;
     static int (*real_open)(const char*, int, ...) = NULL;
     if (!real_open) real_open = dlsym(RTLD_NEXT, "open");
     const int fd = real_open(name, O_RDWR | O_CLOEXEC);
     if (fd < 0) return NULL;
-    void* at = mmap(NULL, sizeof(struct Control), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    void* mapping = mmap(NULL, sizeof(struct Control), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     close(fd);
-    if (at != MAP_FAILED) mapped = at;
+    if (mapping != MAP_FAILED) mapped = mapping;
     return mapped;
 }
 
-// The process ends with the soak that started it, however that ends.
+// Kills the process when the test that started it exits, for whatever reason.
 __attribute__((constructor)) static void end_with_parent(void) {
     if (control()) prctl(PR_SET_PDEATHSIG, SIGKILL);
 }
 
-static int fails(enum Call call) {
-    struct Control* c = control();
-    if (!c) return 0;
-    struct Fault* f = &c->faults[call];
-    __atomic_add_fetch(&f->calls, 1, __ATOMIC_RELAXED);
-    if (f->per_65536 == 0) return 0;
+// Draws whether a call fails. Returns the configured errno, byte count or delay, or 0.
+static int draw_fault(enum Call call) {
+    struct Control* ctl = control();
+    if (!ctl) return 0;
+    struct Fault* fault = &ctl->faults[call];
+    __atomic_add_fetch(&fault->call_count, 1, __ATOMIC_RELAXED);
+    if (fault->failures_per_65536 == 0) return 0;
     static uint32_t state = 0;
-    uint32_t x = state ? state : c->seed | 1;
-    x ^= x << 13, x ^= x >> 17, x ^= x << 5;
-    state = x;
-    if ((x & 0xffff) >= f->per_65536) return 0;
-    __atomic_add_fetch(&f->given, 1, __ATOMIC_RELAXED);
-    return f->error;
+    uint32_t draw = state ? state : ctl->seed | 1;
+    draw ^= draw << 13, draw ^= draw >> 17, draw ^= draw << 5;
+    state = draw;
+    if ((draw & 0xffff) >= fault->failures_per_65536) return 0;
+    __atomic_add_fetch(&fault->failure_count, 1, __ATOMIC_RELAXED);
+    return fault->error;
 }
 
 #define REAL(name) ({ static __typeof__(&name) real_; if (!real_) real_ = dlsym(RTLD_NEXT, #name); real_; })
-#define FAIL_IF(call) do { const int e_ = fails(call); if (e_) { errno = e_; return -1; } } while (0)
+#define FAIL_IF(call) do { const int e_ = draw_fault(call); if (e_) { errno = e_; return -1; } } while (0)
 
-// The process stands still between the clock that it has read and what it does by that.
-static void stand_still(enum Call call) {
-    const int ms = fails(call);
+// Delays a call, so that the clock value the process acts on is out of date.
+static void delay_call(enum Call call) {
+    const int ms = draw_fault(call);
     if (ms > 0) usleep((useconds_t)ms * 1000);
 }
 
-static void mark(int fd, unsigned char what) {
-    if (fd >= 0 && fd < MOST_DESCRIPTORS) connected[fd] = what;
+static void set_stream_socket(int fd, unsigned char value) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) stream_sockets[fd] = value;
 }
-static int marked(int fd) { return fd >= 0 && fd < MOST_DESCRIPTORS && connected[fd]; }
+static int is_stream_socket(int fd) { return fd >= 0 && fd < MAX_DESCRIPTORS && stream_sockets[fd]; }
 
 int socket(int domain, int type, int protocol) {
     if (domain == AF_INET) FAIL_IF(SOCKET);
     const int fd = REAL(socket)(domain, type, protocol);
-    mark(fd, domain == AF_INET && (type & 0xf) == SOCK_STREAM);
+    set_stream_socket(fd, domain == AF_INET && (type & 0xf) == SOCK_STREAM);
     return fd;
 }
 
-int accept4(int listener, struct sockaddr* a, socklen_t* n, int flags) {
-    const int e = fails(ACCEPT);
-    if (e) {
-        // The connection of an ECONNABORTED is gone; of the others it waits on.
-        if (e == ECONNABORTED) {
-            const int fd = REAL(accept4)(listener, a, n, flags);
+int accept4(int listener, struct sockaddr* address, socklen_t* size, int flags) {
+    const int error = draw_fault(ACCEPT);
+    if (error) {
+        // ECONNABORTED means that the connection is lost; after the other errors it stays in the queue.
+        if (error == ECONNABORTED) {
+            const int fd = REAL(accept4)(listener, address, size, flags);
             if (fd < 0) return fd;
-            const struct linger now = {1, 0};
-            setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+            const struct linger immediately = {1, 0};
+            setsockopt(fd, SOL_SOCKET, SO_LINGER, &immediately, sizeof immediately);
             REAL(close)(fd);
         }
-        errno = e;
+        errno = error;
         return -1;
     }
-    const int fd = REAL(accept4)(listener, a, n, flags);
-    mark(fd, 1);
+    const int fd = REAL(accept4)(listener, address, size, flags);
+    set_stream_socket(fd, 1);
     return fd;
 }
-int accept(int listener, struct sockaddr* a, socklen_t* n) { return accept4(listener, a, n, 0); }
+int accept(int listener, struct sockaddr* address, socklen_t* size) { return accept4(listener, address, size, 0); }
 
 int close(int fd) {
-    mark(fd, 0);
+    set_stream_socket(fd, 0);
     return REAL(close)(fd);
 }
 
 int listen(int fd, int backlog) {
     FAIL_IF(LISTEN);
-    mark(fd, 0);
+    set_stream_socket(fd, 0);
     return REAL(listen)(fd, backlog);
 }
 
-// A listener whose queue is full: a connection to it never comes up.
-static int full_listener(struct sockaddr_in* out) {
+// Returns the address of a listener with a full queue: a connection to it is never established.
+static int hanging_listener(struct sockaddr_in* out) {
     static struct sockaddr_in address;
-    static int made = 0;
-    if (!made) {
-        made = 1;
-        const int l = REAL(socket)(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    static int created = 0;
+    if (!created) {
+        created = 1;
+        const int listener = REAL(socket)(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         address.sin_family = AF_INET;
         address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         socklen_t size = sizeof address;
-        if (l < 0 || bind(l, (struct sockaddr*)&address, size) || REAL(listen)(l, 0) ||
-            getsockname(l, (struct sockaddr*)&address, &size)) {
+        if (listener < 0 || bind(listener, (struct sockaddr*)&address, size) || REAL(listen)(listener, 0) ||
+            getsockname(listener, (struct sockaddr*)&address, &size)) {
             address.sin_port = 0;
             return 0;
         }
         for (int i = 0; i < 2; ++i) {
-            const int c = REAL(socket)(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-            if (c >= 0) REAL(connect)(c, (struct sockaddr*)&address, sizeof address);
+            const int client = REAL(socket)(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
+            if (client >= 0) REAL(connect)(client, (struct sockaddr*)&address, sizeof address);
         }
     }
     *out = address;
     return address.sin_port != 0;
 }
 
-int connect(int fd, const struct sockaddr* a, socklen_t n) {
-    if (a && a->sa_family == AF_INET) {
-        struct sockaddr_in full;
+int connect(int fd, const struct sockaddr* address, socklen_t size) {
+    if (address && address->sa_family == AF_INET) {
+        struct sockaddr_in hanging;
         FAIL_IF(CONNECT);
-        stand_still(CONNECT_DELAY);
-        if (fails(CONNECT_HANG) && full_listener(&full))
-            return REAL(connect)(fd, (struct sockaddr*)&full, sizeof full);
+        delay_call(CONNECT_DELAY);
+        if (draw_fault(CONNECT_HANG) && hanging_listener(&hanging))
+            return REAL(connect)(fd, (struct sockaddr*)&hanging, sizeof hanging);
     }
-    return REAL(connect)(fd, a, n);
+    return REAL(connect)(fd, address, size);
 }
 
-int poll(struct pollfd* p, nfds_t n, int timeout) {
+int poll(struct pollfd* descriptors, nfds_t count, int timeout) {
     FAIL_IF(POLL);
-    return REAL(poll)(p, n, timeout);
+    return REAL(poll)(descriptors, count, timeout);
 }
 
-int epoll_pwait(int fd, struct epoll_event* events, int most, int timeout, const sigset_t* set) {
+int epoll_pwait(int fd, struct epoll_event* events, int max_events, int timeout, const sigset_t* set) {
     FAIL_IF(WAIT);
-    return REAL(epoll_pwait)(fd, events, most, timeout, set);
+    return REAL(epoll_pwait)(fd, events, max_events, timeout, set);
 }
-int epoll_wait(int fd, struct epoll_event* events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event* events, int max_events, int timeout) {
     FAIL_IF(WAIT);
-    return REAL(epoll_wait)(fd, events, most, timeout);
+    return REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
-// An error other than EINTR and EAGAIN ends a connection for both sides.
-static int broken(int fd, enum Call call) {
-    const int e = fails(call);
-    if (e && e != EINTR && e != EAGAIN) {
-        const struct linger now = {1, 0};
-        setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+// Draws an error for a connection. An error other than EINTR and EAGAIN ends it for both sides.
+static int draw_connection_error(int fd, enum Call call) {
+    const int error = draw_fault(call);
+    if (error && error != EINTR && error != EAGAIN) {
+        const struct linger immediately = {1, 0};
+        setsockopt(fd, SOL_SOCKET, SO_LINGER, &immediately, sizeof immediately);
         shutdown(fd, SHUT_RDWR);
     }
-    return e;
+    return error;
 }
 
-ssize_t read(int fd, void* to, size_t n) {
-    if (marked(fd)) {
-        const int e = broken(fd, READ);
-        if (e) return errno = e, -1;
-        const int most = fails(READ_SHORT);
-        if (most > 0 && n > (size_t)most) n = (size_t)most;
+ssize_t read(int fd, void* buffer, size_t size) {
+    if (is_stream_socket(fd)) {
+        const int error = draw_connection_error(fd, READ);
+        if (error) return errno = error, -1;
+        const int max_bytes = draw_fault(READ_SHORT);
+        if (max_bytes > 0 && size > (size_t)max_bytes) size = (size_t)max_bytes;
     }
-    return REAL(read)(fd, to, n);
+    return REAL(read)(fd, buffer, size);
 }
 
-static int regular(int fd) {
-    struct stat s;
-    return fd > 2 && fstat(fd, &s) == 0 && S_ISREG(s.st_mode);
+static int is_regular_file(int fd) {
+    struct stat status;
+    return fd > 2 && fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-ssize_t write(int fd, const void* from, size_t n) {
-    if (marked(fd)) {
-        stand_still(WRITE_DELAY);
-        const int e = broken(fd, WRITE);
-        if (e) return errno = e, -1;
-        const int most = fails(WRITE_SHORT);
-        if (most > 0 && n > (size_t)most) n = (size_t)most;
-    } else if (regular(fd)) {
+ssize_t write(int fd, const void* buffer, size_t size) {
+    if (is_stream_socket(fd)) {
+        delay_call(WRITE_DELAY);
+        const int error = draw_connection_error(fd, WRITE);
+        if (error) return errno = error, -1;
+        const int max_bytes = draw_fault(WRITE_SHORT);
+        if (max_bytes > 0 && size > (size_t)max_bytes) size = (size_t)max_bytes;
+    } else if (is_regular_file(fd)) {
         FAIL_IF(WRITE_FILE);
     }
-    return REAL(write)(fd, from, n);
+    return REAL(write)(fd, buffer, size);
 }
 
 ssize_t writev(int fd, const struct iovec* parts, int count) {
-    if (marked(fd)) {
-        const int e = broken(fd, WRITE);
-        if (e) return errno = e, -1;
-        if (count > 0 && fails(WRITE_SHORT) > 0) count = 1;
-    } else if (regular(fd)) {
+    if (is_stream_socket(fd)) {
+        const int error = draw_connection_error(fd, WRITE);
+        if (error) return errno = error, -1;
+        if (count > 0 && draw_fault(WRITE_SHORT) > 0) count = 1;
+    } else if (is_regular_file(fd)) {
         FAIL_IF(WRITE_FILE);
     }
     return REAL(writev)(fd, parts, count);
@@ -254,37 +258,37 @@
     return REAL(open)(name, flags, mode);
 }
 
-FILE* fopen(const char* name, const char* how) {
-    const int e = strncmp(name, "/dev/", 5) != 0 && strncmp(name, "/proc/", 6) != 0 ? fails(OPEN_FILE) : 0;
-    if (e) return errno = e, NULL;
-    return REAL(fopen)(name, how);
+FILE* fopen(const char* name, const char* mode) {
+    const int error = strncmp(name, "/dev/", 5) != 0 && strncmp(name, "/proc/", 6) != 0 ? draw_fault(OPEN_FILE) : 0;
+    if (error) return errno = error, NULL;
+    return REAL(fopen)(name, mode);
 }
-FILE* fopen64(const char* name, const char* how) { return fopen(name, how); }
+FILE* fopen64(const char* name, const char* mode) { return fopen(name, mode); }
 
 static int64_t wall_offset_ms(void) {
-    const struct Control* c = control();
-    return c ? c->wall_offset_ms : 0;
+    const struct Control* ctl = control();
+    return ctl ? ctl->wall_offset_ms : 0;
 }
 
-int clock_gettime(clockid_t which, struct timespec* t) {
-    const int r = REAL(clock_gettime)(which, t);
-    if (r == 0 && (which == CLOCK_REALTIME || which == CLOCK_REALTIME_COARSE)) {
-        const int64_t ns = (int64_t)t->tv_nsec + wall_offset_ms() % 1000 * 1000000;
-        t->tv_sec += wall_offset_ms() / 1000 + (ns >= 1000000000) - (ns < 0);
-        t->tv_nsec = (ns + 1000000000) % 1000000000;
+int clock_gettime(clockid_t clock, struct timespec* now) {
+    const int result = REAL(clock_gettime)(clock, now);
+    if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
+        const int64_t ns = (int64_t)now->tv_nsec + wall_offset_ms() % 1000 * 1000000;
+        now->tv_sec += wall_offset_ms() / 1000 + (ns >= 1000000000) - (ns < 0);
+        now->tv_nsec = (ns + 1000000000) % 1000000000;
     }
-    return r;
+    return result;
 }
-int gettimeofday(struct timeval* t, void* zone) {
+int gettimeofday(struct timeval* now, void* zone) {
     (void)zone;
-    struct timespec s;
-    const int r = clock_gettime(CLOCK_REALTIME, &s);
-    t->tv_sec = s.tv_sec, t->tv_usec = s.tv_nsec / 1000;
-    return r;
+    struct timespec spec;
+    const int result = clock_gettime(CLOCK_REALTIME, &spec);
+    now->tv_sec = spec.tv_sec, now->tv_usec = spec.tv_nsec / 1000;
+    return result;
 }
 time_t time(time_t* out) {
-    struct timespec s;
-    clock_gettime(CLOCK_REALTIME, &s);
-    if (out) *out = s.tv_sec;
-    return s.tv_sec;
+    struct timespec now;
+    clock_gettime(CLOCK_REALTIME, &now);
+    if (out) *out = now.tv_sec;
+    return now.tv_sec;
 }
