--- a/tests/soak/clients.mjs
+++ b/tests/soak/clients.mjs
@@ -42,7 +42,7 @@
     const remaining = patient ? deadline : Math.round(random.chance(0.15) ? random.between(3, 300) : random.between(0.5, 1) * deadline);
     const txn = `${prefix}${gateway.rank}-${++this.requestCount}`;
     const body = `{"n":"${txn}"}`;
-    const alternativeForm = harness.schedule.habits.forms && random.chance(0.4);
+    const alternativeForm = harness.schedule.peerBehavior.forms && random.chance(0.4);
     const target = alternativeForm ? '/v1/chat/completions?trace=1' : '/v1/chat/completions';
     const prefixLabels = random.chance(0.5) ? `prefix=o${random.integer(1, 9)},prefix_len=50,` : '';
     const head = `POST ${target} HTTP/1.1\r\nhost: service.internal\r\nx-txn: ${txn}\r\nx-lane: ${LANES[lane]}\r\n` +
@@ -70,7 +70,7 @@
   }
   // A refusal means that a retry is harmless; some clients retry at once.
   retry(refusedRequest) {
-    if (!this.harness.schedule.habits.retry || this.harness.loadEnded || refusedRequest.retries >= 2) return;
+    if (!this.harness.schedule.peerBehavior.retry || this.harness.loadEnded || refusedRequest.retries >= 2) return;
     this.submit(Object.assign(this.makeRequest('a', 'x-resent: 1\r\n'), { retries: (refusedRequest.retries ?? 0) + 1 }));
   }
   // Requests the rest of a broken stream from any running gateway of the zone.
--- a/tests/soak/discovery.mjs
+++ b/tests/soak/discovery.mjs
@@ -46,7 +46,7 @@
     this.versionOffset = discovery.agents.length % 2 === 0 ? 100000 : 0;  // of its version numbers
     this.mode = '';  // '', slow, refused
     this.seq = discovery.seq;
-    this.reloadEffectiveAt = -1;  // after a reload, when the gateway must have queried this agent
+    this.reloadEffectiveAt = -1;  // after a reload: by when the gateway counts as notified of this agent's list
     this.notifications = [];  // {seq, at}: the gateway counts as notified of all changes up to seq from then on
     this.connections = new Set();
     discovery.agents.push(this);
@@ -62,13 +62,13 @@
     this.seq = this.discovery.seq;
     if (this.gateway.agent !== this) return;  // the gateway does not use this agent
     const now = this.harness.now();
-    const impaired = this.mode !== '' || this.harness.schedule.habits.discoveryDelay > 0 || [...this.connections].some((connection) => connection.unresponsiveSince >= 0);
+    const impaired = this.mode !== '' || this.harness.schedule.peerBehavior.discoveryDelay > 0 || [...this.connections].some((connection) => connection.unresponsiveSince >= 0);
     this.addNotification(Math.max(impaired ? now + UNRESPONSIVE_NOTIFY_MS : now, this.reloadEffectiveAt));
     for (const connection of this.connections) connection.onChange();
   }
   addNotification(atMs) { this.notifications.push({ seq: this.seq, at: atMs }); }
   onReload() {
-    this.reloadEffectiveAt = this.harness.now() + (this.mode === '' && this.harness.schedule.habits.discoveryDelay === 0 ? RELOAD_NOTIFY_MS : UNRESPONSIVE_NOTIFY_MS);
+    this.reloadEffectiveAt = this.harness.now() + (this.mode === '' && this.harness.schedule.peerBehavior.discoveryDelay === 0 ? RELOAD_NOTIFY_MS : UNRESPONSIVE_NOTIFY_MS);
     this.addNotification(this.reloadEffectiveAt);
   }
   // When this agent counts as having notified the gateway of a change.
@@ -114,7 +114,7 @@
   }
   onChange() { if (this.pendingWatch && !this.pendingWatch.answered && this.agent.seq > this.pendingWatch.from) this.respond(); }
   respond() {
-    const { discoveryDelay } = this.harness.schedule.habits;
+    const { discoveryDelay } = this.harness.schedule.peerBehavior;
     if (discoveryDelay === 0) return this.respondNow();
     this.pendingWatch &&= { ...this.pendingWatch, answered: true };
     setTimeout(() => this.respondNow(), discoveryDelay);
@@ -126,7 +126,7 @@
     const from = this.pendingWatch?.from ?? -1;
     this.pendingWatch = null;
     // Sends only the changes if the gateway already has a list from this agent.
-    const { changes, forms } = this.harness.schedule.habits;
+    const { changes, forms } = this.harness.schedule.peerBehavior;
     const complete = !changes || !(from >= 1 && from <= agent.seq);
     const endpointList = { seq: agent.seq + agent.versionOffset, whole: complete, hosts: complete ? discovery.list : discovery.since(from) };
     const body = JSON.stringify(endpointList, null, forms ? 2 : 0);
--- a/tests/soak/held.mjs
+++ b/tests/soak/held.mjs
@@ -34,7 +34,7 @@
   return { seed: 90000, seconds: scenario.seconds ?? (3000 + CUT_MS + 1500 + (scenario.pauseMs ?? 0)) / 1000, gateways: 1, faults: [],
     settings: { aim: scenario.aim, resume: true, drainGrace: 250, releaseWithin: scenario.releaseWithin ?? 1000, deadlines: [deadline, deadline, deadline], window: 1500,
       idleClose: 15000, dialTimeout: 250, warmWithin: 8000, startCapacity: 0.3, fallMultiple: 2.5, fallWindow: 2000, retryAfter: false, group: 'all' },
-    habits: { forms: false, dropShort: false, changes: true, retry: false, discoveryDelay: 0, firstToken: scenario.firstToken },
+    peerBehavior: { forms: false, dropShort: false, changes: true, retry: false, discoveryDelay: 0, firstToken: scenario.firstToken },
     load: { readers: 4, writers: 5, perGateway: scenario.requestsPerS ?? 40, leave: 0, keep: 0.8, lanes: scenario.lanes ?? ['chat', 'pay'], patient: true } };
 }
 
--- a/tests/soak/oracle.mjs
+++ b/tests/soak/oracle.mjs
@@ -6,7 +6,7 @@
 
 const SLACK_MS = 50;  // added to each limit by the platform
 const ANSWER_GRACE_MS = 500;  // after its deadline a request without a final response counts as lost after this
-const REMAINING_TIME_SLACK_MS = 150;  // for the remaining time sent to a server; longer suspensions exempt an attempt
+const REMAINING_TIME_SLACK_MS = 150;  // for the remaining time sent to a server and for a process stalled between a clock read and a write
 const CANCEL_SLACK_MS = 100;  // an attempt may begin this long after its client disconnected
 const LEASE_SLACK_MS = 300;
 const UNREACHABLE_FRACTION = 0.2;  // of the release timeout: without a reachable server for longer, a lease is not judged
@@ -78,7 +78,7 @@
     return incarnations[incarnations.length - 1];
   }
 
-  // ---- answers ----
+  // ---- responses ----
   checkRequest(request) {
     const incarnation = this.incarnationOf(request);
     const gateway = this.gatewayOf(request);
@@ -222,10 +222,13 @@
       const suspended = gateway.stoppedMs(sending.sentAt, attempt.lastByteAt) > REMAINING_TIME_SLACK_MS;  // for longer than the rules allow
       // The gateway checks the client before the write; a stall in between cannot be noticed.
       const stallMs = this.harness.callErrorsAt(request.gateway, attempt.begunAt, ['writeDelay', 'connectDelay']).length > 0 ? CLOCK_TO_WRITE_STALL_MS : 0;
-      if (sending.leftAt >= 0 && !suspended) this.checkLimit('departed', txn, attempt.begunAt - sending.leftAt - CANCEL_SLACK_MS - stallMs, sending.leftAt, attempt.begunAt, 'an attempt began after its client had disconnected');
-      if (sending.endedAt >= 0 && sending.headAt >= 0 && !suspended && sending.behind === 0) this.checkLimit('departed', txn, attempt.begunAt - sending.endedAt - CANCEL_SLACK_MS - stallMs, sending.endedAt, attempt.begunAt, 'an attempt began after the final response');
+      if (sending.leftAt >= 0 && !suspended) this.checkLimit('departed', txn, attempt.begunAt - sending.leftAt - CANCEL_SLACK_MS - stallMs, sending.leftAt, attempt.begunAt,
+        'an attempt began after its client had disconnected');
+      if (sending.endedAt >= 0 && sending.headAt >= 0 && !suspended && sending.behind === 0) this.checkLimit('departed', txn, attempt.begunAt - sending.endedAt - CANCEL_SLACK_MS - stallMs, sending.endedAt, attempt.begunAt,
+        'an attempt began after the final response');
       const remainingMs = sending.sentAt + sending.remaining - attempt.begunAt;
-      if (!suspended && sending.behind === 0) this.checkLimit('time-told', txn, attempt.told - remainingMs - REMAINING_TIME_SLACK_MS, sending.sentAt, attempt.begunAt, `server was sent ${attempt.told} ms of remaining time, ${remainingMs.toFixed(0)} ms remained`);
+      if (!suspended && sending.behind === 0) this.checkLimit('time-told', txn, attempt.told - remainingMs - REMAINING_TIME_SLACK_MS, sending.sentAt, attempt.begunAt,
+        `server was sent ${attempt.told} ms of remaining time, ${remainingMs.toFixed(0)} ms remained`);
       this.checkDrain(gateway, attempt, txn);
     }
     this.checkDuplicates(request, attempts, gateway);
@@ -266,12 +269,14 @@
         if (group !== 'all' && (earlier.zone !== later.zone || (group === 'cell' && earlier.block !== later.block)))
           this.addViolation('duplicate', request.txn, `a keyed request sent outside its ${group}, ${earlier.server} then ${later.server}`, later.lastByteAt);
         const stoppedMs = gateway.stoppedMs(earlier.lastByteAt, later.lastByteAt);
-        if (stoppedMs <= REMAINING_TIME_SLACK_MS) this.checkLimit('duplicate', request.txn, later.lastByteAt - earlier.lastByteAt - this.settings.window - CLOCK_TO_WRITE_STALL_MS, earlier.lastByteAt, later.lastByteAt, 'a keyed request sent again after its dedup window');
+        if (stoppedMs <= REMAINING_TIME_SLACK_MS) this.checkLimit('duplicate', request.txn, later.lastByteAt - earlier.lastByteAt - this.settings.window - CLOCK_TO_WRITE_STALL_MS, earlier.lastByteAt, later.lastByteAt,
+          'a keyed request sent again after its dedup window');
       }
     }
     const mayHaveExecuted = sorted.some((attempt) => attempt.role === 'write' && !attempt.turnedAway);
     const refused = (this.requestsByTxn.get(request.txn) ?? []).some((sending) => sending.status === 503 || sending.status === 429);
-    if (refused && mayHaveExecuted && (request.lane === 'pay' || (request.lane === 'key' && this.settings.group !== 'all'))) this.addViolation('duplicate', request.txn, `refused as safe to retry after a decode attempt that may have run, class ${request.lane}`, request.endedAt);
+    if (refused && mayHaveExecuted && (request.lane === 'pay' || (request.lane === 'key' && this.settings.group !== 'all')))
+      this.addViolation('duplicate', request.txn, `refused as safe to retry after a decode attempt that may have run, class ${request.lane}`, request.endedAt);
   }
 
   // ---- KV leases ----
@@ -299,7 +304,7 @@
   checkLeaseTime(lease, gateway, incarnation, from, to) {
     if (!(to > from)) return;
     if (incarnation.killed >= 0 && incarnation.killed < to) to = incarnation.killed;
-    // While no server is reachable no release can arrive: it arrives when that ends or later.
+    // While no server is reachable, no release can arrive until that ends or later: such a lease is not judged.
     if (this.harness.paths.unreachableMs(from, to) > UNREACHABLE_FRACTION * this.settings.releaseWithin) return this.countCase('states with no server in reach');
     const heldMs = to - from - gateway.stoppedMs(from, to);
     lease.heldFor = Math.max(lease.heldFor ?? 0, heldMs);
@@ -307,7 +312,7 @@
     this.checkLimit('pinned', lease.txn, heldMs - this.settings.releaseWithin - LEASE_SLACK_MS - SLACK_MS, from, to, `a lease at ${lease.server} held for ${heldMs.toFixed(0)} ms with no attempt at a server`);
   }
 
-  // ---- others ----
+  // ---- other rules ----
   checkMalformedClient(client) {
     const gateway = this.harness.gateways[client.gateway];
     const end = client.endedAt < 0 ? this.harness.endedAt : client.endedAt;
@@ -324,7 +329,7 @@
     if (reload.askedAt < 0 || reload.askedAt > until) this.addViolation('reload', '-', `gateway ${reload.gateway} did not query discovery at its new address within 4 s of SIGHUP`, until);
   }
   // Whether the gateway that sent this attempt counted as notified of the server's start when it sent it.
-  knewOfStart(start, attempt) {
+  notifiedOfStart(start, attempt) {
     const listed = this.harness.discovery.changes.find((change) => change.server === start.server && change.health === 'up' && change.at >= start.at);
     const requests = this.requestsByTxn.get(attempt.txn);
     if (!listed || !requests) return false;
@@ -347,9 +352,10 @@
         const limit = expected < 30 ? expected + 3 * Math.sqrt(expected) + 3 : expected + 2 * Math.sqrt(expected) + 2;
         if (last - first + 1 <= limit) continue;
         const window = arrivals.slice(first, last + 1);
-        const informed = window.filter((attempt) => this.knewOfStart(start, attempt)).length;
-        if (3 * informed <= 2 * window.length) { this.countCase('cold servers overrun by those not told'); break; }
-        this.addViolation('failback', '-', `${server.name} received ${last - first + 1} requests in a slow-start window, ${limit.toFixed(1)} allowed, ${Math.round(arrivals[last].firstByteAt - start.at)} ms after its start`, arrivals[last].firstByteAt);
+        const notifiedCount = window.filter((attempt) => this.notifiedOfStart(start, attempt)).length;
+        if (3 * notifiedCount <= 2 * window.length) { this.countCase('cold servers overrun by those not told'); break; }
+        this.addViolation('failback', '-',
+          `${server.name} received ${last - first + 1} requests in a slow-start window, ${limit.toFixed(1)} allowed, ${Math.round(arrivals[last].firstByteAt - start.at)} ms after its start`, arrivals[last].firstByteAt);
         break;
       }
     }
@@ -365,7 +371,8 @@
       if (readyAfterMs > 6000 && incarnation.term < 0) this.addViolation('ready', '-', `gateway ${gateway.rank}, incarnation ${index} not ready within 6 s`, end);
       if (incarnation.lastStatus && incarnation.ended < 0 && incarnation.lastStatus.at > this.harness.loadEndedAt + 7000 &&
           (incarnation.lastStatus.open_requests > 0 || incarnation.lastStatus.attempts_in_flight > 0 || incarnation.lastStatus.releases_in_progress > 0))
-        this.addViolation('leak', '-', `gateway ${gateway.rank}: ${incarnation.lastStatus.open_requests} open, ${incarnation.lastStatus.attempts_in_flight} in flight, ${incarnation.lastStatus.releases_in_progress} releases in progress long after the load`, incarnation.lastStatus.at);
+        this.addViolation('leak', '-',
+          `gateway ${gateway.rank}: ${incarnation.lastStatus.open_requests} open, ${incarnation.lastStatus.attempts_in_flight} in flight, ${incarnation.lastStatus.releases_in_progress} releases in progress long after the load`, incarnation.lastStatus.at);
     }
   }
 }
--- a/tests/soak/schedule.mjs
+++ b/tests/soak/schedule.mjs
@@ -2,7 +2,8 @@
 // overlap at a time, more where they target few processes. Pure functions; times are in ms from the start of the load.
 import { Random } from './random.mjs';
 
-// Events that a fault can wait for. It starts at the next one at its gateway; `now` starts it immediately.
+// Events that a fault can wait for: those of client connections at its own gateway, those of model servers at any gateway. `now`
+// starts it immediately.
 const TRIGGERS = ['request-written', 'head-sent', 'connection-accepted', 'release-seen', 'attempt-arrived', 'now'];
 
 // [system call, errno name or value, probability]; see faults.mjs.
@@ -40,23 +41,23 @@
 // Draws the schedule of a run. `kinds`: the only fault kinds to draw, or null for all kinds by weight.
 export function drawSchedule({ seed, seconds, gateways, kinds }) {
   const random = new Random(seed, 'schedule');
-  const shape = random.stream('shape');
+  const settingsRandom = random.stream('shape');
   const settings = {
-    resume: shape.chance(0.5), drainGrace: shape.pick([250, 500]), releaseWithin: shape.pick([300, 1000]),
-    deadlines: [shape.pick([700, 1500, 3000, 5000]), shape.pick([1500, 3000, 5000]), shape.pick([700, 1500, 2500])],
-    window: shape.pick([700, 1500]), idleClose: shape.pick([2000, 15000]), dialTimeout: 250,
-    warmWithin: 8000, startCapacity: 0.3, fallMultiple: 2.5, fallWindow: 2000, retryAfter: shape.chance(0.5),
-    group: shape.pick(['zone', 'zone', 'cell', 'all']),
+    resume: settingsRandom.chance(0.5), drainGrace: settingsRandom.pick([250, 500]), releaseWithin: settingsRandom.pick([300, 1000]),
+    deadlines: [settingsRandom.pick([700, 1500, 3000, 5000]), settingsRandom.pick([1500, 3000, 5000]), settingsRandom.pick([700, 1500, 2500])],
+    window: settingsRandom.pick([700, 1500]), idleClose: settingsRandom.pick([2000, 15000]), dialTimeout: 250,
+    warmWithin: 8000, startCapacity: 0.3, fallMultiple: 2.5, fallWindow: 2000, retryAfter: settingsRandom.chance(0.5),
+    group: settingsRandom.pick(['zone', 'zone', 'cell', 'all']),
   };
   // Behavior of the peers. `forms`: messages in all forms that the protocol allows. `dropShort`: servers drop requests with
   // little time left without a response. `changes`: discovery sends changes rather than complete lists. `retry`: clients retry
   // refused requests. `discoveryDelay`: ms that discovery takes for each response.
-  const habits = { forms: shape.chance(0.6), dropShort: shape.chance(0.5), changes: shape.chance(0.7), retry: shape.chance(0.4),
-    discoveryDelay: shape.pick([0, 0, 0, 0, 400, 900]) };
-  const load = { readers: shape.integer(3, 6), writers: shape.integer(3, 6), perGateway: shape.between(5, 9),
+  const peerBehavior = { forms: settingsRandom.chance(0.6), dropShort: settingsRandom.chance(0.5),
+    changes: settingsRandom.chance(0.7), retry: settingsRandom.chance(0.4), discoveryDelay: settingsRandom.pick([0, 0, 0, 0, 400, 900]) };
+  const load = { readers: settingsRandom.integer(3, 6), writers: settingsRandom.integer(3, 6), perGateway: settingsRandom.between(5, 9),
     leave: 0.03, keep: 0.8 };
   // Some runs concentrate the faults on a few gateways, at shorter intervals.
-  const concentrated = shape.chance(0.4);
+  const concentrated = settingsRandom.chance(0.4);
   const targetGateways = concentrated ? Math.min(3, gateways) : gateways;
   const spacingMs = concentrated ? [150, 600] : [300, 1100];
   const faults = [];
@@ -73,12 +74,12 @@
     faults.push(fault);
     atMs += faultRandom.between(...spacingMs);
   }
-  return { seed, seconds, gateways, settings, habits, load, faults };
+  return { seed, seconds, gateways, settings, peerBehavior, load, faults };
 }
 
 // Formats a schedule for the log, one line per fault.
 export function describe(schedule) {
-  const lines = [`seed ${schedule.seed}: ${schedule.gateways} gateways, ${JSON.stringify(schedule.settings)}`, `  habits ${JSON.stringify(schedule.habits)}`,
+  const lines = [`seed ${schedule.seed}: ${schedule.gateways} gateways, ${JSON.stringify(schedule.settings)}`, `  peer behavior ${JSON.stringify(schedule.peerBehavior)}`,
     `  load ${JSON.stringify(schedule.load)}`];
   for (const fault of schedule.faults) {
     const parameters = fault.systemCall ? ` ${fault.systemCall.join(' ')}` : fault.clockStepMs ? ` ${fault.clockStepMs} ms` : '';
--- a/tests/soak/servers.mjs
+++ b/tests/soak/servers.mjs
@@ -135,7 +135,7 @@
     if (this.currentAttempt) { this.endAttempt(this.currentAttempt, 'overrun'); harness.violation('pipeline', txn, 'a request was pipelined behind one still open'); }
     this.currentAttempt = attempt;
     this.random = new Random(harness.schedule.seed, `${txn}@${server.name}#${attempt.id}`);
-    if (harness.schedule.habits.dropShort && attempt.told < SHORT_TIMEOUT_MS) return;
+    if (harness.schedule.peerBehavior.dropShort && attempt.told < SHORT_TIMEOUT_MS) return;
     this.whenResponsive(() => this.serve(attempt));
   }
   recordAttempt(request, now) {
@@ -151,7 +151,7 @@
   serve(attempt) {
     const { mode } = this.server;
     const random = this.random;
-    this.forms = this.harness.schedule.habits.forms && random.chance(0.5);
+    this.forms = this.harness.schedule.peerBehavior.forms && random.chance(0.5);
     if (mode.full && random.chance(0.7)) return this.reject(attempt, this.forms ? 504 : 503);
     if (mode.resetRequests && random.chance(0.5)) {
       attempt.ran = true;
@@ -166,7 +166,7 @@
     attempt.ran = true;
     if (mode.interim) this.write('HTTP/1.1 102 Processing\r\n\r\n');
     if (this.server.role === 'read') return this.runAfter(random.between(4, 40) * slowdown, () => this.sendPrefillResponse(attempt));
-    const { firstToken } = this.harness.schedule.habits;  // set by some scenarios
+    const { firstToken } = this.harness.schedule.peerBehavior;  // set by some scenarios
     this.runAfter(firstToken ?? random.between(5, 40) * slowdown, () => this.streamDecodeResponse(attempt, slowdown));
   }
   reject(attempt, status) {
--- a/tests/soak/world.mjs
+++ b/tests/soak/world.mjs
@@ -110,7 +110,8 @@
   // The worst delay recorded around an interval, plus 10 ms.
   hostDelayMs(from, to) {
     let worstMs = 0;
-    for (const delay of this.hostDelays) if (delay.at >= from - 5 && delay.at - delay.delayMs - (delay.windowMs ?? 0) <= to + 50) worstMs = Math.max(worstMs, delay.delayMs);
+    for (const delay of this.hostDelays)
+      if (delay.at >= from - 5 && delay.at - delay.delayMs - (delay.windowMs ?? 0) <= to + 50) worstMs = Math.max(worstMs, delay.delayMs);
     return 10 + worstMs;
   }
   onAttemptArrived(attempt) { this.triggerFaults('attempt-arrived', attempt); }
