--- a/tests/soak/faults.mjs
+++ b/tests/soak/faults.mjs
@@ -32,6 +32,7 @@
     readSync(this.fd, countBytes, 0, 4, HEADER_BYTES + ENTRY_BYTES * CALLS.indexOf(call) + 8);
     return countBytes.readUInt32LE();
   }
+  // Shifts the wall clock of the process by this much from its true value.
   stepWallClock(ms) {
     const offsetBytes = Buffer.alloc(8);
     offsetBytes.writeBigInt64LE(BigInt(Math.round(ms)));
--- a/tests/soak/held.mjs
+++ b/tests/soak/held.mjs
@@ -1,5 +1,5 @@
 // Scenarios of leaked KV leases: one gateway, 4 prefill servers and 5 decode servers, each behind the fault proxy; 40 requests
-// per second, half of class `repeatable` and half `once`. After 3 s the paths that the scenario names swallow all bytes for 4.5 s.
+// per second, half of them repeatable and half `once`, where the scenario sets nothing else. After 3 s its paths swallow bytes for 4.5 s.
 // Prints for each scenario how many leases were created during the fault, how many were held too long, the longest, and the
 // request outcomes.
 //
--- a/tests/soak/proxy.mjs
+++ b/tests/soak/proxy.mjs
@@ -89,6 +89,7 @@
   await new Promise((resolve, reject) => { server.on('error', reject); server.listen(port, address, 1024, resolve); });
 }
 
+// Starts a cut on the paths of some servers.
 function cut({ id, servers, inward, outward, openOnly }) {
   for (const name of servers) {
     const link = links.get(name);
@@ -96,6 +97,7 @@
   }
 }
 
+// Ends a cut; the connections that were open are reset, or deliver their buffered bytes.
 function endCut({ id, reset }) {
   for (const link of links.values()) {
     if (!link.cuts.delete(id)) continue;
