--- a/bench/engine.h
+++ b/bench/engine.h
@@ -1,4 +1,5 @@
-// An engine that costs little CPU: prefills at once, then streams a fixed number of events at a fixed pace.
+// A fake engine that uses little CPU: answers a prefill at once and streams a fixed number of events at a
+// fixed interval for a decode.
 #pragma once
 
 #include <list>
@@ -13,76 +14,80 @@
 
 namespace gorsenotch::bench {
 
+// A server-sent event with `data`, as one HTTP chunk.
 inline std::string event(const std::string& data) { return http::chunk("data: " + data + "\n\n"); }
 
 struct BenchEngine {
-    struct Link {
+    struct Connection {
         std::unique_ptr<net::TcpStream> stream;
         std::unique_ptr<net::Timer> timer;
         std::unique_ptr<http::Parser> parser;
         bool is_prefill = false;
         int events_left = 0;
-        std::list<std::unique_ptr<Link>>::iterator self;
+        std::list<std::unique_ptr<Connection>>::iterator self;
     };
     net::EventLoop loop;
     net::TcpListener listener{loop};
-    net::Timer discard_timer{loop, [this] { closed_links.clear(); }};
-    std::list<std::unique_ptr<Link>> links;
-    std::list<std::unique_ptr<Link>> closed_links;
-    int events;  // of each stream
-    int pace;    // ms between two of them
-    const std::string token = event(
+    net::Timer discard_timer{loop, [this] { closed_connections.clear(); }};
+    std::list<std::unique_ptr<Connection>> connections;
+    std::list<std::unique_ptr<Connection>> closed_connections;
+    int events_per_stream;
+    int event_interval_ms;
+    const std::string token_event = event(
         "{\"id\":\"x\",\"object\":\"chat.completion.chunk\",\"model\":\"m\",\"choices\":[{\"index\":0,"
         "\"delta\":"
         "{\"content\":\" token\"},\"finish_reason\":null}]}");
-    const std::string last =
+    const std::string final_events =
         event("{\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}") +
         event("{\"choices\":[],\"usage\":{\"prompt_tokens\":10,\"completion_tokens\":30}}") +
         event("[DONE]") + std::string(http::kLastChunk);
 
-    BenchEngine(int stream_events, int event_pace) : events(stream_events), pace(event_pace) {
+    BenchEngine(int events, int interval_ms) : events_per_stream(events), event_interval_ms(interval_ms) {
         listener.on_stream = [this](std::unique_ptr<net::TcpStream> stream) {
-            links.push_back(std::make_unique<Link>());
-            Link* link = links.back().get();
-            link->self = std::prev(links.end());
-            link->stream = std::move(stream);
-            link->parser = std::make_unique<http::Parser>(http::Parser::Kind::request, http::Limits{});
-            link->timer = std::make_unique<net::Timer>(loop, [this, link] { step(*link); });
-            link->parser->on_body = [link](std::string_view bytes) {
-                link->is_prefill |= bytes.find("\"do_remote_decode\":true") != std::string_view::npos;
+            connections.push_back(std::make_unique<Connection>());
+            Connection* connection = connections.back().get();
+            connection->self = std::prev(connections.end());
+            connection->stream = std::move(stream);
+            connection->parser = std::make_unique<http::Parser>(http::Parser::Kind::request, http::Limits{});
+            connection->timer =
+                std::make_unique<net::Timer>(loop, [this, connection] { send_next_event(*connection); });
+            connection->parser->on_body = [connection](std::string_view bytes) {
+                connection->is_prefill |= bytes.find("\"do_remote_decode\":true") != std::string_view::npos;
             };
-            link->parser->on_complete = [this, link] { begin(*link); };
-            link->stream->on_data = [link](std::string_view bytes) { link->parser->feed(bytes); };
-            link->stream->on_end = [this, link](int) {
-                link->stream.reset();
-                link->timer->stop();
-                closed_links.splice(closed_links.end(), links, link->self);
+            connection->parser->on_complete = [this, connection] { respond(*connection); };
+            connection->stream->on_data = [connection](std::string_view bytes) {
+                connection->parser->feed(bytes);
+            };
+            connection->stream->on_end = [this, connection](int) {
+                connection->stream.reset();
+                connection->timer->stop();
+                closed_connections.splice(closed_connections.end(), connections, connection->self);
                 discard_timer.fire_after(0);
             };
-            link->stream->set_reading(true);
+            connection->stream->set_reading(true);
         };
     }
-    void begin(Link& link) {
-        if (link.parser->target == "/abort_request")
-            return link.stream->write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}");
-        if (link.is_prefill) {
-            link.is_prefill = false;
+    void respond(Connection& connection) {
+        if (connection.parser->target == "/abort_request")
+            return connection.stream->write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}");
+        if (connection.is_prefill) {
+            connection.is_prefill = false;
             const std::string body =
                 "{\"kv_transfer_params\":{\"do_remote_prefill\":true,\"remote_request_id\":\"r\"}}";
-            return link.stream->write(
+            return connection.stream->write(
                 http::response_head(200, {{"content-type", "application/json"},
                                           {"content-length", std::to_string(body.size())}}) +
                 body);
         }
-        link.events_left = events;
-        link.stream->write(http::response_head(
+        connection.events_left = events_per_stream;
+        connection.stream->write(http::response_head(
             200, {{"content-type", "text/event-stream"}, {"transfer-encoding", "chunked"}}));
-        step(link);
+        send_next_event(connection);
     }
-    void step(Link& link) {
-        if (!link.stream) return;
-        link.stream->write(link.events_left-- > 0 ? token : last);
-        if (link.events_left >= 0) link.timer->fire_after(pace);
+    void send_next_event(Connection& connection) {
+        if (!connection.stream) return;
+        connection.stream->write(connection.events_left-- > 0 ? token_event : final_events);
+        if (connection.events_left >= 0) connection.timer->fire_after(event_interval_ms);
     }
 };
 
--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -1,4 +1,5 @@
-// A bare relay on libuv: bytes from one side to the other, nothing else. The least CPU that any gateway uses.
+// A bare relay on libuv that only forwards bytes between a client and a server: the lower bound of the CPU
+// use of a gateway.
 #include <uv.h>
 
 #include <csignal>
@@ -12,75 +13,74 @@
 namespace gorsenotch::bench {
 namespace {
 
-struct Pipe {
+// A client connection and its upstream connection.
+struct RelayedConnection {
     uv_tcp_t client{};
     uv_tcp_t server{};
     int open_handles = 2;
     bool closing = false;
 };
-sockaddr_storage relay_to;
-char relay_buffer[16384];
+sockaddr_storage upstream_address;
+char read_buffer[16384];
 
-void relay_close(Pipe* pipe) {
-    if (pipe->closing) return;
-    pipe->closing = true;
-    const auto done = [](uv_handle_t* handle) {
-        auto* closed = static_cast<Pipe*>(handle->data);
+void close_pair(RelayedConnection* pair) {
+    if (pair->closing) return;
+    pair->closing = true;
+    const auto on_closed = [](uv_handle_t* handle) {
+        auto* closed = static_cast<RelayedConnection*>(handle->data);
         if (--closed->open_handles == 0) delete closed;
     };
-    uv_close(reinterpret_cast<uv_handle_t*>(&pipe->client), done);
-    uv_close(reinterpret_cast<uv_handle_t*>(&pipe->server), done);
+    uv_close(reinterpret_cast<uv_handle_t*>(&pair->client), on_closed);
+    uv_close(reinterpret_cast<uv_handle_t*>(&pair->server), on_closed);
 }
 
-void relay_read(uv_stream_t* from) {
+void start_forwarding(uv_stream_t* from) {
     uv_read_start(
         from,
-        [](uv_handle_t*, std::size_t, uv_buf_t* buf) {
-            *buf = uv_buf_init(relay_buffer, sizeof relay_buffer);
-        },
-        [](uv_stream_t* handle, ssize_t n, const uv_buf_t* buf) {
-            auto* pipe = static_cast<Pipe*>(handle->data);
-            if (n < 0) return relay_close(pipe);
-            if (n == 0) return;
+        [](uv_handle_t*, std::size_t, uv_buf_t* buf) { *buf = uv_buf_init(read_buffer, sizeof read_buffer); },
+        [](uv_stream_t* handle, ssize_t length, const uv_buf_t* buf) {
+            auto* pair = static_cast<RelayedConnection*>(handle->data);
+            if (length < 0) return close_pair(pair);
+            if (length == 0) return;
             auto* to = reinterpret_cast<uv_stream_t*>(
-                handle == reinterpret_cast<uv_stream_t*>(&pipe->client) ? &pipe->server : &pipe->client);
-            uv_buf_t out = uv_buf_init(buf->base, static_cast<unsigned>(n));
-            if (uv_try_write(to, &out, 1) != n)
-                relay_close(pipe);  // enough for this bench: its writes are small
+                handle == reinterpret_cast<uv_stream_t*>(&pair->client) ? &pair->server : &pair->client);
+            uv_buf_t out = uv_buf_init(buf->base, static_cast<unsigned>(length));
+            if (uv_try_write(to, &out, 1) != length)
+                close_pair(pair);  // partial writes need no handling: the writes of the benchmark are small
         });
 }
 
 }  // namespace
 
-int run_relay(const std::string& listen, const std::string& to) {
-    pin(0);
+int run_relay(const std::string& listen, const std::string& upstream) {
+    pin_to_core(0);
     signal(SIGPIPE, SIG_IGN);
-    net::parse_address(to, relay_to);
-    sockaddr_storage at{};
-    net::parse_address(listen, at);
+    net::parse_address(upstream, upstream_address);
+    sockaddr_storage listen_address{};
+    net::parse_address(listen, listen_address);
     static uv_loop_t loop;
     uv_loop_init(&loop);
     uv_tcp_t server{};
     uv_tcp_init(&loop, &server);
-    uv_tcp_bind(&server, reinterpret_cast<sockaddr*>(&at), 0);
+    uv_tcp_bind(&server, reinterpret_cast<sockaddr*>(&listen_address), 0);
     const int error = uv_listen(reinterpret_cast<uv_stream_t*>(&server), 4096, [](uv_stream_t* handle, int) {
-        auto* pipe = new Pipe;
-        uv_tcp_init(handle->loop, &pipe->client);
-        uv_tcp_init(handle->loop, &pipe->server);
-        pipe->client.data = pipe;
-        pipe->server.data = pipe;
-        uv_accept(handle, reinterpret_cast<uv_stream_t*>(&pipe->client));
-        uv_tcp_nodelay(&pipe->client, 1);
+        auto* pair = new RelayedConnection;
+        uv_tcp_init(handle->loop, &pair->client);
+        uv_tcp_init(handle->loop, &pair->server);
+        pair->client.data = pair;
+        pair->server.data = pair;
+        uv_accept(handle, reinterpret_cast<uv_stream_t*>(&pair->client));
+        uv_tcp_nodelay(&pair->client, 1);
         auto* connect = new uv_connect_t;
-        connect->data = pipe;
-        uv_tcp_connect(connect, &pipe->server, reinterpret_cast<sockaddr*>(&relay_to),
+        connect->data = pair;
+        uv_tcp_connect(connect, &pair->server, reinterpret_cast<sockaddr*>(&upstream_address),
                        [](uv_connect_t* req, int status) {
-                           auto* connected = static_cast<Pipe*>(req->data);
+                           auto* connected = static_cast<RelayedConnection*>(req->data);
                            delete req;
-                           if (status < 0) return relay_close(connected);
+                           if (status < 0) return close_pair(connected);
                            uv_tcp_nodelay(&connected->server, 1);
-                           relay_read(reinterpret_cast<uv_stream_t*>(&connected->client));
-                           relay_read(reinterpret_cast<uv_stream_t*>(&connected->server));
+                           start_forwarding(reinterpret_cast<uv_stream_t*>(&connected->client));
+                           start_forwarding(reinterpret_cast<uv_stream_t*>(&connected->server));
                        });
     });
     if (error != 0) return 4;
--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -1,5 +1,5 @@
-// What an event costs the decision module by the number of servers that are listed, with the same traffic: a
-// simulated gateway on a clock of its own, one Router, no sockets.
+// CPU time of the decision module per event by the number of servers in the endpoint list, under the same
+// traffic: one Router in simulated time, without sockets.
 #include <cstdio>
 #include <ctime>
 #include <map>
@@ -15,16 +15,17 @@
 constexpr Millis kPrefillTime = 60;
 constexpr Millis kFirstTokenTime = 40;
 constexpr Millis kStreamTime = 900;
-constexpr double kRate = 60;         // requests a second
-constexpr Millis kListChange = 500;  // between two changes of the list
+constexpr double kRequestsPerS = 60;
+constexpr Millis kListChangeInterval = 500;
 
-double cpu_ms() {
+// CPU time of this process so far.
+double read_cpu_ms() {
     timespec used{};
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used);
     return static_cast<double>(used.tv_sec) * 1e3 + static_cast<double>(used.tv_nsec) / 1e6;
 }
 
-Settings fleet_settings(int gateways) {
+Settings make_settings(int gateways) {
     Settings settings;
     ClassSettings class_settings;
     class_settings.latency_objective = 1500;
@@ -50,7 +51,7 @@
     return settings;
 }
 
-Endpoint entry(int rank) {
+Endpoint make_endpoint(int rank) {
     Endpoint endpoint;
     endpoint.id = static_cast<EndpointId>(rank * 2654435761u);
     endpoint.zone = rank / 6 % 2;
@@ -59,35 +60,36 @@
     return endpoint;
 }
 
-struct Played {
+struct SimulationResult {
     double cpu_ms = 0;
-    std::uint64_t decisions = 0;  // a hash of all attempts, to compare two texts of the module by
+    std::uint64_t decisions_hash = 0;  // of all attempts: equal if two versions of the module decide alike
 };
 
-// A gateway for `seconds` at `rate`.
-Played play(int servers, double rate, double seconds) {
-    Router router(fleet_settings(300), 7);
+// Simulates a gateway for `seconds` at `requests_per_s`.
+SimulationResult simulate(int servers, double requests_per_s, double seconds) {
+    Router router(make_settings(300), 7);
     std::vector<Action> actions;
     std::multimap<Millis, Event> events;
     std::mt19937 random(1);
-    EndpointUpdate list;
-    for (int i = 0; i < servers; ++i) list.endpoints.push_back(entry(i));
-    events.emplace(0, list);
-    for (Millis at = kListChange; at < seconds * kSecond; at += kListChange) {
+    EndpointUpdate initial_list;
+    for (int i = 0; i < servers; ++i) initial_list.endpoints.push_back(make_endpoint(i));
+    events.emplace(0, initial_list);
+    for (Millis at = kListChangeInterval; at < seconds * kSecond; at += kListChangeInterval) {
         EndpointUpdate change;
         change.kind = EndpointUpdate::Kind::incremental;
-        change.endpoints.push_back(entry(static_cast<int>(random() % static_cast<unsigned>(servers))));
+        change.endpoints.push_back(
+            make_endpoint(static_cast<int>(random() % static_cast<unsigned>(servers))));
         events.emplace(at, change);
     }
-    long count = 0;
-    for (Millis at = 10; rate > 0 && at < seconds * kSecond; at += kSecond / rate) {
+    long request_count = 0;
+    for (Millis at = 10; requests_per_s > 0 && at < seconds * kSecond; at += kSecond / requests_per_s) {
         Arrival arrival;
-        arrival.request = std::to_string(++count), arrival.deadline = at + 6000;
+        arrival.request = std::to_string(++request_count), arrival.deadline = at + 6000;
         arrival.session = random() % 5000 + 1, arrival.shared_prefix = random() % 40 + 1;
         arrival.prompt_tokens = 2000, arrival.shared_prefix_tokens = 1500, arrival.max_tokens = 400;
         events.emplace(at, arrival);
     }
-    Played played;
+    SimulationResult result;
     std::map<RequestId, int> attempts;
     while (!events.empty()) {
         const Millis now = events.begin()->first;
@@ -95,16 +97,16 @@
         events.erase(events.begin());
         if (now > seconds * kSecond) break;
         actions.clear();
-        const double before = cpu_ms();
+        const double before_ms = read_cpu_ms();
         router.handle(now, event, actions);
-        played.cpu_ms += cpu_ms() - before;
+        result.cpu_ms += read_cpu_ms() - before_ms;
         for (const auto& action : actions) {
             if (const auto* timer = std::get_if<SetTimer>(&action))
                 events.emplace(timer->at, TimerFired{timer->timer});
             const auto* attempt = std::get_if<StartAttempt>(&action);
             if (!attempt) continue;
-            played.decisions =
-                (played.decisions ^ attempt->endpoint) * 0x100000001B3ULL + attempt->request.size();
+            result.decisions_hash =
+                (result.decisions_hash ^ attempt->endpoint) * 0x100000001B3ULL + attempt->request.size();
             AttemptEnded ended;
             ended.request = attempt->request;
             ended.attempt = attempts[attempt->request]++;
@@ -122,7 +124,7 @@
             }
         }
     }
-    return played;
+    return result;
 }
 
 }  // namespace
@@ -132,11 +134,11 @@
     std::printf("%8s %16s %16s %22s %18s\n", "servers", "idle ms/s", "60/s ms/s", "us for each request",
                 "decisions");
     for (const int servers : {12, 60, 200, 240, 1000, 3200}) {
-        const Played idle = play(servers, 0, kSeconds);
-        const Played busy = play(servers, kRate, kSeconds);
+        const SimulationResult idle = simulate(servers, 0, kSeconds);
+        const SimulationResult busy = simulate(servers, kRequestsPerS, kSeconds);
         std::printf("%8d %16.3f %16.3f %22.1f %18llx\n", servers, idle.cpu_ms / kSeconds,
-                    busy.cpu_ms / kSeconds, (busy.cpu_ms - idle.cpu_ms) / kSeconds / kRate * 1e3,
-                    static_cast<unsigned long long>(busy.decisions));
+                    busy.cpu_ms / kSeconds, (busy.cpu_ms - idle.cpu_ms) / kSeconds / kRequestsPerS * 1e3,
+                    static_cast<unsigned long long>(busy.decisions_hash));
     }
     return 0;
 }
