--- a/tests/life/platform.mjs
+++ b/tests/life/platform.mjs
@@ -1,4 +1,4 @@
-// What tests of `gorsenotch node` share: stand-ins of model servers and discovery, and the process itself.
+// Shared by the tests of `gorsenotch node`: fake model servers, a fake discovery service and the gateway process.
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { mkdtempSync, renameSync, rmSync, writeFileSync } from 'node:fs';
@@ -8,137 +8,153 @@
 import path from 'node:path';
 
 export const program = process.env.GORSENOTCH;
-// A test that fails leaves no process behind.
+// Child processes, killed on exit so that a failed test leaves none running.
 const children = [];
 process.on('exit', () => { for (const child of children) child.kill('SIGKILL'); });
 
-export const sleep = (ms) => new Promise((done) => setTimeout(done, ms));
-export const listen = (server) => new Promise((done) => server.listen(0, '127.0.0.1', () => done(server.address().port)));
-export const freePort = async () => { const s = net.createServer(); const p = await listen(s); await new Promise((d) => s.close(d)); return p; };
-export async function until(what, holds, ms = 8000) {
-  const end = Date.now() + ms;
-  while (!holds()) { assert.ok(Date.now() < end, `not in time: ${what}`); await sleep(5); }
+export const sleep = (ms) => new Promise((resolve) => setTimeout(resolve, ms));
+// Listens on a free loopback port; resolves with the port.
+export const listen = (server) => new Promise((resolve) => server.listen(0, '127.0.0.1', () => resolve(server.address().port)));
+export const findFreePort = async () => {
+  const server = net.createServer();
+  const port = await listen(server);
+  await new Promise((resolve) => server.close(resolve));
+  return port;
+};
+// Polls `condition` until it holds; fails the test after `timeoutMs`.
+export async function waitUntil(description, condition, timeoutMs = 8000) {
+  const deadline = Date.now() + timeoutMs;
+  while (!condition()) { assert.ok(Date.now() < deadline, `timed out after ${timeoutMs} ms waiting for: ${description}`); await sleep(5); }
 }
 
-// A model server: `role` read or write; `behave(req, res)` may take a request over by returning true.
+// A fake model server with the role `read` (prefill) or `write` (decode). `handler(request, response)` replaces the default
+// answer to a request when it returns true.
 export class Engine {
-  seen = []; behave = () => false; open = new Set();
+  requests = []; handler = () => false; sockets = new Set();
   async start(name, role) {
     this.name = name; this.role = role;
-    this.server = http.createServer((req, res) => {
+    this.server = http.createServer((message, response) => {
       let body = '';
-      req.on('data', (d) => { body += d; });
-      req.on('end', () => {
-        const r = { method: req.method, url: req.url, headers: req.headers, body, closed: false, at: Date.now() };
-        this.seen.push(r);
-        res.on('close', () => { r.closed = true; });
-        if (this.behave(r, res)) return;
-        if (req.method === 'DELETE') { res.writeHead(204); res.end(); return; }
-        if (role === 'read') { res.writeHead(202); res.end('{"cached_tokens":7}'); return; }
-        res.writeHead(200, { 'content-type': 'text/event-stream' });
-        res.write('data: {"a":"\u00e9"}\n\n');
-        setTimeout(() => res.end('data: [DONE]\n\n'), 20);
+      message.on('data', (chunk) => { body += chunk; });
+      message.on('end', () => {
+        const request = { method: message.method, url: message.url, headers: message.headers, body, closed: false, receivedAt: Date.now() };
+        this.requests.push(request);
+        response.on('close', () => { request.closed = true; });
+        if (this.handler(request, response)) return;
+        if (message.method === 'DELETE') { response.writeHead(204); response.end(); return; }
+        if (role === 'read') { response.writeHead(202); response.end('{"cached_tokens":7}'); return; }
+        response.writeHead(200, { 'content-type': 'text/event-stream' });
+        response.write('data: {"a":"\u00e9"}\n\n');
+        setTimeout(() => response.end('data: [DONE]\n\n'), 20);
       });
     });
-    this.server.on('connection', (s) => { this.open.add(s); s.on('close', () => this.open.delete(s)); });
+    this.server.on('connection', (socket) => { this.sockets.add(socket); socket.on('close', () => this.sockets.delete(socket)); });
     this.port = await listen(this.server);
     return this;
   }
-  host(health = 'up') {
+  // This server's entry in the endpoint list of discovery.
+  hostEntry(health = 'up') {
     return { host: this.name, dial: `127.0.0.1:${this.port}`, site: 'a', class: this.role === 'read' ? 'prefill' : 'decode',
       block: 0, health, share: 1.0, born_ms: 0 };
   }
-  stop() { for (const s of this.open) s.destroy(); this.server.close(); }
+  stop() { for (const socket of this.sockets) socket.destroy(); this.server.close(); }
 }
 
+// A fake discovery service. A request whose `from` is the current sequence number is a watch: it is answered at the next change.
 export class Discovery {
-  seq = 1; hosts = []; waiting = []; calls = 0; open = new Set();
+  seq = 1; hosts = []; pendingWatches = []; requestCount = 0; sockets = new Set();
   async start(hosts, seq = 1) {
     this.hosts = hosts; this.seq = seq;
-    this.server = http.createServer((req, res) => {
-      ++this.calls;
-      const from = new URL(req.url, 'http://x').searchParams.get('from');
-      if (from !== null && Number(from) >= this.seq) { this.waiting.push(res); return; }
-      this.tell(res);
+    this.server = http.createServer((request, response) => {
+      ++this.requestCount;
+      const from = new URL(request.url, 'http://x').searchParams.get('from');
+      if (from !== null && Number(from) >= this.seq) { this.pendingWatches.push(response); return; }
+      this.sendList(response);
     });
-    this.server.on('connection', (s) => { this.open.add(s); s.on('close', () => this.open.delete(s)); });
+    this.server.on('connection', (socket) => { this.sockets.add(socket); socket.on('close', () => this.sockets.delete(socket)); });
     this.port = await listen(this.server);
     return this;
   }
-  tell(res) { res.end(JSON.stringify({ seq: this.seq, whole: true, hosts: this.hosts })); }
-  change(hosts) { this.hosts = hosts; ++this.seq; for (const res of this.waiting.splice(0)) this.tell(res); }
-  stop() { for (const s of this.open) s.destroy(); this.server.close(); }
+  sendList(response) { response.end(JSON.stringify({ seq: this.seq, whole: true, hosts: this.hosts })); }
+  // Publishes a new list and answers the pending watches with it.
+  update(hosts) { this.hosts = hosts; ++this.seq; for (const response of this.pendingWatches.splice(0)) this.sendList(response); }
+  stop() { for (const socket of this.sockets) socket.destroy(); this.server.close(); }
 }
 
+// A process of `gorsenotch node`.
 export class Gateway {
-  err = '';
-  // `env`: more of the environment. `ready`: whether to wait until it is. `guarantees`: more of the settings. `port`: to listen on.
-  async start(discovery, known = [], { env = {}, ready = true, guarantees = {}, port } = {}) {
+  stderr = '';
+  // `discoveryPort`: of the discovery service. `knownHosts`: the cached endpoint list in the configuration. `env`: additional
+  // environment variables. `ready`: whether to wait for the `ready` log line. `guarantees`: additional settings. `port`: to listen on.
+  async start(discoveryPort, knownHosts = [], { env = {}, ready = true, guarantees = {}, port } = {}) {
     this.guarantees = guarantees;
     this.dir = mkdtempSync(path.join(tmpdir(), 'gorsenotch-node-'));
-    this.file = path.join(this.dir, 'config.json');
-    this.port = port ?? await freePort();
-    this.known = known;
-    this.write(discovery);
+    this.configFile = path.join(this.dir, 'config.json');
+    this.port = port ?? await findFreePort();
+    this.knownHosts = knownHosts;
+    this.writeConfig(discoveryPort);
     this.child = spawn(program, ['node'], { stdio: ['ignore', 'ignore', 'pipe'], env: { ...process.env, ...env, GW_NAME: 'n0',
-      GW_LISTEN: `127.0.0.1:${this.port}`, GW_DISCOVERY: `127.0.0.1:${discovery}`, GW_CONFIG: this.file } });
+      GW_LISTEN: `127.0.0.1:${this.port}`, GW_DISCOVERY: `127.0.0.1:${discoveryPort}`, GW_CONFIG: this.configFile } });
     children.push(this.child);
-    this.child.stderr.on('data', (d) => { this.err += d; });
-    this.ended = new Promise((done) => this.child.on('close', (code, signal) => done({ code, signal })));
-    if (ready) await until('ready', () => /"ready"/.test(this.err));
+    this.child.stderr.on('data', (chunk) => { this.stderr += chunk; });
+    this.exited = new Promise((resolve) => this.child.on('close', (code, signal) => resolve({ code, signal })));
+    if (ready) await waitUntil('the gateway to log `ready`', () => /"ready"/.test(this.stderr));
     return this;
   }
-  write(discovery, text) {
-    writeFileSync(`${this.file}.new`, text ?? JSON.stringify({ name: 'n0', listen: `127.0.0.1:${this.port}`,
-      discovery: `127.0.0.1:${discovery}`, seed: '0123456789abcdef', limits: { cores: 1, memory_mb: 64, sockets: 256 },
-      known: { seq: 0, whole: true, hosts: this.known },
-      settings: { Azs: ['a', 'b'], Zone: 'a', Balancers: this.gateways ?? 1, Flavors: ['prefill', 'decode'],
+  // Replaces the configuration file atomically, with `text` if given.
+  writeConfig(discoveryPort, text) {
+    writeFileSync(`${this.configFile}.new`, text ?? JSON.stringify({ name: 'n0', listen: `127.0.0.1:${this.port}`,
+      discovery: `127.0.0.1:${discoveryPort}`, seed: '0123456789abcdef', limits: { cores: 1, memory_mb: 64, sockets: 256 },
+      known: { seq: 0, whole: true, hosts: this.knownHosts },
+      settings: { Azs: ['a', 'b'], Zone: 'a', Balancers: this.gatewayCount ?? 1, Flavors: ['prefill', 'decode'],
         FamilyInfo: { RoleByKind: ['read', 'write'], KindMemoryTokens: [200000, 150000], LetGoByMs: 1000, Resume: true,
           TokenAimMs: [60], AimUsPer1000PromptTokens: [40000] },
         Ceilings: { AttemptsCap: 6, Cancel: true, DialTimeoutMs: 250, IdleCloseMs: 15000, RetryAfter: false },
         Guarantees: { DrainGraceMs: 250, ...this.guarantees },
         Lanes: [{ Name: 'chat', SloMs: 1500, DeadlineMs: 3000, Importance: 1, Effect: 'repeatable', Streaming: true }],
         Tenants: [{ Name: 'acme', QuotaPerS: 1000 }], StepMs: 4 } }));
-    renameSync(`${this.file}.new`, this.file);
+    renameSync(`${this.configFile}.new`, this.configFile);
   }
-  // A new configuration, carried out once the new discovery holds this gateway's watch.
-  async moveTo(discovery, ms) {
-    this.write(discovery.port);
+  // Reloads a configuration that names another discovery service; waits until that service holds this gateway's watch.
+  async switchDiscovery(discovery, timeoutMs) {
+    this.writeConfig(discovery.port);
     this.child.kill('SIGHUP');
-    await until('the watch of the new discovery', () => discovery.waiting.length === 1, ms);
+    await waitUntil('the watch at the new discovery service', () => discovery.pendingWatches.length === 1, timeoutMs);
   }
-  // Resolves with status, text and whether the answer was whole.
-  ask(txn, { headers = {}, agent } = {}) {
-    return new Promise((done) => {
-      const req = http.request({ host: '127.0.0.1', port: this.port, path: '/v1/chat/completions?x=1', method: 'POST', agent,
+  // Sends a chat completion request; resolves with its status, its text and whether the response was complete.
+  sendRequest(txn, { headers = {}, agent } = {}) {
+    return new Promise((resolve) => {
+      const request = http.request({ host: '127.0.0.1', port: this.port, path: '/v1/chat/completions?x=1', method: 'POST', agent,
         headers: { 'x-txn': txn, 'x-lane': 'chat', 'x-org': 'acme', 'x-entity': 'e1', 'x-remaining': '2500m',
-          'x-labels': 'prompt_len=100,max_out=50', ...headers } }, (res) => {
+          'x-labels': 'prompt_len=100,max_out=50', ...headers } }, (response) => {
         let text = '';
-        res.setEncoding('utf8');
-        res.on('data', (d) => { text += d; });
-        res.on('close', () => done({ status: res.statusCode, text, whole: res.complete, headers: res.headers }));
-        res.on('error', () => {});
+        response.setEncoding('utf8');
+        response.on('data', (chunk) => { text += chunk; });
+        response.on('close', () => resolve({ status: response.statusCode, text, complete: response.complete, headers: response.headers }));
+        response.on('error', () => {});
       });
-      req.on('error', (e) => done({ status: 0, error: e.code }));
-      req.end('{"model":"chat","stream":true}');
+      request.on('error', (error) => resolve({ status: 0, error: error.code }));
+      request.end('{"model":"chat","stream":true}');
     });
   }
-  // Sends bytes as they are; what came back until the end.
-  raw(bytes, ms = 4000) {
-    return new Promise((done) => {
+  // Sends `bytes` unchanged on a new connection; resolves with what the gateway sent until it closed the connection, or with
+  // `still open` after `timeoutMs`.
+  sendRaw(bytes, timeoutMs = 4000) {
+    return new Promise((resolve) => {
       let text = '';
-      const s = net.connect(this.port, '127.0.0.1', () => { if (bytes) s.write(bytes); });
-      const timer = setTimeout(() => { s.destroy(); done('still open'); }, ms);
-      s.on('data', (d) => { text += d; });
-      s.on('error', () => {});
-      s.on('close', () => { clearTimeout(timer); done(text); });
+      const socket = net.connect(this.port, '127.0.0.1', () => { if (bytes) socket.write(bytes); });
+      const timer = setTimeout(() => { socket.destroy(); resolve('still open'); }, timeoutMs);
+      socket.on('data', (chunk) => { text += chunk; });
+      socket.on('error', () => {});
+      socket.on('close', () => { clearTimeout(timer); resolve(text); });
     });
   }
-  async end(signal = 'SIGTERM') {
+  // Sends `signal` and waits for the exit; fails the test if a sanitizer reported anything.
+  async stop(signal = 'SIGTERM') {
     this.child.kill(signal);
-    const e = await this.ended;
-    assert.doesNotMatch(this.err, /Sanitizer|runtime error|destroyed before/, this.err);
+    const exit = await this.exited;
+    assert.doesNotMatch(this.stderr, /Sanitizer|runtime error|destroyed before/, this.stderr);
     rmSync(this.dir, { recursive: true });
-    return e;
+    return exit;
   }
 }
