--- a/tests/fuzz/corpus_test.cpp
+++ b/tests/fuzz/corpus_test.cpp
@@ -1,4 +1,4 @@
-// Runs the committed corpus of every fuzz target (tests/fuzz).
+// Runs every fuzz target (tests/fuzz) with its committed corpus.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -10,18 +10,18 @@
 namespace gorsenotch::fuzz {
 namespace {
 
-TEST(FuzzCorpusTest, EveryFileKeepsTheTargetsProperties) {
+TEST(FuzzCorpusTest, EveryCorpusFileSatisfiesTheTargetProperties) {
     for (const auto& target : targets()) {
-        int files = 0;
+        int file_count = 0;
         for (const auto& file : std::filesystem::directory_iterator(
                  std::string(GORSENOTCH_ROOT "/tests/fuzz/corpus/") + target.name)) {
             std::ifstream in(file.path(), std::ios::binary);
             std::ostringstream bytes;
             bytes << in.rdbuf();
             target.run(bytes.str());
-            ++files;
+            ++file_count;
         }
-        EXPECT_GT(files, 2) << target.name;
+        EXPECT_GT(file_count, 2) << target.name;
     }
 }
 
--- a/tests/fuzz/fuzzer.cpp
+++ b/tests/fuzz/fuzzer.cpp
@@ -1,4 +1,4 @@
-// libFuzzer's entry: the target is named by GORSENOTCH_FUZZ.
+// The entry point of libFuzzer. The environment variable GORSENOTCH_FUZZ is the name of the target.
 #include <cstdlib>
 #include <string>
 
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -22,59 +22,63 @@
 namespace gorsenotch::fuzz {
 namespace {
 
-void need(bool holds, const char* what) {
-    if (holds) return;
-    std::fprintf(stderr, "does not hold: %s\n", what);
+// Aborts the process with the violated property if `condition` is false.
+void require(bool condition, const char* property) {
+    if (condition) return;
+    std::fprintf(stderr, "property violated: %s\n", property);
     std::abort();
 }
 
-// Feeds bytes in pieces of `size`, as a socket may hand them over.
+// Calls `feed` with consecutive pieces of `size` bytes, as reads from a socket may return them, until it
+// returns false.
 template <class Feed>
-void in_pieces(std::string_view bytes, std::size_t size, const Feed& feed) {
+void feed_in_pieces(std::string_view bytes, std::size_t size, const Feed& feed) {
     for (; !bytes.empty(); bytes.remove_prefix(std::min(size, bytes.size())))
         if (!feed(bytes.substr(0, size))) return;
 }
 
-// What a parser made of the bytes, as text: however they were cut, it must be the same.
+// The messages and the fault that the parser found, as text, which must not depend on how the bytes are
+// split.
 std::string http_trace(std::string_view bytes, std::size_t size, http::Parser::Kind kind) {
     http::Parser parser(kind, {512, 10, 4096});
     std::string trace;
-    std::size_t body = 0;
+    std::size_t body_bytes = 0;
     parser.on_headers = [&] {
         trace += parser.method + " " + parser.target + " " + std::to_string(parser.status) + "\n";
         for (const auto& [name, value] : parser.headers)
             trace.append(name).append(":").append(value).append("\n");
-        need(parser.headers.size() <= 10, "no more headers than the limit");
+        require(parser.headers.size() <= 10, "the number of headers is within the limit");
     };
-    parser.on_body = [&](std::string_view b) {
-        body += b.size();
-        trace += b;
+    parser.on_body = [&](std::string_view part) {
+        body_bytes += part.size();
+        trace += part;
     };
     parser.on_complete = [&] { trace += "\nend\n"; };
-    in_pieces(bytes, size, [&](std::string_view piece) {
+    feed_in_pieces(bytes, size, [&](std::string_view piece) {
         while (!piece.empty()) {
-            const std::size_t n = parser.feed(piece);
+            const std::size_t consumed = parser.feed(piece);
             if (parser.fault() != http::Fault::none) return false;
-            need(n <= piece.size(), "takes no more than it is given");
+            require(consumed <= piece.size(), "the parser consumes no more than the piece");
             if (!parser.complete()) return true;
-            body = 0;
-            piece.remove_prefix(n);
+            body_bytes = 0;
+            piece.remove_prefix(consumed);
         }
         return true;
     });
-    need(body <= 4096, "no longer body than the limit");
+    require(body_bytes <= 4096, "the body is within the limit");
     return trace + std::to_string(static_cast<int>(parser.fault()));
 }
 
 void http(std::string_view bytes) {
     for (const auto kind : {http::Parser::Kind::request, http::Parser::Kind::response}) {
-        const std::string whole = http_trace(bytes, bytes.size() + 1, kind);
-        // A fault may be found earlier or later in a message whose body was being handed on.
-        const bool faulty = whole.back() != '0';
+        const std::string unsplit = http_trace(bytes, bytes.size() + 1, kind);
+        // With a fault the traces may differ: how much of the body was delivered before it depends on the
+        // pieces.
+        const bool faulty = unsplit.back() != '0';
         for (const std::size_t size : {1, 7}) {
             const std::string pieces = http_trace(bytes, size, kind);
-            need((pieces.back() != '0') == faulty, "the same fault however the bytes are cut");
-            if (!faulty) need(pieces == whole, "the same message however the bytes are cut");
+            require((pieces.back() != '0') == faulty, "the fault does not depend on how the bytes are split");
+            if (!faulty) require(pieces == unsplit, "the message does not depend on how the bytes are split");
         }
     }
 }
@@ -82,19 +86,19 @@
 std::string sse_trace(std::string_view bytes, std::size_t size) {
     http::SseReader reader(256);
     std::string trace;
-    bool whole = true;
+    bool accepted = true;
     reader.on_event = [&](std::string_view name, std::string_view data) {
-        need(data.size() <= 256, "no longer event than the limit");
+        require(data.size() <= 256, "the event is within the limit");
         trace.append(name).append("|").append(data).append("\n");
     };
-    in_pieces(bytes, size, [&](std::string_view piece) { return whole = reader.feed(piece); });
-    return trace + (whole ? "ok" : "too long");
+    feed_in_pieces(bytes, size, [&](std::string_view piece) { return accepted = reader.feed(piece); });
+    return trace + (accepted ? "ok" : "too long");
 }
 
 void sse(std::string_view bytes) {
-    const std::string whole = sse_trace(bytes, bytes.size() + 1);
+    const std::string unsplit = sse_trace(bytes, bytes.size() + 1);
     for (const std::size_t size : {1, 3})
-        need(sse_trace(bytes, size) == whole, "the same events however cut");
+        require(sse_trace(bytes, size) == unsplit, "the events do not depend on how the bytes are split");
 }
 
 void messages(std::string_view bytes) {
@@ -103,62 +107,66 @@
         for (const bool count : {false, true}) {
             const auto parsed = api::messages::parse(bytes, count, version);
             if (const auto* error = std::get_if<api::ApiError>(&parsed)) {
-                need(error->status == 400 && !error->message.empty(), "a refusal says why");
-                need(!api::messages::error_body(*error, "req_1").empty(), "and can be written");
+                require(error->status == 400 && !error->message.empty(), "a refusal has a reason");
+                require(!api::messages::error_body(*error, "req_1").empty(), "an error can be rendered");
                 continue;
             }
             const auto& chat = std::get<api::ChatRequest>(parsed);
-            need(!chat.messages.empty() && chat.prompt_tokens > 0, "what is taken has turns");
-            const auto wanted = dialect->decode_request(chat, {"req_1.0", "", "c", 0}, "");
+            require(!chat.messages.empty() && chat.prompt_tokens > 0,
+                    "an accepted request has messages and prompt tokens");
+            const auto engine_request = dialect->decode_request(chat, {"req_1.0", "", "c", 0}, "");
             std::string why;
-            const auto sent = api::parse_json(wanted.body, why);
-            need(sent.is_object() && sent["messages"].size() == chat.messages.size(),
-                 "what goes to the engine is the same, well-formed");
+            const auto sent = api::parse_json(engine_request.body, why);
+            require(sent.is_object() && sent["messages"].size() == chat.messages.size(),
+                    "the engine request is well-formed and has the same number of messages");
         }
     }
 }
 
-std::string exchange_trace(std::string_view bytes, std::size_t size, bool read) {
+std::string exchange_trace(std::string_view bytes, std::size_t size, bool is_prefill) {
     const auto dialect = engine::vllm();
-    gateway::UpstreamExchange exchange(*dialect, read, 256, 4096);
+    gateway::UpstreamExchange exchange(*dialect, is_prefill, 256, 4096);
     std::string text;
-    int firsts = 0;
-    int ends = 0;
+    int first_count = 0;
+    int end_count = 0;
     int result = -1;
-    exchange.on_stream_begun = [&] { need(ends == 0 && ++firsts == 1, "one first token, before the end"); };
+    exchange.on_stream_begun = [&] {
+        require(end_count == 0 && ++first_count == 1, "exactly one first token, before the end");
+    };
     exchange.on_text = [&](std::string_view piece) {
-        need(firsts == 1 && ends == 0, "text between the first token and the end");
+        require(first_count == 1 && end_count == 0, "text comes after the first token and before the end");
         text += piece;
     };
-    exchange.on_ended = [&](const gateway::AttemptOutcome& ending) {
-        need(++ends == 1, "one end");
-        need(ending.begun == (firsts == 1), "the end knows whether it had begun");
-        result = static_cast<int>(ending.result);
+    exchange.on_ended = [&](const gateway::AttemptOutcome& outcome) {
+        require(++end_count == 1, "the attempt ends once");
+        require(outcome.begun == (first_count == 1), "the outcome tells whether the stream had begun");
+        result = static_cast<int>(outcome.result);
     };
     exchange.on_first_byte_sent();
-    in_pieces(bytes, size, [&](std::string_view piece) {
+    feed_in_pieces(bytes, size, [&](std::string_view piece) {
         exchange.on_data(piece);
         return true;
     });
     exchange.on_connection_closed();
-    need(ends == 1 && exchange.is_over(), "an end whatever came");
-    need(!exchange.is_reusable(), "a connection that is gone carries nothing");
+    require(end_count == 1 && exchange.is_over(), "the attempt has ended when the connection has closed");
+    require(!exchange.is_reusable(), "a closed connection is not reusable");
     exchange.time_out(), exchange.cancel(), exchange.on_stream_stalled(), exchange.on_data("x");
     return text + "|" + std::to_string(result);
 }
 
 void exchange(std::string_view bytes) {
-    for (const bool read : {false, true}) {
-        const std::string whole = exchange_trace(bytes, bytes.size() + 1, read);
-        need(exchange_trace(bytes, 1, read) == whole, "the same end however the bytes are cut");
+    for (const bool is_prefill : {false, true}) {
+        const std::string unsplit = exchange_trace(bytes, bytes.size() + 1, is_prefill);
+        require(exchange_trace(bytes, 1, is_prefill) == unsplit,
+                "the outcome does not depend on how the bytes are split");
     }
 }
 
 void settings(std::string_view bytes) {
     std::vector<settings::FileFault> faults;
     const auto program = settings::parse(bytes, "fuzz.xml", faults);
-    need(program.has_value() == faults.empty(), "a program or the reasons why not");
-    if (!program) need(!settings::render("fuzz.xml", faults).empty(), "which can be told");
+    require(program.has_value() == faults.empty(), "either settings or faults");
+    if (!program) require(!settings::render("fuzz.xml", faults).empty(), "faults can be rendered");
 }
 
 void journal(std::string_view bytes) {
@@ -169,97 +177,103 @@
     std::istringstream in{std::string(bytes)};
     try {
         state::replay(in, settings);
-    } catch (const std::runtime_error&) {  // names the line
+    } catch (const std::runtime_error&) {  // the message names the line
     }
 }
 
 void config(std::string_view bytes) {
     try {
         const auto parsed = platform::parse_config(std::string(bytes), "127.0.0.1:1", "127.0.0.1:2");
-        need(!parsed.listen.empty() && !parsed.discovery.empty(), "what is taken has its addresses");
+        require(!parsed.listen.empty() && !parsed.discovery.empty(),
+                "an accepted configuration has its addresses");
         const Router router(parsed.named.settings, 1);
     } catch (const platform::ConfigError& error) {
-        need(*error.what() != 0, "a refusal says why");
-    } catch (const std::invalid_argument&) {  // of the Router, which names the setting
+        require(*error.what() != 0, "a refusal has a reason");
+    } catch (const std::invalid_argument&) {  // thrown by Router, the message names the setting
     }
 }
 
-settings::NamedSettings named() {
-    settings::NamedSettings n;
-    n.settings.classes.resize(1);
-    n.classes["chat"] = 0, n.tenants["acme"] = 0, n.zones["a"] = 0, n.kinds["prefill"] = 0,
-    n.kinds["decode"] = 1;
-    return n;
+settings::NamedSettings make_named_settings() {
+    settings::NamedSettings named;
+    named.settings.classes.resize(1);
+    named.classes["chat"] = 0, named.tenants["acme"] = 0, named.zones["a"] = 0, named.kinds["prefill"] = 0,
+    named.kinds["decode"] = 1;
+    return named;
 }
 
 void discovery(std::string_view bytes) {
-    const auto names = named();
+    const auto names = make_named_settings();
     platform::EndpointList hosts(names, 0);
     std::string why;
-    need(
+    require(
         hosts
             .take(
                 R"({"seq":1,"whole":true,"hosts":[{"host":"x","dial":"127.0.0.1:1","site":"a","class":"decode",
         "health":"up"}]})",
                 platform::EndpointList::Source::same_address, 0, why)
             .has_value(),
-        "a good list is taken");
+        "a valid list is accepted");
     const auto update = hosts.take(std::string(bytes), platform::EndpointList::Source::same_address, 0, why);
-    need(update.has_value() == why.empty(), "a list or the reason why not");
-    if (!update) need(hosts.all().size() == 1 && hosts.version() == 1, "a bad one changes nothing");
-    for (const auto& [id, h] : hosts.all())
-        need(h.endpoint.id == id && !h.dial_address.empty(), "entries are whole");
+    require(update.has_value() == why.empty(), "either an update or a reason for the refusal");
+    if (!update) require(hosts.all().size() == 1 && hosts.version() == 1, "a refused list changes nothing");
+    for (const auto& [id, host] : hosts.all())
+        require(host.endpoint.id == id && !host.dial_address.empty(),
+                "each entry has its id and its dial address");
 }
 
 void request(std::string_view bytes) {
-    const auto names = named();
+    const auto names = make_named_settings();
     http::Parser parser(http::Parser::Kind::request, {4096, 32, 4096});
-    bool read = false;
-    parser.on_headers = [&] { read = true; };
+    bool headers_complete = false;
+    parser.on_headers = [&] { headers_complete = true; };
     parser.feed(bytes);
-    if (!read) return;
+    if (!headers_complete) return;
     const auto result = platform::read_head(names, parser);
     if (const auto* refusal = std::get_if<platform::Refusal>(&result)) {
-        need(refusal->status >= 400 && refusal->status < 500 && !refusal->why.empty(), "a refusal says why");
+        require(refusal->status >= 400 && refusal->status < 500 && !refusal->why.empty(),
+                "a refusal has a reason");
         return;
     }
-    const auto& in = std::get<platform::Inbound>(result);
-    need(!in.txn.empty() && in.arrival.deadline > 0, "what is taken has an id and a deadline");
-    http::Parser again(http::Parser::Kind::request, {16384, 64, 4096});
-    bool whole = false;
-    again.on_complete = [&] { whole = true; };
-    again.feed(in.head + "content-length: 0\r\n\r\n");
-    need(whole && again.target == parser.target, "what goes to the server is one request, well-formed");
-    const auto* id = http::find(again.headers, "x-txn");
-    need(id && *id == in.txn, "under the client's id");
+    const auto& inbound = std::get<platform::Inbound>(result);
+    require(!inbound.txn.empty() && inbound.arrival.deadline > 0,
+            "an accepted request has an id and a deadline");
+    http::Parser forwarded(http::Parser::Kind::request, {16384, 64, 4096});
+    bool complete = false;
+    forwarded.on_complete = [&] { complete = true; };
+    forwarded.feed(inbound.head + "content-length: 0\r\n\r\n");
+    require(complete && forwarded.target == parser.target,
+            "the forwarded head is one well-formed request to the same target");
+    const auto* id = http::find(forwarded.headers, "x-txn");
+    require(id && *id == inbound.txn, "the forwarded request has the client's id");
 }
 
 std::string attempt_trace(std::string_view bytes, std::size_t size, platform::UpstreamExchange::Kind kind) {
     platform::UpstreamExchange exchange(kind);
     std::string text;
-    int firsts = 0;
-    int ends = 0;
+    int first_count = 0;
+    int end_count = 0;
     int result = -1;
-    exchange.on_first_event = [&](std::string_view b) {
-        need(ends == 0 && ++firsts == 1, "one first event, before the end");
-        text += b;
+    exchange.on_first_event = [&](std::string_view events) {
+        require(end_count == 0 && ++first_count == 1, "exactly one first event, before the end");
+        text += events;
     };
-    exchange.on_more_events = [&](std::string_view b) {
-        need(firsts == 1 && ends == 0, "events between the first and the end");
-        text += b;
+    exchange.on_more_events = [&](std::string_view events) {
+        require(first_count == 1 && end_count == 0, "further events come after the first and before the end");
+        text += events;
     };
     exchange.on_ended = [&](const platform::AttemptOutcome& outcome) {
-        need(++ends == 1 && outcome.begun == (firsts == 1), "one end, which knows whether it had begun");
+        require(++end_count == 1 && outcome.begun == (first_count == 1),
+                "the attempt ends once, and the outcome tells whether the stream had begun");
         result = static_cast<int>(outcome.result);
     };
     exchange.on_first_byte_sent(), exchange.on_request_written();
-    in_pieces(bytes, size, [&](std::string_view piece) {
+    feed_in_pieces(bytes, size, [&](std::string_view piece) {
         exchange.on_data(piece);
         return true;
     });
     exchange.on_connection_closed();
-    need(ends == 1 && exchange.is_over() && !exchange.is_reusable(),
-         "an end whatever came, and the connection carries nothing");
+    require(end_count == 1 && exchange.is_over() && !exchange.is_reusable(),
+            "the attempt has ended when the connection has closed, which is not reusable");
     exchange.abort(AttemptResult::timed_out, ""), exchange.on_data("x"), exchange.on_not_sent();
     return text + "|" + std::to_string(result);
 }
@@ -267,8 +281,9 @@
 void attempt(std::string_view bytes) {
     using Kind = platform::UpstreamExchange::Kind;
     for (const auto kind : {Kind::prefill, Kind::decode, Kind::lease_call}) {
-        const std::string whole = attempt_trace(bytes, bytes.size() + 1, kind);
-        need(attempt_trace(bytes, 1, kind) == whole, "the same end however the bytes are cut");
+        const std::string unsplit = attempt_trace(bytes, bytes.size() + 1, kind);
+        require(attempt_trace(bytes, 1, kind) == unsplit,
+                "the outcome does not depend on how the bytes are split");
     }
 }
 
--- a/tests/fuzz/targets.h
+++ b/tests/fuzz/targets.h
@@ -1,6 +1,6 @@
-// What is fuzzed: each parser of bytes that come from outside, with the properties that must hold for any
-// bytes. A target ends the process where one does not. Run by libFuzzer (scripts/fuzz) and, over the corpus
-// that is kept here, by the tests.
+// Fuzz targets: one for each parser of untrusted input, with the properties that must hold for any input. A
+// target aborts the process if a property is violated. The targets are run by libFuzzer (scripts/fuzz) and,
+// with the committed corpus, by the tests.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +10,10 @@
 namespace gorsenotch::fuzz {
 
 struct Target {
-    const char* name;  // of its folder in tests/fuzz/corpus
+    const char* name;  // also of its directory in tests/fuzz/corpus
     void (*run)(std::string_view bytes);
 };
+// All fuzz targets.
 const std::vector<Target>& targets();
 
 }  // namespace gorsenotch::fuzz
