--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -26,7 +26,7 @@
           is_control(control) {
         peer = stream->peer();
         stream->on_data = [this](std::string_view bytes) { on_data(bytes); };
-        stream->on_end = [this](int) { engine.closed(*this); };
+        stream->on_end = [this](int) { engine.on_connection_closed(*this); };
         parser.on_body = [this](std::string_view bytes) { body.append(bytes); };
         stream->set_reading(true);
     }
@@ -36,13 +36,13 @@
         handle_pending();
     }
 
-    // Handles the next request, when the last has been answered and the connection is not cut.
+    // Handles the next pipelined request, once the previous one is answered and unless the connection is cut.
     void handle_pending() {
         if (engine.is_cut(*this)) return;
         while (!busy && !pending.empty() && stream) {
             const std::string bytes = std::exchange(pending, {});
             const std::size_t used = parser.feed(bytes);
-            if (parser.fault() != http::Fault::none) return engine.closed(*this);
+            if (parser.fault() != http::Fault::none) return engine.on_connection_closed(*this);
             if (!parser.complete()) return;
             pending = bytes.substr(used);
             busy = true;
@@ -77,14 +77,14 @@
     std::unique_ptr<net::TcpStream> stream;
     http::Parser parser;
     std::string peer;
-    std::string body;          // of the request that is being read
-    std::string request_body;  // of the request that is being handled
-    std::string pending;       // bytes that have not been parsed
-    std::string unsent;        // bytes that a cut keeps back
-    std::string request_id;    // of the request that waits for its answer
+    std::string body;          // of the request being received
+    std::string request_body;  // of the request being handled
+    std::string pending;       // received, not yet parsed
+    std::string unsent;        // withheld by order `cut`
+    std::string request_id;    // of the request in progress
     bool is_control;
-    bool busy = false;  // a request has not been answered
-    bool gone = false;
+    bool busy = false;  // a request is in progress
+    bool is_closed = false;
     std::list<std::unique_ptr<Connection>>::iterator self;
 };
 
@@ -93,7 +93,7 @@
     std::unique_ptr<net::Timer> timer;
     http::Parser parser{http::Parser::Kind::response, {}};
     std::string id;
-    bool over = false;
+    bool ended = false;
     std::list<std::unique_ptr<StateFetch>>::iterator self;
 };
 
@@ -112,6 +112,8 @@
 
 constexpr int kCrashStatus = 3;
 constexpr Millis kFetchTimeout = 2000;
+constexpr Millis kLoadSampleInterval = 20;
+constexpr Millis kMaxTimerDelay = 1000;
 
 void set_member(std::set<std::string>& members, const std::string& value, bool is_member) {
     if (is_member) {
@@ -130,7 +132,7 @@
     return value ? *value : std::string();
 }
 
-// The choices of an event that is not the last.
+// The choices of a stream event other than the last.
 Json choice(Json delta) {
     return Json::array({{{"index", 0}, {"delta", std::move(delta)}, {"finish_reason", nullptr}}});
 }
@@ -155,15 +157,16 @@
       options_(std::move(options)),
       recorder_(options_.record),
       model_(model_config(options_), net::now(),
-             {[this](const std::string& id, double kept) { read_done(id, kept); },
-              [this](const std::string& id) { fetch(id); }, [this](const std::string& id) { running(id); },
-              [this](const std::string& id, const std::string& text, bool last, bool cut) {
-                  token(id, text, last, cut);
+             {[this](const std::string& id, double cached_tokens) { on_prefill_done(id, cached_tokens); },
+              [this](const std::string& id) { fetch_state(id); },
+              [this](const std::string& id) { on_decode_started(id); },
+              [this](const std::string& id, const std::string& text, bool last, bool truncated) {
+                  on_token(id, text, last, truncated);
               },
               [this](const std::string& id) {
                   record("lease", {{"id", id}});
               }}),
-      timer_(loop, [this] { arm(); }),
+      timer_(loop, [this] { advance_model(); }),
       discard_timer_(loop, [this] {
           closed_connections_.clear();
           ended_fetches_.clear();
@@ -171,15 +174,15 @@
 
 Engine::~Engine() = default;
 
-int Engine::start(std::string& at) {
-    at = options_.address;
+int Engine::start(std::string& address) {
+    address = options_.address;
     listener_ = std::make_unique<net::TcpListener>(loop_);
     listener_->on_stream = [this](std::unique_ptr<net::TcpStream> stream) {
         accept(std::move(stream), false);
     };
     if (const int error = listener_->listen(options_.address)) return error;
     if (!options_.control.empty()) {
-        at = options_.control;
+        address = options_.control;
         control_ = std::make_unique<net::TcpListener>(loop_);
         control_->on_stream = [this](std::unique_ptr<net::TcpStream> stream) {
             accept(std::move(stream), true);
@@ -191,7 +194,7 @@
                   {"cold", options_.cold},
                   {"start", config.initial_capacity},
                   {"warm", config.slow_start_duration}});
-    arm();
+    advance_model();
     return 0;
 }
 
@@ -200,26 +203,28 @@
     recorder_.write(net::now(), event, std::move(fields));
 }
 
-void Engine::arm() {
+void Engine::advance_model() {
     const Millis now = net::now();
     const Millis next = model_.advance(now);
-    if (reports_.empty() || now - reports_.back().first > 20)
-        reports_.emplace_back(now, model_.memory_share());
-    while (reports_.size() > 1 && reports_[1].first <= now - report_delay_) reports_.pop_front();
-    timer_.fire_after(std::min(next - now, 1000.0));
+    if (load_reports_.empty() || now - load_reports_.back().first > kLoadSampleInterval)
+        load_reports_.emplace_back(now, model_.memory_fraction());
+    while (load_reports_.size() > 1 && load_reports_[1].first <= now - load_report_delay_)
+        load_reports_.pop_front();
+    timer_.fire_after(std::min(next - now, kMaxTimerDelay));
 }
 
 std::string Engine::load_header() {
-    const double share =
-        report_delay_ > 0 && !reports_.empty() ? reports_.front().second : model_.memory_share();
-    return "TEXT named_metrics.kv_cache_usage_perc=" + std::to_string(share) +
+    const double memory_fraction = load_report_delay_ > 0 && !load_reports_.empty()
+                                       ? load_reports_.front().second
+                                       : model_.memory_fraction();
+    return "TEXT named_metrics.kv_cache_usage_perc=" + std::to_string(memory_fraction) +
            ", named_metrics.waiting_ktokens=" + std::to_string(model_.waiting_ktokens());
 }
 
-bool Engine::is_cut(const Connection& link) const {
-    if (link.is_control) return false;
+bool Engine::is_cut(const Connection& connection) const {
+    if (connection.is_control) return false;
     return std::any_of(cut_from_.begin(), cut_from_.end(),
-                       [&](const std::string& from) { return link.peer.rfind(from, 0) == 0; });
+                       [&](const std::string& from) { return connection.peer.rfind(from, 0) == 0; });
 }
 
 void Engine::accept(std::unique_ptr<net::TcpStream> stream, bool control) {
@@ -227,23 +232,23 @@
     connections_.back()->self = std::prev(connections_.end());
 }
 
-void Engine::handle(Connection& link) {
-    const std::string body = std::exchange(link.request_body, {});
-    const std::string path = link.parser.target;
-    if (link.is_control) return order(link, body);
-    if (path == "/v1/chat/completions") return complete(link, body);
-    if (path == "/abort_request") return abort(link, body);
-    if (path == "/take") return take(link, body);
-    link.answer(404, error_json("not_found", "no such path"), "");
+void Engine::handle(Connection& connection) {
+    const std::string body = std::exchange(connection.request_body, {});
+    const std::string path = connection.parser.target;
+    if (connection.is_control) return handle_order(connection, body);
+    if (path == "/v1/chat/completions") return handle_completion(connection, body);
+    if (path == "/abort_request") return handle_abort(connection, body);
+    if (path == "/take") return handle_take(connection, body);
+    connection.answer(404, error_json("not_found", "no such path"), "");
 }
 
-Engine::ActiveRequest Engine::parse_completion(Connection& link, const Json& json) {
+Engine::ActiveRequest Engine::parse_completion(Connection& connection, const Json& json) {
     ActiveRequest request;
-    request.link = &link;
+    request.connection = &connection;
     Job& job = request.job;
-    job.id = header(link.parser, "x-request-id");
-    job.key = header(link.parser, "idempotency-key");
-    job.cls = header(link.parser, "x-class");
+    job.id = header(connection.parser, "x-request-id");
+    job.key = header(connection.parser, "idempotency-key");
+    job.cls = header(connection.parser, "x-class");
     job.max_tokens = std::max(1, json.value("max_tokens", 16));
     std::uint64_t chain = 0;
     for (const auto& message : json["messages"]) {
@@ -267,77 +272,78 @@
     return request;
 }
 
-void Engine::complete(Connection& link, const std::string& body) {
-    std::string why;
-    const Json json = api::parse_json(body, why);
+void Engine::handle_completion(Connection& connection, const std::string& body) {
+    std::string parse_error;
+    const Json json = api::parse_json(body, parse_error);
     if (!json.is_object() || !json.contains("messages"))
-        return link.answer(400, error_json("invalid_request_error", "bad body"), load_header());
-    ActiveRequest request = parse_completion(link, json);
+        return connection.answer(400, error_json("invalid_request_error", "bad body"), load_header());
+    ActiveRequest request = parse_completion(connection, json);
     const Job job = request.job;
     const std::string& id = job.id;
     record("recv", {{"id", id},
                     {"op", request.is_prefill ? "read" : "write"},
                     {"key", job.key},
                     {"cls", job.cls},
-                    {"work", model_.work(job, request.is_prefill)},
-                    {"peer", link.peer}});
+                    {"work", model_.work_seconds(job, request.is_prefill)},
+                    {"peer", connection.peer}});
     const auto refuse = [&](int status, const char* type, const char* how) {
         record("end", {{"id", id}, {"how", how}});
-        link.answer(status, error_json(type, how), load_header());
+        connection.answer(status, error_json(type, how), load_header());
     };
     if (id.empty() || active_requests_.count(id)) return refuse(400, "invalid_request_error", "doubled");
     if (names_class(error_classes_, job.cls)) return refuse(500, "internal_error", "error");
     if (draining_) return refuse(429, "overloaded", "full");
-    link.request_id = id;
+    connection.request_id = id;
     request.silent = names_class(silent_classes_, job.cls);
     request.muted = !request.silent && names_class(mute_classes_, job.cls);
     const bool is_silent = request.silent;
     const bool is_prefill = request.is_prefill;
     active_requests_[id] = std::move(request);
     if (is_silent) return;
-    const auto admission = is_prefill ? model_.read(net::now(), job) : model_.write(net::now(), job);
-    if (admission == Model::Admission::taken) return arm();
+    const auto admission =
+        is_prefill ? model_.submit_prefill(net::now(), job) : model_.submit_decode(net::now(), job);
+    if (admission == Model::Admission::accepted) return advance_model();
     active_requests_.erase(id);
-    link.request_id.clear();
-    if (admission == Model::Admission::no_state) return refuse(424, "kv_transfer_error", "no_state");
+    connection.request_id.clear();
+    if (admission == Model::Admission::missing_state) return refuse(424, "kv_transfer_error", "no_state");
     refuse(429, "overloaded", "full");
 }
 
-void Engine::abort(Connection& link, const std::string& body) {
+void Engine::handle_abort(Connection& connection, const std::string& body) {
     const Json json = Json::parse(body, nullptr, false);
     const std::string id = json.is_object() ? json.value("rid", "") : "";
     record("let_go", {{"id", id}, {"found", model_.abort(net::now(), id)}});
     if (const auto it = active_requests_.find(id); it != active_requests_.end()) {
-        Connection* waiting = it->second.link;
-        end(id, "cancelled");
+        Connection* waiting = it->second.connection;
+        end_request(id, "cancelled");
         if (waiting) waiting->answer(499, error_json("aborted", "aborted"), load_header());
     }
-    link.answer(200, Json::object(), "");
-    arm();
+    connection.answer(200, Json::object(), "");
+    advance_model();
 }
 
-void Engine::take(Connection& link, const std::string& body) {
+void Engine::handle_take(Connection& connection, const std::string& body) {
     const Json json = Json::parse(body, nullptr, false);
     const std::string id = json.is_object() ? json.value("rid", "") : "";
     double tokens = 0;
-    const bool ok = model_.take(net::now(), id, tokens);
+    const bool ok = model_.release_state(net::now(), id, tokens);
     if (ok) record("taken", {{"id", id}, {"tokens", tokens}});
-    link.answer(ok ? 200 : 404, {{"tokens", tokens}}, "");
-    arm();
+    connection.answer(ok ? 200 : 404, {{"tokens", tokens}}, "");
+    advance_model();
 }
 
-void Engine::order(Connection& link, const std::string& body) {
+void Engine::handle_order(Connection& connection, const std::string& body) {
     const Json json = Json::parse(body, nullptr, false);
     const std::string word = json.is_object() ? json.value("order", "") : "";
     if (word == "crash") _exit(kCrashStatus);
     if (word == "restart" && !options_.args.empty()) restart();
     const bool is_known = apply_order(word, json);
     if (is_known) record("order", json);
-    link.answer(is_known ? 200 : 400, {{"ok", is_known}}, "");
-    arm();
+    connection.answer(is_known ? 200 : 400, {{"ok", is_known}}, "");
+    advance_model();
 }
 
-// Starts the process anew, cold. Every socket closes on the way, so that pending requests break, as at a
+// Replaces the process by a new one with a cold cache. All sockets close, so open requests fail as in a
 // crash.
 void Engine::restart() {
     record("down", Json::object());
@@ -351,13 +357,13 @@
     _exit(kCrashStatus);
 }
 
-// False if the word is no order.
+// False if `word` is not a known order.
 bool Engine::apply_order(const std::string& word, const Json& json) {
     const bool is_on = json.is_object() && json.value("on", true);
     if (word == "stall") {
-        model_.stall(net::now(), is_on);
+        model_.set_stalled(net::now(), is_on);
     } else if (word == "slow") {
-        model_.slow(net::now(), is_on ? json.value("factor", 5.0) : 1.0);
+        model_.set_slowdown(net::now(), is_on ? json.value("factor", 5.0) : 1.0);
     } else if (word == "error") {
         set_member(error_classes_, json.value("class", ""), is_on);
     } else if (word == "silent") {
@@ -370,20 +376,20 @@
     } else if (word == "drain") {
         draining_ = is_on;
     } else if (word == "late_reports") {
-        report_delay_ = is_on ? json.value("ms", 2000.0) : 0;
+        load_report_delay_ = is_on ? json.value("ms", 2000.0) : 0;
     } else {
         return false;
     }
     return true;
 }
 
-// After a cut: what was kept back is written and read.
+// After the end of a cut: writes the withheld bytes and handles the pending requests.
 void Engine::resume_connections() {
     std::vector<Connection*> all;
     all.reserve(connections_.size());
     for (auto& connection : connections_) all.push_back(connection.get());
     for (auto* connection : all) {
-        if (connection->gone) continue;
+        if (connection->is_closed) continue;
         connection->write("");
         connection->handle_pending();
     }
@@ -391,61 +397,62 @@
 
 // ---- events of the model -------------------------------------------------------------------------------
 
-void Engine::read_done(const std::string& id, double kept) {
+void Engine::on_prefill_done(const std::string& id, double cached_tokens) {
     const auto it = active_requests_.find(id);
-    const double all = it == active_requests_.end() ? kept : it->second.job.prompt;
-    record("held", {{"id", id}, {"did", (all - kept) / options_.config.pace.read_per_s}});
+    const double prompt_tokens = it == active_requests_.end() ? cached_tokens : it->second.job.prompt;
+    record("held", {{"id", id}, {"did", (prompt_tokens - cached_tokens) / options_.config.pace.read_per_s}});
     if (it == active_requests_.end())
-        return;  // its client has gone and the kind does not cancel: the state stays
-    if (it->second.muted && it->second.link) return;  // unanswered until its client closes
-    Connection* link = it->second.link;
+        return;  // the client has disconnected and this kind does not cancel: the KV state stays until its
+                 // lease ends
+    if (it->second.muted && it->second.connection) return;  // unanswered until the client disconnects
+    Connection* connection = it->second.connection;
     const double prompt = it->second.job.prompt;
-    end(id, "done");
-    if (!link) return;
-    link->answer(200,
-                 {{"id", "cmpl-" + id},
-                  {"object", "chat.completion"},
-                  {"model", options_.model_name},
-                  {"choices", Json::array({{{"index", 0},
-                                            {"message", {{"role", "assistant"}, {"content", "x"}}},
-                                            {"finish_reason", "length"}}})},
-                  {"usage",
-                   {{"prompt_tokens", static_cast<long>(prompt)},
-                    {"completion_tokens", 1},
-                    {"total_tokens", static_cast<long>(prompt) + 1},
-                    {"prompt_tokens_details", {{"cached_tokens", static_cast<long>(kept)}}}}},
-                  {"kv_transfer_params",
-                   {{"do_remote_prefill", true},
-                    {"do_remote_decode", false},
-                    {"remote_engine_id", std::to_string(options_.server)},
-                    {"remote_block_ids", Json::array({1})},
-                    {"remote_request_id", id},
-                    {"cached_tokens", static_cast<long>(kept)},
-                    {"remote_host", options_.address.substr(0, options_.address.rfind(':'))},
-                    {"remote_port", port()}}}},
-                 load_header());
-    link->handle_pending();
-}
-
-void Engine::fetch(const std::string& id) {
+    end_request(id, "done");
+    if (!connection) return;
+    connection->answer(200,
+                       {{"id", "cmpl-" + id},
+                        {"object", "chat.completion"},
+                        {"model", options_.model_name},
+                        {"choices", Json::array({{{"index", 0},
+                                                  {"message", {{"role", "assistant"}, {"content", "x"}}},
+                                                  {"finish_reason", "length"}}})},
+                        {"usage",
+                         {{"prompt_tokens", static_cast<long>(prompt)},
+                          {"completion_tokens", 1},
+                          {"total_tokens", static_cast<long>(prompt) + 1},
+                          {"prompt_tokens_details", {{"cached_tokens", static_cast<long>(cached_tokens)}}}}},
+                        {"kv_transfer_params",
+                         {{"do_remote_prefill", true},
+                          {"do_remote_decode", false},
+                          {"remote_engine_id", std::to_string(options_.server)},
+                          {"remote_block_ids", Json::array({1})},
+                          {"remote_request_id", id},
+                          {"cached_tokens", static_cast<long>(cached_tokens)},
+                          {"remote_host", options_.address.substr(0, options_.address.rfind(':'))},
+                          {"remote_port", port()}}}},
+                       load_header());
+    connection->handle_pending();
+}
+
+void Engine::fetch_state(const std::string& id) {
     const auto it = active_requests_.find(id);
     fetches_.push_back(std::make_unique<StateFetch>());
     StateFetch& state = *fetches_.back();
     state.self = std::prev(fetches_.end());
     state.id = id;
     state.stream = std::make_unique<net::TcpStream>(loop_);
-    state.timer = std::make_unique<net::Timer>(loop_, [this, &state] { fetch_over(state, false); });
-    state.parser.on_complete = [this, &state] { fetch_over(state, state.parser.status == 200); };
+    state.timer = std::make_unique<net::Timer>(loop_, [this, &state] { on_fetch_ended(state, false); });
+    state.parser.on_complete = [this, &state] { on_fetch_ended(state, state.parser.status == 200); };
     state.stream->on_data = [&state](std::string_view bytes) {
-        if (!state.over) state.parser.feed(bytes);
+        if (!state.ended) state.parser.feed(bytes);
     };
-    state.stream->on_end = [this, &state](int) { fetch_over(state, false); };
+    state.stream->on_end = [this, &state](int) { on_fetch_ended(state, false); };
     const std::string from = options_.address.substr(0, options_.address.rfind(':'));
     const std::string to = it == active_requests_.end()
                                ? ""
                                : it->second.state_host + ":" + std::to_string(it->second.state_port);
     const int connect_error = state.stream->connect(to, from, [this, &state](int error) {
-        if (error != 0) return fetch_over(state, false);
+        if (error != 0) return on_fetch_ended(state, false);
         const auto request = active_requests_.find(state.id);
         const std::string text =
             Json{{"rid", request == active_requests_.end() ? "" : request->second.state_id}}.dump();
@@ -458,29 +465,30 @@
     state.timer->fire_after(connect_error != 0 ? 0 : kFetchTimeout);
 }
 
-void Engine::fetch_over(StateFetch& fetch, bool ok) {
-    if (fetch.over) return;
-    fetch.over = true;
+void Engine::on_fetch_ended(StateFetch& fetch, bool succeeded) {
+    if (fetch.ended) return;
+    fetch.ended = true;
     fetch.stream.reset();
     fetch.timer->stop();
     const std::string id = fetch.id;
     ended_fetches_.splice(ended_fetches_.end(), fetches_, fetch.self);
     discard_timer_.fire_after(0);
-    model_.fetched(net::now(), id, ok);
-    if (!ok) {
+    model_.on_state_fetched(net::now(), id, succeeded);
+    if (!succeeded) {
         if (const auto it = active_requests_.find(id); it != active_requests_.end()) {
-            Connection* link = it->second.link;
-            end(id, "no_state");
-            if (link) link->answer(424, error_json("kv_transfer_error", "the state is gone"), load_header());
-            if (link) link->handle_pending();
+            Connection* connection = it->second.connection;
+            end_request(id, "no_state");
+            if (connection)
+                connection->answer(424, error_json("kv_transfer_error", "the state is gone"), load_header());
+            if (connection) connection->handle_pending();
         }
     }
-    arm();
+    advance_model();
 }
 
-// True for the first of all engines that share a folder to run a key: its run has an effect, those of the
-// others are duplicates.
-bool Engine::first_effect(const std::string& key) {
+// Claims an idempotency key. True for the first of all engines that share the folder: its run has the side
+// effect, later runs are duplicates. A request without a key always has its effect.
+bool Engine::claim_key(const std::string& key) {
     if (key.empty()) return true;
     if (options_.keys.empty()) return own_keys_.insert(key).second;
     const std::string file = options_.keys + "/" + std::to_string(api::hash(key));
@@ -489,43 +497,43 @@
     return fd >= 0;
 }
 
-void Engine::running(const std::string& id) {
+void Engine::on_decode_started(const std::string& id) {
     const auto it = active_requests_.find(id);
     if (it == active_requests_.end()) return;
-    const bool first = first_effect(it->second.job.key);
+    const bool first = claim_key(it->second.job.key);
     record(first ? "run" : "repeat", {{"id", id}, {"key", it->second.job.key}, {"cls", it->second.job.cls}});
 }
 
-void Engine::token(const std::string& id, const std::string& made, bool last, bool cut) {
+void Engine::on_token(const std::string& id, const std::string& generated, bool last, bool truncated) {
     const auto it = active_requests_.find(id);
     if (it == active_requests_.end()) return;
     ActiveRequest& request = it->second;
     ++request.tokens;
-    std::string text = request.stops.feed(made);
+    std::string text = request.stops.feed(generated);
     const std::string stop = request.stops.matched();
     if (!stop.empty() && !last) {
-        model_.abort(net::now(), id);  // the answer ends at its stop string: no further token is generated
+        model_.abort(net::now(), id);  // the answer ends at its stop sequence: no further token is generated
         last = true;
     }
-    if (last) text += request.stops.rest();
-    if (!request.begun) record("first", {{"id", id}});
-    if (request.link && !request.muted) {
-        std::string events = stream_beginning(request);
+    if (last) text += request.stops.flush();
+    if (!request.stream_started) record("first", {{"id", id}});
+    if (request.connection && !request.muted) {
+        std::string events = stream_start(request);
         if (!text.empty()) events += stream_event(id, choice({{"content", text}}), nullptr);
-        if (last) events += stream_end(request, cut);
-        request.link->write(events);
+        if (last) events += stream_end(request, truncated);
+        request.connection->write(events);
     }
-    request.begun = true;
+    request.stream_started = true;
     if (!last) return;
-    Connection* link = request.link;
-    if (request.muted && link) return;  // done, but unanswered until its client closes
-    end(id, "done");
-    if (!link) return;
-    link->busy = false;
-    link->handle_pending();
+    Connection* connection = request.connection;
+    if (request.muted && connection) return;  // complete, but unanswered until the client disconnects
+    end_request(id, "done");
+    if (!connection) return;
+    connection->busy = false;
+    connection->handle_pending();
 }
 
-// One event of an answer's stream, with its choices and, in the last one, its usage.
+// One server-sent event of an answer's stream; only the last one has the usage.
 std::string Engine::stream_event(const std::string& id, Json choices, const Json* usage) const {
     Json json = {
         {"id", "chatcmpl-" + id}, {"object", "chat.completion.chunk"}, {"model", options_.model_name}};
@@ -534,9 +542,9 @@
     return http::chunk(http::sse_event("", json.dump()));
 }
 
-// The head of the response and the first event; empty once the stream has begun.
-std::string Engine::stream_beginning(const ActiveRequest& request) {
-    if (request.begun) return {};
+// The response head and the first event; empty once the stream has started.
+std::string Engine::stream_start(const ActiveRequest& request) {
+    if (request.stream_started) return {};
     const http::Headers headers = {{"content-type", "text/event-stream; charset=utf-8"},
                                    {"transfer-encoding", "chunked"},
                                    {"endpoint-load-metrics", load_header()}};
@@ -544,12 +552,12 @@
            stream_event(request.job.id, choice({{"role", "assistant"}, {"content", ""}}), nullptr);
 }
 
-// `cut`: the answer ends as it has max_tokens.
-std::string Engine::stream_end(const ActiveRequest& request, bool cut) const {
+// `truncated`: the answer ends as it has reached max_tokens.
+std::string Engine::stream_end(const ActiveRequest& request, bool truncated) const {
     const std::string stop = request.stops.matched();
     Json last = {{"index", 0},
                  {"delta", Json::object()},
-                 {"finish_reason", cut && stop.empty() ? "length" : "stop"},
+                 {"finish_reason", truncated && stop.empty() ? "length" : "stop"},
                  {"stop_reason", nullptr}};
     if (!stop.empty()) last["stop_reason"] = stop;
     const auto prompt_tokens = static_cast<long>(request.job.prompt);
@@ -562,35 +570,35 @@
            std::string(http::kLastChunk);
 }
 
-void Engine::end(const std::string& id, const char* how) {
+void Engine::end_request(const std::string& id, const char* how) {
     const auto it = active_requests_.find(id);
     if (it == active_requests_.end()) return;
     record("end", {{"id", id}, {"how", how}, {"tokens", it->second.tokens}});
-    if (it->second.link) it->second.link->request_id.clear();
+    if (it->second.connection) it->second.connection->request_id.clear();
     active_requests_.erase(it);
 }
 
-void Engine::closed(Connection& link) {
-    if (link.gone) return;
-    const std::string id = link.request_id;
+void Engine::on_connection_closed(Connection& connection) {
+    if (connection.is_closed) return;
+    const std::string id = connection.request_id;
     if (const auto it = active_requests_.find(id); !id.empty() && it != active_requests_.end()) {
-        // Where the kind cancels, a closed connection ends the work; else the work goes on.
+        // For kinds that cancel, a closed connection aborts the job; for others the job continues.
         if (options_.config.pace.cancels || it->second.silent) {
             if (!it->second.silent) model_.abort(net::now(), id);
-            end(id, "cancelled");
+            end_request(id, "cancelled");
         } else {
             record("left", {{"id", id}});
-            it->second.link = nullptr;
+            it->second.connection = nullptr;
         }
     }
-    remove(link);
-    arm();
+    remove(connection);
+    advance_model();
 }
 
-void Engine::remove(Connection& link) {
-    link.gone = true;
-    link.stream.reset();
-    closed_connections_.splice(closed_connections_.end(), connections_, link.self);
+void Engine::remove(Connection& connection) {
+    connection.is_closed = true;
+    connection.stream.reset();
+    closed_connections_.splice(closed_connections_.end(), connections_, connection.self);
     discard_timer_.fire_after(0);
 }
 
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -1,11 +1,18 @@
-// A fake engine as a process: the model behind sockets, speaking the vLLM dialect, with a control port on
-// which a script gives orders, and a record of what its sockets carried.
+// A fake engine process: a Model that serves the vLLM dialect of HTTP, a control port that injects faults,
+// and a record of the requests and answers that its sockets carried.
 //
-// Orders (POST /control, JSON {"order":...}): stall{on}, slow{factor}, error{on,class}, silent{on,class},
-// mute{on,class} (works, but never answers),
-// cut{on,from}, late_reports{ms}, drain{on}, crash, restart. `drain` rejects new requests, `restart` starts
-// the process anew, cold. An empty class means all. `cut` neither reads nor writes on
-// connections from addresses that begin with `from`, as a network does that drops packets.
+// Orders on the control port are POST /control with JSON {"order":...}; an empty class means all classes:
+//   stall{on}           no work progresses
+//   slow{on,factor}     divides the speed
+//   error{on,class}     answers with status 500
+//   silent{on,class}    accepts requests, but neither processes nor answers them
+//   mute{on,class}      processes requests, but does not answer them
+//   cut{on,from}        neither reads nor writes on connections from addresses that begin with `from`, like a
+//                       network that drops packets
+//   late_reports{on,ms} reports the load with a delay
+//   drain{on}           rejects new requests
+//   crash               exits at once
+//   restart             restarts the process with a cold cache
 #pragma once
 
 #include <functional>
@@ -28,75 +35,75 @@
 
 namespace gorsenotch::fake_engine {
 
-// How a fake engine is started.
+// Start options of a fake engine.
 struct EngineOptions {
-    std::string address, control;  // control may be empty
-    std::string record;            // file; empty: none
-    std::string keys;  // folder shared by the engines that drop each other's duplicates; empty: own memory
+    std::string address, control;  // HOST:PORT each; empty control: no control port
+    std::string record;            // record file; empty: no records
+    std::string keys;  // folder shared by the engines of one dedup scope; empty: keys stay in memory
     EndpointId server = 0;
     std::string model_name = "local-model";
     EngineConfig config;
     bool cold = false;
-    std::vector<std::string> args;  // of this process, to start it anew
+    std::vector<std::string> args;  // of this process, for a restart
 };
 
-// The process: sockets, orders and records around a Model. Owns its connections; threading: the loop's
-// thread.
+// The sockets, orders and records around a Model. Owns its connections. Not thread-safe: used in the event
+// loop's thread only.
 class Engine {
 public:
     Engine(net::EventLoop& loop, EngineOptions options);
     ~Engine();
-    // 0, or a libuv error of listening; `at` is then the address that it is about.
-    int start(std::string& at);
+    // Starts to listen. Returns 0 or a libuv error; `address` is then the address that failed.
+    int start(std::string& address);
     int port() const { return listener_->port(); }
     int control_port() const { return control_ ? control_->port() : 0; }
 
 private:
     class Connection;
-    // A request to this engine that has not been answered.
+    // A request that has not been answered.
     struct ActiveRequest {
-        Connection* link = nullptr;  // null once its client has gone
+        Connection* connection = nullptr;  // null once the client has disconnected
         Job job;
         bool is_prefill = false;
-        bool begun = false;   // its stream
-        bool silent = false;  // never worked on
-        bool muted = false;   // worked on and never answered
+        bool stream_started = false;
+        bool silent = false;  // accepted, but not processed (order `silent`)
+        bool muted = false;   // processed, but not answered (order `mute`)
         StopSequences stops;
-        std::string state_host;  // of the prefill engine that has the KV state
+        std::string state_host;  // address of the prefill engine that stores the KV state
         int state_port = 0;
-        std::string state_id;  // the prefill's request id
+        std::string state_id;  // request id of the prefill
         int tokens = 0;        // generated
         long cached_tokens = 0;
     };
-    struct StateFetch;  // of a KV state from its prefill engine
+    struct StateFetch;  // a transfer of a KV state from its prefill engine
 
     void accept(std::unique_ptr<net::TcpStream> stream, bool control);
-    void handle(Connection& link);
-    void complete(Connection& link, const std::string& body);
-    ActiveRequest parse_completion(Connection& link, const invariants::Json& json);
-    void abort(Connection& link, const std::string& body);
-    void take(Connection& link, const std::string& body);
-    void order(Connection& link, const std::string& body);
+    void handle(Connection& connection);
+    void handle_completion(Connection& connection, const std::string& body);
+    ActiveRequest parse_completion(Connection& connection, const invariants::Json& json);
+    void handle_abort(Connection& connection, const std::string& body);
+    void handle_take(Connection& connection, const std::string& body);
+    void handle_order(Connection& connection, const std::string& body);
     void restart();
     bool apply_order(const std::string& word, const invariants::Json& json);
     void resume_connections();
-    void closed(Connection& link);
-    void remove(Connection& link);
-    void read_done(const std::string& id, double kept);
-    void fetch(const std::string& id);
-    void fetch_over(StateFetch& take, bool ok);
-    void running(const std::string& id);
-    void token(const std::string& id, const std::string& made, bool last, bool cut);
+    void on_connection_closed(Connection& connection);
+    void remove(Connection& connection);
+    void on_prefill_done(const std::string& id, double cached_tokens);
+    void fetch_state(const std::string& id);
+    void on_fetch_ended(StateFetch& fetch, bool succeeded);
+    void on_decode_started(const std::string& id);
+    void on_token(const std::string& id, const std::string& text, bool last, bool truncated);
     std::string stream_event(const std::string& id, invariants::Json choices,
                              const invariants::Json* usage) const;
-    std::string stream_beginning(const ActiveRequest& request);
-    std::string stream_end(const ActiveRequest& request, bool cut) const;
-    void end(const std::string& id, const char* how);
-    bool first_effect(const std::string& key);
+    std::string stream_start(const ActiveRequest& request);
+    std::string stream_end(const ActiveRequest& request, bool truncated) const;
+    void end_request(const std::string& id, const char* how);
+    bool claim_key(const std::string& key);
     std::string load_header();
-    bool is_cut(const Connection& link) const;
+    bool is_cut(const Connection& connection) const;
     void record(const char* event, invariants::Json fields);
-    void arm();
+    void advance_model();
 
     net::EventLoop& loop_;
     EngineOptions options_;
@@ -108,11 +115,11 @@
     std::unordered_map<std::string, ActiveRequest> active_requests_;
     std::set<std::string> own_keys_;
     std::set<std::string> error_classes_, silent_classes_, mute_classes_, cut_from_;
-    std::deque<std::pair<Millis, double>> reports_;  // memory share by time, for late reports
-    Millis report_delay_ = 0;
+    std::deque<std::pair<Millis, double>> load_reports_;  // memory usage fraction by time, for late_reports
+    Millis load_report_delay_ = 0;
     bool draining_ = false;
     net::Timer timer_;
-    net::Timer discard_timer_;  // frees what has ended, outside its own callbacks
+    net::Timer discard_timer_;  // frees ended objects outside their own callbacks
 };
 
 }  // namespace gorsenotch::fake_engine
--- a/src/fake_engine/model.cpp
+++ b/src/fake_engine/model.cpp
@@ -6,8 +6,8 @@
 namespace gorsenotch::fake_engine {
 namespace {
 
-constexpr Millis kFar = 1e15;
-constexpr std::size_t kRememberedAborts = 4096;
+constexpr Millis kNever = 1e15;
+constexpr std::size_t kMaxRememberedAborts = 4096;
 
 std::uint64_t scramble(std::uint64_t x) {
     x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9ULL;
@@ -27,28 +27,28 @@
     return text.append(words[x % 16]).append(std::to_string(index));
 }
 
-int answer_length(std::uint64_t seed, int usual) {
+int answer_length(std::uint64_t seed, int typical_tokens) {
     const double x = static_cast<double>(scramble(seed ^ 0xA5A5A5A5ULL) >> 11) * 0x1p-53;
-    return std::max(1, static_cast<int>(usual * (0.5 + x)));
+    return std::max(1, static_cast<int>(typical_tokens * (0.5 + x)));
 }
 
 Model::Model(EngineConfig config, Millis now, Events events)
-    : config_(config), events_(std::move(events)), born_(now) {}
+    : config_(config), events_(std::move(events)), started_at_(now) {}
 
-double Model::speed(Millis now) const {
+double Model::speed_fraction(Millis now) const {
     double capacity = 1;
     if (config_.slow_start_duration > 0) {
-        const double age = std::clamp((now - born_) / config_.slow_start_duration, 0.0, 1.0);
+        const double age = std::clamp((now - started_at_) / config_.slow_start_duration, 0.0, 1.0);
         capacity = config_.initial_capacity + (1 - config_.initial_capacity) * age;
     }
-    return capacity / slow_;
+    return capacity / slowdown_factor_;
 }
 
-double Model::work(const Job& job, bool read) const {
-    if (read) return job.prompt / config_.pace.read_per_s;
+double Model::work_seconds(const Job& job, bool is_prefill) const {
+    if (is_prefill) return job.prompt / config_.pace.read_per_s;
     const Millis step = config_.pace.step + config_.pace.per_stream * config_.pace.slots;
-    const int made = std::min(job.max_tokens, config_.pace.answer_tokens);
-    return made * step / 1000 / config_.pace.slots;
+    const int tokens = std::min(job.max_tokens, config_.pace.answer_tokens);
+    return tokens * step / 1000 / config_.pace.slots;
 }
 
 double Model::waiting_ktokens() const {
@@ -57,125 +57,129 @@
     return sum / 1000;
 }
 
-double Model::kept(const Job& job) const {
+double Model::cached_prefix_tokens(const Job& job) const {
     double tokens = 0;
     for (const auto& [hash, n] : job.prefixes) {
-        if (known_.count(hash)) tokens = std::max(tokens, n);
+        if (cached_prefixes_.count(hash)) tokens = std::max(tokens, n);
     }
     return std::min(tokens, std::max(0.0, job.prompt - 1));
 }
 
-void Model::keep(const Job& job) {
-    double before = 0;
+void Model::cache_prefixes(const Job& job) {
+    double shorter_tokens = 0;
     for (const auto& [hash, n] : job.prefixes) {
-        const double own = n - before;
-        before = n;
-        if (const auto it = known_.find(hash); it != known_.end()) {
+        const double added_tokens = n - shorter_tokens;
+        shorter_tokens = n;
+        if (const auto it = cached_prefixes_.find(hash); it != cached_prefixes_.end()) {
             lru_.splice(lru_.begin(), lru_, it->second);
             continue;
         }
-        lru_.emplace_front(hash, own);
-        known_[hash] = lru_.begin();
-        known_tokens_ += own;
+        lru_.emplace_front(hash, added_tokens);
+        cached_prefixes_[hash] = lru_.begin();
+        cached_tokens_ += added_tokens;
     }
-    while (known_tokens_ > config_.pace.kept_tokens && !lru_.empty()) {
-        known_tokens_ -= lru_.back().second;
-        known_.erase(lru_.back().first);
+    while (cached_tokens_ > config_.pace.kept_tokens && !lru_.empty()) {
+        cached_tokens_ -= lru_.back().second;
+        cached_prefixes_.erase(lru_.back().first);
         lru_.pop_back();
     }
 }
 
-Model::Admission Model::read(Millis now, Job job) {
-    if (aborted(job.id)) return Admission::full;
-    if (static_cast<int>(queue_.size()) >= config_.pace.slots + config_.pace.queue) return Admission::full;
-    if (job.prompt > config_.memory_tokens) return Admission::full;
+Model::Admission Model::submit_prefill(Millis now, Job job) {
+    if (is_aborted(job.id)) return Admission::rejected;
+    if (static_cast<int>(queue_.size()) >= config_.pace.slots + config_.pace.queue)
+        return Admission::rejected;
+    if (job.prompt > config_.memory_tokens) return Admission::rejected;
     queue_.push_back(std::move(job));
-    begin_read(now);
-    return Admission::taken;
+    start_prefill(now);
+    return Admission::accepted;
 }
 
-Model::Admission Model::write(Millis now, Job job) {
-    if (!job.has_state && config_.role == Role::decode && !config_.local_prefill) return Admission::no_state;
+Model::Admission Model::submit_decode(Millis now, Job job) {
+    if (!job.has_state && config_.role == Role::decode && !config_.local_prefill)
+        return Admission::missing_state;
     if (static_cast<int>(queue_.size()) >= config_.pace.queue &&
         static_cast<int>(running_.size()) >= config_.pace.slots)
-        return Admission::full;
-    if (job.prompt + job.max_tokens > config_.memory_tokens) return Admission::full;
+        return Admission::rejected;
+    if (job.prompt + job.max_tokens > config_.memory_tokens) return Admission::rejected;
     queue_.push_back(std::move(job));
-    begin_writes(now);
-    return Admission::taken;
+    start_decodes(now);
+    return Admission::accepted;
 }
 
-void Model::begin_read(Millis now) {
-    if (config_.role != Role::prefill || reading_ || stalled_ || queue_.empty()) return;
-    if (memory_ + queue_.front().prompt > config_.memory_tokens) return;
-    job_ = std::move(queue_.front());
+void Model::start_prefill(Millis now) {
+    if (config_.role != Role::prefill || is_prefilling_ || stalled_ || queue_.empty()) return;
+    if (used_tokens_ + queue_.front().prompt > config_.memory_tokens) return;
+    prefill_job_ = std::move(queue_.front());
     queue_.pop_front();
-    reading_ = true;
-    memory_ += job_.prompt;
-    read_kept_ = kept(job_);
-    const double fresh = std::max(1.0, job_.prompt - read_kept_);
-    read_until_ = now + 1000 * fresh / (config_.pace.read_per_s * speed(now));
+    is_prefilling_ = true;
+    used_tokens_ += prefill_job_.prompt;
+    prefill_cached_tokens_ = cached_prefix_tokens(prefill_job_);
+    const double uncached_tokens = std::max(1.0, prefill_job_.prompt - prefill_cached_tokens_);
+    prefill_until_ = now + 1000 * uncached_tokens / (config_.pace.read_per_s * speed_fraction(now));
 }
 
-void Model::begin_writes(Millis now) {
+void Model::start_decodes(Millis now) {
     if (config_.role == Role::prefill || stalled_) return;
     while (!queue_.empty() && static_cast<int>(running_.size()) < config_.pace.slots &&
-           memory_ + queue_.front().prompt <= config_.memory_tokens) {
-        Running running;
+           used_tokens_ + queue_.front().prompt <= config_.memory_tokens) {
+        RunningDecode running;
         running.job = std::move(queue_.front());
         queue_.pop_front();
         running.target = std::min(running.job.max_tokens,
                                   answer_length(running.job.text_seed, config_.pace.answer_tokens));
-        memory_ += running.job.prompt;
+        used_tokens_ += running.job.prompt;
         const std::string id = running.job.id;
-        const bool fetches = running.job.has_state;
-        if (!fetches)
-            running.reads_until = now + 1000 * running.job.prompt / (config_.pace.read_per_s * speed(now));
+        const bool needs_fetch = running.job.has_state;
+        if (!needs_fetch)
+            running.ready_at =
+                now + 1000 * running.job.prompt / (config_.pace.read_per_s * speed_fraction(now));
         running_.push_back(std::move(running));
-        if (fetches) events_.fetch(id);
+        if (needs_fetch) events_.fetch_state(id);
     }
     if (!running_.empty() && next_step_ < 0) next_step_ = now + step_time(now);
 }
 
 Millis Model::step_time(Millis now) const {
-    return (config_.pace.step + config_.pace.per_stream * static_cast<double>(running_.size())) / speed(now);
+    return (config_.pace.step + config_.pace.per_stream * static_cast<double>(running_.size())) /
+           speed_fraction(now);
 }
 
-void Model::fetched(Millis now, const std::string& id, bool ok) {
+void Model::on_state_fetched(Millis now, const std::string& id, bool succeeded) {
     for (auto it = running_.begin(); it != running_.end(); ++it) {
         if (it->job.id != id) continue;
-        if (ok) {
-            it->reads_until = now + 1000 * it->job.prompt / config_.pace.fetch_per_s;
+        if (succeeded) {
+            it->ready_at = now + 1000 * it->job.prompt / config_.pace.fetch_per_s;
         } else {
-            memory_ -= it->job.prompt;
+            used_tokens_ -= it->job.prompt;
             running_.erase(it);
-            begin_writes(now);
+            start_decodes(now);
         }
         return;
     }
 }
 
-bool Model::take(Millis now, const std::string& id, double& tokens) {
+bool Model::release_state(Millis now, const std::string& id, double& tokens) {
     const auto it = states_.find(id);
     if (it == states_.end()) return false;
     tokens = it->second.tokens;
-    memory_ -= tokens;
+    used_tokens_ -= tokens;
     states_.erase(it);
-    begin_read(now);
+    start_prefill(now);
     return true;
 }
 
-bool Model::aborted(const std::string& id) const {
+bool Model::is_aborted(const std::string& id) const {
     return std::find(aborted_ids_.begin(), aborted_ids_.end(), id) != aborted_ids_.end();
 }
 
 bool Model::abort(Millis now, const std::string& id) {
     double tokens = 0;
-    if (take(now, id, tokens)) return true;
-    if (reading_ && job_.id == id) {
-        reading_ = false;
-        memory_ -= job_.prompt;
-        begin_read(now);
+    if (release_state(now, id, tokens)) return true;
+    if (is_prefilling_ && prefill_job_.id == id) {
+        is_prefilling_ = false;
+        used_tokens_ -= prefill_job_.prompt;
+        start_prefill(now);
         return true;
     }
     for (auto it = queue_.begin(); it != queue_.end(); ++it) {
@@ -185,109 +189,111 @@
     }
     for (auto it = running_.begin(); it != running_.end(); ++it) {
         if (it->job.id != id) continue;
-        memory_ -= it->job.prompt + it->made;
+        used_tokens_ -= it->job.prompt + it->generated;
         running_.erase(it);
-        begin_writes(now);
+        start_decodes(now);
         return true;
     }
     if (config_.role == Role::prefill) {
         aborted_ids_.push_back(id);
-        if (aborted_ids_.size() > kRememberedAborts) aborted_ids_.pop_front();
+        if (aborted_ids_.size() > kMaxRememberedAborts) aborted_ids_.pop_front();
     }
     return false;
 }
 
-void Model::stall(Millis now, bool on) {
-    if (on == stalled_) return;
-    stalled_ = on;
-    if (on) {
-        stalled_at_ = now;
+void Model::set_stalled(Millis now, bool stalled) {
+    if (stalled == stalled_) return;
+    stalled_ = stalled;
+    if (stalled) {
+        stalled_since_ = now;
         return;
     }
-    const Millis lost = now - stalled_at_;
-    if (reading_) read_until_ += lost;
-    if (next_step_ >= 0) next_step_ += lost;
+    const Millis stalled_for = now - stalled_since_;
+    if (is_prefilling_) prefill_until_ += stalled_for;
+    if (next_step_ >= 0) next_step_ += stalled_for;
     for (auto& running : running_) {
-        if (running.reads_until >= 0) running.reads_until += lost;
+        if (running.ready_at >= 0) running.ready_at += stalled_for;
     }
-    begin_read(now);
-    begin_writes(now);
+    start_prefill(now);
+    start_decodes(now);
 }
 
-void Model::slow(Millis now, double factor) {
-    const double before = slow_;
-    slow_ = std::max(1.0, factor);
-    if (reading_) read_until_ = now + std::max(0.0, read_until_ - now) * slow_ / before;
+void Model::set_slowdown(Millis now, double factor) {
+    const double before = slowdown_factor_;
+    slowdown_factor_ = std::max(1.0, factor);
+    if (is_prefilling_)
+        prefill_until_ = now + std::max(0.0, prefill_until_ - now) * slowdown_factor_ / before;
 }
 
-void Model::step(Millis now) {
+void Model::run_decode_step(Millis now) {
     std::vector<std::string> ids;
     for (auto& running : running_) {
-        if (!running.ready && running.reads_until >= 0 && running.reads_until <= now) {
+        if (!running.ready && running.ready_at >= 0 && running.ready_at <= now) {
             running.ready = true;
             ids.push_back(running.job.id);
         }
     }
-    for (const auto& id : ids) events_.running(id);
+    for (const auto& id : ids) events_.decode_started(id);
     ids.clear();
     for (const auto& running : running_) {
         if (running.ready) ids.push_back(running.job.id);
     }
     for (const auto& id : ids) {
         const auto it = std::find_if(running_.begin(), running_.end(),
-                                     [&](const Running& running) { return running.job.id == id; });
-        if (it == running_.end()) continue;  // ended by an event of another
-        const std::string token = token_text(it->job.text_seed, it->made);
-        ++it->made;
-        ++memory_;
-        const bool last = it->made >= it->target;
-        const bool cut = last && it->target == it->job.max_tokens;
+                                     [&](const RunningDecode& running) { return running.job.id == id; });
+        if (it == running_.end()) continue;  // ended by a callback of an earlier token
+        const std::string token = token_text(it->job.text_seed, it->generated);
+        ++it->generated;
+        ++used_tokens_;
+        const bool last = it->generated >= it->target;
+        const bool truncated = last && it->target == it->job.max_tokens;
         if (last) {
-            memory_ -= it->job.prompt + it->made;
+            used_tokens_ -= it->job.prompt + it->generated;
             running_.erase(it);
         }
-        events_.token(id, token, last, cut);
+        events_.token(id, token, last, truncated);
     }
-    // Memory ran out: the newest answer is preempted and prefills its text again.
-    if (memory_ > config_.memory_tokens && running_.size() > 1) {
-        Running& newest = running_.back();
+    // Memory is full: the newest decode is preempted and recomputes the KV state of its prompt and answer.
+    if (used_tokens_ > config_.memory_tokens && running_.size() > 1) {
+        RunningDecode& newest = running_.back();
         if (newest.ready) {
             newest.ready = false;
-            const double again = newest.job.prompt + newest.made;
-            newest.reads_until = now + 1000 * again / (config_.pace.read_per_s * speed(now));
+            const double recomputed_tokens = newest.job.prompt + newest.generated;
+            newest.ready_at =
+                now + 1000 * recomputed_tokens / (config_.pace.read_per_s * speed_fraction(now));
         }
     }
-    begin_writes(now);
+    start_decodes(now);
 }
 
 Millis Model::advance(Millis now) {
-    if (stalled_) return kFar;
-    while (reading_ && read_until_ <= now) {
-        reading_ = false;
-        keep(job_);
-        states_[job_.id] = {job_.prompt, now + config_.pace.lease};
-        const std::string id = job_.id;
-        const double found = read_kept_;
-        begin_read(now);
-        events_.read_done(id, found);
+    if (stalled_) return kNever;
+    while (is_prefilling_ && prefill_until_ <= now) {
+        is_prefilling_ = false;
+        cache_prefixes(prefill_job_);
+        states_[prefill_job_.id] = {prefill_job_.prompt, now + config_.pace.lease};
+        const std::string id = prefill_job_.id;
+        const double cached_tokens = prefill_cached_tokens_;
+        start_prefill(now);
+        events_.prefill_done(id, cached_tokens);
     }
     if (next_step_ >= 0 && next_step_ <= now) {
         next_step_ = -1;
-        step(now);
+        run_decode_step(now);
         next_step_ = running_.empty() ? -1 : now + step_time(now);
     }
-    Millis next = kFar;
-    std::vector<std::string> ended;
+    Millis next = kNever;
+    std::vector<std::string> expired;
     for (const auto& [id, state] : states_) {
-        if (state.until <= now) ended.push_back(id);
-        next = std::min(next, state.until);
+        if (state.lease_expires_at <= now) expired.push_back(id);
+        next = std::min(next, state.lease_expires_at);
     }
-    for (const auto& id : ended) {
+    for (const auto& id : expired) {
         double tokens = 0;
-        take(now, id, tokens);
-        events_.lease_ended(id);
+        release_state(now, id, tokens);
+        events_.lease_expired(id);
     }
-    if (reading_) next = std::min(next, read_until_);
+    if (is_prefilling_) next = std::min(next, prefill_until_);
     if (next_step_ >= 0) next = std::min(next, next_step_);
     return std::max(next, now);
 }
--- a/src/fake_engine/stop_sequences.h
+++ b/src/fake_engine/stop_sequences.h
@@ -1,5 +1,6 @@
-// Where an answer's text meets a stop string, as an engine scans its own output: the text before it is given,
-// the string and what follows are not, and nothing is given that may yet turn out to begin one. Pure.
+// Scans generated text for stop sequences, piece by piece, as an engine does. Text before the first stop
+// sequence is returned; the sequence and all text after it are dropped. Text that may be the beginning of a
+// stop sequence is withheld until the next piece decides. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -10,44 +11,46 @@
 
 namespace gorsenotch::fake_engine {
 
+// The stop sequences of one request and the text withheld so far.
 class StopSequences {
 public:
     StopSequences() = default;
     explicit StopSequences(std::vector<std::string> strings) : strings_(std::move(strings)) {}
 
-    // Takes the next piece and returns what may be given now. After a match the rest is dropped.
+    // Scans the next piece and returns the text that can be sent now. After a match all text is dropped.
     std::string feed(std::string_view piece) {
         if (!matched_.empty()) return {};
         if (strings_.empty()) return std::string(piece);
-        held_.append(piece);
+        withheld_.append(piece);
         std::size_t first = std::string::npos;
         for (const auto& stop : strings_) {
-            const auto at = held_.find(stop);
-            // The earliest; of those at one place the longest.
+            const auto at = withheld_.find(stop);
+            // The earliest match wins; of several at one position, the longest.
             if (at < first || (at == first && at != std::string::npos && stop.size() > matched_.size())) {
                 first = at;
                 matched_ = stop;
             }
         }
-        if (first != std::string::npos) return std::exchange(held_, {}).substr(0, first);
-        std::size_t keep = 0;
+        if (first != std::string::npos) return std::exchange(withheld_, {}).substr(0, first);
+        std::size_t withheld_bytes = 0;
         for (const auto& stop : strings_) {
-            for (std::size_t n = std::min(stop.size() - 1, held_.size()); n > keep; --n) {
-                if (std::string_view(held_).substr(held_.size() - n) == std::string_view(stop).substr(0, n))
-                    keep = n;
+            for (std::size_t n = std::min(stop.size() - 1, withheld_.size()); n > withheld_bytes; --n) {
+                if (std::string_view(withheld_).substr(withheld_.size() - n) ==
+                    std::string_view(stop).substr(0, n))
+                    withheld_bytes = n;
             }
         }
-        std::string now = held_.substr(0, held_.size() - keep);
-        held_.erase(0, held_.size() - keep);
-        return now;
+        std::string output = withheld_.substr(0, withheld_.size() - withheld_bytes);
+        withheld_.erase(0, withheld_.size() - withheld_bytes);
+        return output;
     }
-    // The answer has ended by itself: what was held back after all.
-    std::string rest() { return matched_.empty() ? std::exchange(held_, {}) : std::string(); }
-    const std::string& matched() const { return matched_; }  // empty: none yet
+    // Returns the withheld text at the end of an answer; empty after a match.
+    std::string flush() { return matched_.empty() ? std::exchange(withheld_, {}) : std::string(); }
+    const std::string& matched() const { return matched_; }  // empty: no match yet
 
 private:
     std::vector<std::string> strings_;
-    std::string held_;  // may be the beginning of a stop string
+    std::string withheld_;  // may be the beginning of a stop sequence
     std::string matched_;
 };
 
--- a/tests/fake_engine/stop_sequences_test.cpp
+++ b/tests/fake_engine/stop_sequences_test.cpp
@@ -17,7 +17,7 @@
     StopSequences stops(std::move(strings));
     std::string out;
     for (std::size_t at = 0; at < text.size(); at += size) out += stops.feed(text.substr(at, size));
-    return {out + stops.rest(), stops.matched()};
+    return {out + stops.flush(), stops.matched()};
 }
 
 TEST(StopSequencesTest, TextEndsBeforeTheSequenceWhateverThePieces) {
