--- a/src/fault_scenario/plan.h
+++ b/src/fault_scenario/plan.h
@@ -1,4 +1,4 @@
-// The plan of a fault scenario, as a day file describes it: engines, gateways, traffic and faults.
+// The plan of a fault scenario, parsed from a day file: engines, gateways, traffic and faults.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace gorsenotch::fault_scenario {
 
-// Engines of one kind in one cell.
+// A group of engines of one kind in one cell.
 struct EnginePool {
     int kind = 0;  // index into the settings' kinds
     int zone = 0;  // index into the settings' zones
@@ -20,34 +20,34 @@
     std::uint64_t cell = 0;
 };
 
-// What a scenario does to its processes.
+// The kinds of faults that a scenario injects.
 enum class FaultKind {
     crash_engine,
     drain_engine,
-    order_engine,      // Fault::engine_order tells an engine how to misbehave
-    cut_zone,          // engines and gateways of one zone can't be reached from the others, nor these from it
-    kill_gateway,      // one, by SIGKILL; started again after the fault's length
-    suspend_gateway,   // one, by SIGSTOP; SIGCONT after the fault's length
-    suspend_gateways,  // one after another, for `size` ms each
+    order_engine,      // Fault::engine_order is sent to the control port of each affected engine
+    cut_zone,          // drops all traffic between one zone and the other zones
+    kill_gateway,      // one gateway: SIGKILL, restart after the fault's duration
+    suspend_gateway,   // one gateway: SIGSTOP, SIGCONT after the fault's duration
+    suspend_gateways,  // all gateways in turn, one at a time for `magnitude` ms each
 };
 
-// One fault, with its time and its targets.
+// One fault, its time and its targets.
 struct Fault {
     FaultKind kind = FaultKind::crash_engine;
-    std::string engine_order;  // a word of the engine's control port
-    std::string cls;           // class that an engine order is about; empty: all
-    Millis at = 0;             // from the start of the traffic
-    Millis length = 0;
-    Millis notice = 300;  // how late the endpoint list learns of it
-    double part = 1;      // of the engines that match, how large a part is affected
-    double size = 1;      // factor or ms of an engine order; ms of each suspension
-    // The engines that match; none: all.
+    std::string engine_order;  // an order of the engine's control port
+    std::string cls;           // request class that an engine order affects; empty: all
+    Millis start = 0;          // from the start of the traffic
+    Millis duration = 0;
+    Millis list_update_delay = 300;  // from the fault to the update of the endpoint lists
+    double fraction = 1;             // of the matching engines that is affected
+    double magnitude = 1;            // factor or ms of an engine order; ms of each suspension
+    // Filters on the engines; absent: no filter.
     std::optional<int> engine_kind;
     std::optional<int> zone;
     std::optional<std::uint64_t> cell;
 };
 
-// A scenario file's contents, validated.
+// The validated contents of a day file.
 struct ScenarioPlan {
     std::string name;
     std::string settings_file;
@@ -60,8 +60,8 @@
     std::vector<Fault> faults;
 };
 
-// Reads a day file and its settings. Null if anything is wrong; `errors` then lists every error with file and
-// line.
+// Parses a day file and its settings file. Empty if either is invalid; `errors` then lists every error with
+// file and line.
 std::optional<ScenarioPlan> load_plan(const std::string& file, std::string& errors);
 
 }  // namespace gorsenotch::fault_scenario
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -16,34 +16,35 @@
 
 namespace {
 
-constexpr int kNetworks = 200;  // second octets that runs on one machine choose from
+constexpr int kNetworkCount = 200;  // second octets of 127.N.x.y that the runs on one machine choose from
 constexpr int kFirstNetwork = 16;
-constexpr Millis kStartTimeout = 15000;    // until all processes listen
-constexpr Millis kListReadTime = 100;      // gateways have read their lists by then
-constexpr Millis kClientTimeout = 90000;   // past the plan's length, should a client process hang
-constexpr Millis kReleaseTime = 500;       // past the lease limit, before gateways are told to stop
-constexpr Millis kGatewayTimeout = 10000;  // from SIGTERM to the end of the last gateway
+constexpr Millis kStartTimeout = 15000;  // from the start to the last `ready` line
+constexpr Millis kListReadTime = 100;    // within which gateways read their endpoint lists
+constexpr Millis kClientTimeout =
+    90000;  // after the end of the traffic; guards against a client process that hangs
+constexpr Millis kReleaseMargin = 500;     // after the lease release timeout, before SIGTERM to the gateways
+constexpr Millis kGatewayTimeout = 10000;  // from SIGTERM to the exit of the last gateway
 
 }  // namespace
 
 Scenario::Scenario(ScenarioPlan plan, ScenarioOptions options)
     : plan_(std::move(plan)), options_(std::move(options)) {
     seed_ = options_.seed.value_or(plan_.seed);
-    // The addresses of a run are its own: the first network that no other run on this machine has locked.
-    for (int i = 0; i < kNetworks; ++i) {
+    // Each run uses a loopback network of its own: the first one that no other run has locked.
+    for (int i = 0; i < kNetworkCount; ++i) {
         const auto candidate = static_cast<unsigned>(::getpid()) + static_cast<unsigned>(i);
-        second_octet_ = kFirstNetwork + static_cast<int>(candidate % kNetworks);
+        second_octet_ = kFirstNetwork + static_cast<int>(candidate % kNetworkCount);
         network_lock_ = std::make_unique<net::TcpListener>(loop_);
         if (network_lock_->listen(loopback_address(254, 254) + ":47") == 0) return;
     }
-    error_ = "no loopback addresses are free";
+    error_ = "no free loopback network in 127.16.0.0 to 127.215.255.255";
 }
 
 Scenario::~Scenario() = default;
 
 ScenarioResult Scenario::run() {
     ScenarioResult result;
-    const Millis began = net::now();
+    const Millis started_at = net::now();
     if (!error_.empty() || !make_folders()) {
         result.error = error_;
         return result;
@@ -57,15 +58,15 @@
     const net::SignalWatcher hangup(loop_, SIGHUP, interrupt);
     schedule(kStartTimeout, [this] { on_start_timeout(); });
     if (!ended_) loop_.run();
-    // All processes are gone when this returns, and their records are complete.
+    // The destructors wait for each process, so the records are complete afterwards.
     clients_.clear();
     for (auto& engine : engines_) engine->child.reset();
     for (auto& gateway : gateways_) gateway->child.reset();
-    result.seconds = (net::now() - began) / 1000;
+    result.seconds = (net::now() - started_at) / 1000;
     result.error = error_;
     result.interrupted = interrupted_;
-    result.system = system_;
-    if (!interrupted_ && !system_) check_records(result);
+    result.system = system_error_;
+    if (!interrupted_ && !system_error_) check_records(result);
     return result;
 }
 
@@ -113,14 +114,14 @@
 }
 
 void Scenario::on_processes_ready() {
-    playing_ = true;
+    processes_ready_ = true;
     schedule(kListReadTime, [this] {
         start_clients();
         for (std::size_t i = 0; i < plan_.faults.size(); ++i)
-            schedule(plan_.faults[i].at, [this, i] { play(plan_.faults[i], i); });
+            schedule(plan_.faults[i].start, [this, i] { inject_fault(plan_.faults[i], i); });
         schedule(plan_.length + kClientTimeout, [this] {
             if (stopping_) return;
-            error_ = "the clients did not end in time";
+            error_ = "the client processes did not exit within 90 s of the end of the traffic";
             on_clients_done();
         });
     });
@@ -128,8 +129,8 @@
 
 void Scenario::on_clients_done() {
     if (stopping_) return;
-    // Leases that are still held must be released first; only then the gateways are told to stop.
-    schedule(plan_.program.router.lease_release_timeout + kReleaseTime, [this] { stop_gateways(); });
+    // Gateways are stopped only after the time within which they must release all KV leases.
+    schedule(plan_.program.router.lease_release_timeout + kReleaseMargin, [this] { stop_gateways(); });
 }
 
 void Scenario::stop_gateways() {
@@ -143,7 +144,7 @@
     if (!any_running) return end();
     schedule(kGatewayTimeout, [this] {
         if (ended_) return;
-        error_ = "a gateway did not stop on SIGTERM";
+        error_ = "a gateway did not exit within 10 s of SIGTERM";
         for (auto& gateway : gateways_) gateway->child->kill(SIGKILL);
         end();
     });
@@ -156,14 +157,14 @@
 }
 
 void Scenario::on_start_timeout() {
-    if (playing_ || ended_) return;
-    fail_system("not all processes came up in time; see the logs in " + options_.out);
+    if (processes_ready_ || ended_) return;
+    fail_with_system_error("not all processes were ready within 15 s; see the logs in " + options_.out);
 }
 
-// The scenario can't be played on this system: there will be no verdict.
-void Scenario::fail_system(const std::string& error) {
+// Ends the run without a verdict: the scenario can't run on this system.
+void Scenario::fail_with_system_error(const std::string& error) {
     error_ = error;
-    system_ = true;
+    system_error_ = true;
     end();
 }
 
--- a/src/fault_scenario/scenario.h
+++ b/src/fault_scenario/scenario.h
@@ -1,6 +1,6 @@
-// A fault scenario: starts gateways, fake engines and clients as processes of their own on loopback, plays
-// the traffic and the faults of a plan, then checks the invariants from the records of what their sockets
-// carried.
+// A fault scenario: starts gateways, fake engines and clients as separate processes on loopback, generates
+// the traffic and injects the faults of a plan, then checks the invariants against the records that engines
+// and clients wrote of their sockets.
 #pragma once
 
 #include <functional>
@@ -24,29 +24,30 @@
 
 namespace gorsenotch::fault_scenario {
 
-// How a scenario is run.
+// Options of a scenario run.
 struct ScenarioOptions {
-    std::string self;  // this program's own file
-    std::string out;   // folder for records and logs; made anew
+    std::string self;  // path of this program's executable
+    std::string out;   // folder for records and logs; deleted and created at the start
     std::optional<std::uint64_t> seed;
 };
 
-// What came of a run.
+// The result of a scenario run.
 struct ScenarioResult {
     invariants::Verdict verdict;
-    std::string error;         // the scenario could not be played, or a process died by itself
-    bool interrupted = false;  // a signal stopped it; there is no verdict
-    bool system = false;       // a process could not be started; there is no verdict
+    std::string error;         // the scenario could not be completed, or a process exited unexpectedly
+    bool interrupted = false;  // stopped by a signal; there is no verdict
+    bool system = false;       // a process failed to start; there is no verdict
     double seconds = 0;
 };
 
-// Owns the loop and all processes of one run. Its code stands in four files: scenario.cpp (a run from start
-// to verdict), scenario_processes.cpp (how processes are started), scenario_faults.cpp, scenario_lists.cpp.
+// Runs one scenario. Owns the event loop and all processes. Implemented in four files: scenario.cpp (the run
+// from start to verdict), scenario_processes.cpp (addresses and process start), scenario_faults.cpp (faults)
+// and scenario_lists.cpp (endpoint lists).
 class Scenario {
 public:
     Scenario(ScenarioPlan plan, ScenarioOptions options);
     ~Scenario();
-    // Plays the plan once and returns when every process has ended.
+    // Runs the plan once and returns after every process has exited.
     ScenarioResult run();
 
 private:
@@ -62,7 +63,7 @@
     void stop_gateways();
     void on_interrupt();
     void on_start_timeout();
-    void fail_system(const std::string& error);
+    void fail_with_system_error(const std::string& error);
     void end();
     void check_records(ScenarioResult& result) const;
     void schedule(Millis delay, std::function<void()> task);
@@ -82,18 +83,18 @@
     void on_start_failure(const std::string& name, const std::string& log, int status, int signal);
 
     // Faults (scenario_faults.cpp).
-    void play(const Fault& fault, std::size_t number);
-    void play_engine_fault(EngineProcess& engine, const Fault& fault);
+    void inject_fault(const Fault& fault, std::size_t number);
+    void inject_engine_fault(EngineProcess& engine, const Fault& fault);
     std::vector<EngineProcess*> affected_engines(const Fault& fault, std::mt19937_64& random);
     GatewayProcess* random_running_gateway(std::mt19937_64& random);
     void crash_engine(EngineProcess& engine, const Fault& fault);
     void drain_engine(EngineProcess& engine, const Fault& fault);
-    void replace_engine(EngineProcess& engine, Millis notice);
-    void set_cut(int zone, bool on);
+    void replace_engine(EngineProcess& engine, Millis list_update_delay);
+    void set_zone_cut(int zone, bool on);
     void record_cut(const EngineProcess& engine, int zone);
     void kill_gateway(GatewayProcess& gateway, const Fault& fault);
     void suspend_gateway(GatewayProcess& gateway, Millis length);
-    void suspend_in_turn(const Fault& fault, Millis until, std::size_t turn);
+    void suspend_gateways_in_turn(const Fault& fault, Millis until, std::size_t turn);
     void send_order(const EngineProcess& engine, const invariants::Json& order);
 
     // Endpoint lists (scenario_lists.cpp).
@@ -105,24 +106,25 @@
     ScenarioPlan plan_;
     ScenarioOptions options_;
     net::EventLoop loop_;
-    std::unique_ptr<net::TcpListener> network_lock_;  // shows other runs that the addresses are taken
+    std::unique_ptr<net::TcpListener>
+        network_lock_;  // reserves the network against other runs on this machine
     std::unique_ptr<invariants::Recorder> recorder_;
     std::vector<std::unique_ptr<EngineProcess>> engines_;
     std::vector<std::unique_ptr<GatewayProcess>> gateways_;
     std::vector<std::unique_ptr<net::ChildProcess>> clients_;
     std::list<std::unique_ptr<net::Timer>> timers_;
-    std::list<std::unique_ptr<net::TcpStream>> orders_;  // connections to engines' control ports
+    std::list<std::unique_ptr<net::TcpStream>> orders_;  // connections to the engines' control ports
     std::uint64_t seed_ = 1;
-    int second_octet_ = 1;  // of all addresses of this run: 127.N.x.y
+    int second_octet_ = 1;  // N in 127.N.x.y, the addresses of this run
     int running_clients_ = 0;
     int next_engine_host_ = 0;
     EndpointId next_engine_id_ = 0;
-    std::size_t awaited_ready_ = 0;  // processes that do not listen yet, before the clients start
-    bool playing_ = false;           // all processes listen
-    bool stopping_ = false;          // the gateways have got SIGTERM
+    std::size_t processes_not_ready_ = 0;  // engines and gateways that do not listen yet
+    bool processes_ready_ = false;         // all engines and gateways listen
+    bool stopping_ = false;                // SIGTERM was sent to the gateways
     bool ended_ = false;
     bool interrupted_ = false;
-    bool system_ = false;
+    bool system_error_ = false;
     std::string error_;
 };
 
--- a/src/fault_scenario/scenario_faults.cpp
+++ b/src/fault_scenario/scenario_faults.cpp
@@ -1,4 +1,4 @@
-// Scenario: what each fault does to engines and gateways.
+// Scenario: fault injection into engines and gateways.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr Millis kShortestDowntime = 100;  // of a process that is killed and started again
-constexpr Millis kGatewayStartTime = 500;  // a restarted gateway counts as down so long
-constexpr Millis kDrainMargin = 1000;      // from the list's notice of a drain to the engine's end
+constexpr Millis kShortestDowntime = 100;  // from SIGKILL to the restart
+constexpr Millis kGatewayStartTime = 500;  // after a restart, during which a gateway counts as down
+constexpr Millis kDrainMargin = 1000;      // from the endpoint list's update to the engine's end
 constexpr Millis kShortestSuspension = 5;
 
 Millis wall_clock() {
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-void Scenario::play(const Fault& fault, std::size_t number) {
+void Scenario::inject_fault(const Fault& fault, std::size_t number) {
     std::mt19937_64 random(seed_ * 7919 + number);
     switch (fault.kind) {
         case FaultKind::kill_gateway:
@@ -33,47 +33,48 @@
             return;
         case FaultKind::suspend_gateway:
             if (GatewayProcess* gateway = random_running_gateway(random))
-                suspend_gateway(*gateway, fault.length);
+                suspend_gateway(*gateway, fault.duration);
             return;
         case FaultKind::suspend_gateways:
-            return suspend_in_turn(fault, net::now() + fault.length, 0);
+            return suspend_gateways_in_turn(fault, net::now() + fault.duration, 0);
         case FaultKind::cut_zone:
-            set_cut(*fault.zone, true);
-            return schedule(fault.length, [this, zone = *fault.zone] { set_cut(zone, false); });
+            set_zone_cut(*fault.zone, true);
+            return schedule(fault.duration, [this, zone = *fault.zone] { set_zone_cut(zone, false); });
         case FaultKind::crash_engine:
         case FaultKind::drain_engine:
         case FaultKind::order_engine:
-            for (EngineProcess* engine : affected_engines(fault, random)) play_engine_fault(*engine, fault);
+            for (EngineProcess* engine : affected_engines(fault, random)) inject_engine_fault(*engine, fault);
     }
 }
 
-void Scenario::play_engine_fault(EngineProcess& engine, const Fault& fault) {
+void Scenario::inject_engine_fault(EngineProcess& engine, const Fault& fault) {
     if (fault.kind == FaultKind::crash_engine) return crash_engine(engine, fault);
     if (fault.kind == FaultKind::drain_engine) return drain_engine(engine, fault);
     invariants::Json order = {{"order", fault.engine_order},
                               {"on", true},
                               {"class", fault.cls},
-                              {"factor", fault.size},
-                              {"ms", fault.size}};
+                              {"factor", fault.magnitude},
+                              {"ms", fault.magnitude}};
     send_order(engine, order);
     order["on"] = false;
-    schedule(fault.length, [this, &engine, order] { send_order(engine, order); });
+    schedule(fault.duration, [this, &engine, order] { send_order(engine, order); });
 }
 
-// A random part of the healthy engines that match the fault.
+// A random selection of the healthy engines that match the fault's filters.
 std::vector<Scenario::EngineProcess*> Scenario::affected_engines(const Fault& fault,
                                                                  std::mt19937_64& random) {
     std::vector<EngineProcess*> matching;
     for (auto& engine : engines_) {
         const Endpoint& endpoint = engine->engine.endpoint;
-        if (!engine->running || engine->leaving || endpoint.status != EndpointStatus::healthy) continue;
+        if (!engine->running || engine->excluded_from_faults || endpoint.status != EndpointStatus::healthy)
+            continue;
         if (fault.engine_kind && endpoint.kind != *fault.engine_kind) continue;
         if (fault.zone && endpoint.zone != *fault.zone) continue;
         if (fault.cell && endpoint.cell != *fault.cell) continue;
         matching.push_back(engine.get());
     }
     for (std::size_t i = matching.size(); i > 1; --i) std::swap(matching[i - 1], matching[random() % i]);
-    const double count = std::ceil(fault.part * static_cast<double>(matching.size()) - 1e-9);
+    const double count = std::ceil(fault.fraction * static_cast<double>(matching.size()) - 1e-9);
     matching.resize(std::min(static_cast<std::size_t>(count), matching.size()));
     return matching;
 }
@@ -81,7 +82,7 @@
 Scenario::GatewayProcess* Scenario::random_running_gateway(std::mt19937_64& random) {
     std::vector<GatewayProcess*> candidates;
     for (auto& gateway : gateways_) {
-        if (gateway->can_be_hit()) candidates.push_back(gateway.get());
+        if (gateway->is_fault_target()) candidates.push_back(gateway.get());
     }
     if (candidates.empty()) return nullptr;
     return candidates[random() % candidates.size()];
@@ -90,31 +91,31 @@
 void Scenario::crash_engine(EngineProcess& engine, const Fault& fault) {
     engine.child->kill(SIGKILL);
     engine.engine.endpoint.status = EndpointStatus::removed;
-    write_lists_after(fault.notice);
-    if (fault.length <= 0) {
-        engine.leaving = true;
+    write_lists_after(fault.list_update_delay);
+    if (fault.duration <= 0) {
+        engine.excluded_from_faults = true;
         return;
     }
-    schedule(std::max(fault.length, kShortestDowntime), [this, &engine, notice = fault.notice] {
+    schedule(std::max(fault.duration, kShortestDowntime), [this, &engine, delay = fault.list_update_delay] {
         if (ended_) return;
         engine.engine.endpoint.status = EndpointStatus::healthy;
         engine.engine.endpoint.started_at = wall_clock();
         start_engine(engine, true);
-        write_lists_after(notice);
+        write_lists_after(delay);
     });
 }
 
-// Drained, then ended; another machine takes its place.
+// Drains the engine, then replaces it by a new one.
 void Scenario::drain_engine(EngineProcess& engine, const Fault& fault) {
     engine.engine.endpoint.status = EndpointStatus::draining;
-    engine.leaving = true;
-    write_lists_after(fault.notice);
-    schedule(std::max(fault.length, fault.notice + kDrainMargin),
-             [this, &engine, notice = fault.notice] { replace_engine(engine, notice); });
+    engine.excluded_from_faults = true;
+    write_lists_after(fault.list_update_delay);
+    schedule(std::max(fault.duration, fault.list_update_delay + kDrainMargin),
+             [this, &engine, delay = fault.list_update_delay] { replace_engine(engine, delay); });
 }
 
-// The new engine has an id and addresses of its own, and begins with a slow start.
-void Scenario::replace_engine(EngineProcess& engine, Millis notice) {
+// Kills the engine and starts another with a new id, new addresses and a slow start.
+void Scenario::replace_engine(EngineProcess& engine, Millis list_update_delay) {
     if (ended_) return;
     engine.child->kill(SIGKILL);
     engine.engine.endpoint.status = EndpointStatus::removed;
@@ -127,12 +128,12 @@
     assign_addresses(*replacement);
     start_engine(*replacement, true);
     engines_.push_back(std::move(replacement));
-    write_lists_after(notice);
+    write_lists_after(list_update_delay);
 }
 
-// Separates a zone, or joins it again: its engines from the others' engines and gateways, and theirs from
-// its.
-void Scenario::set_cut(int zone, bool on) {
+// Starts or ends a network partition between the zone and all others. Each engine drops the traffic of
+// engines and gateways on the other side.
+void Scenario::set_zone_cut(int zone, bool on) {
     const int zones = static_cast<int>(plan_.program.zones.size());
     for (auto& engine : engines_) {
         if (!engine->running) continue;
@@ -152,7 +153,8 @@
 void Scenario::record_cut(const EngineProcess& engine, int zone) {
     Millis length = 0;
     for (const auto& fault : plan_.faults) {
-        if (fault.kind == FaultKind::cut_zone && fault.zone == zone) length = std::max(length, fault.length);
+        if (fault.kind == FaultKind::cut_zone && fault.zone == zone)
+            length = std::max(length, fault.duration);
     }
     recorder_->write(
         net::now(), "trouble",
@@ -160,23 +162,23 @@
 }
 
 void Scenario::kill_gateway(GatewayProcess& gateway, const Fault& fault) {
-    const Millis downtime = std::max(fault.length, kShortestDowntime);
+    const Millis downtime = std::max(fault.duration, kShortestDowntime);
     gateway.exit_expected = true;
     gateway.list_frozen = true;
     gateway.child->kill(SIGKILL);
     const Millis until = net::now() + downtime + kGatewayStartTime;
     recorder_->write(net::now(), "kill_gateway", {{"gateway", gateway.address}, {"until", until}});
-    schedule(downtime, [this, &gateway, notice = fault.notice] {
+    schedule(downtime, [this, &gateway, delay = fault.list_update_delay] {
         if (ended_ || stopping_) return;
         start_gateway(gateway);
-        schedule(notice, [this, &gateway] {
+        schedule(delay, [this, &gateway] {
             gateway.list_frozen = false;
             write_list(gateway);
         });
     });
 }
 
-// Stops the process, as a debugger or a host that swaps would, and continues it.
+// Suspends the process and resumes it after `length`, as under a debugger or on a host that swaps.
 void Scenario::suspend_gateway(GatewayProcess& gateway, Millis length) {
     recorder_->write(net::now(), "stop_gateway",
                      {{"gateway", gateway.address}, {"until", net::now() + length}});
@@ -188,13 +190,13 @@
     });
 }
 
-// No core for one gateway at a time, in turns of `size` ms each.
-void Scenario::suspend_in_turn(const Fault& fault, Millis until, std::size_t turn) {
+// CPU starvation: suspends one gateway at a time, in turn, for `magnitude` ms each.
+void Scenario::suspend_gateways_in_turn(const Fault& fault, Millis until, std::size_t turn) {
     if (ended_ || stopping_ || net::now() >= until) return;
     GatewayProcess& gateway = *gateways_[turn % gateways_.size()];
-    const Millis length = std::max(fault.size, kShortestSuspension);
-    if (gateway.can_be_hit()) suspend_gateway(gateway, length);
-    schedule(length, [this, &fault, until, turn] { suspend_in_turn(fault, until, turn + 1); });
+    const Millis length = std::max(fault.magnitude, kShortestSuspension);
+    if (gateway.is_fault_target()) suspend_gateway(gateway, length);
+    schedule(length, [this, &fault, until, turn] { suspend_gateways_in_turn(fault, until, turn + 1); });
 }
 
 void Scenario::send_order(const EngineProcess& engine, const invariants::Json& order) {
--- a/src/fault_scenario/scenario_internal.h
+++ b/src/fault_scenario/scenario_internal.h
@@ -1,4 +1,4 @@
-// The processes of a scenario, for the files of the class Scenario alone.
+// The process types of class Scenario. Private to its implementation files.
 #pragma once
 
 #include <map>
@@ -11,13 +11,13 @@
 
 namespace gorsenotch::fault_scenario {
 
-// A fake engine of the scenario: its address, its process and whether it is up.
+// A fake engine of the scenario and its process.
 struct Scenario::EngineProcess {
     settings::Engine engine;
     std::string control_address;
     std::unique_ptr<net::ChildProcess> child;
     bool running = false;
-    bool leaving = false;  // drained, or crashed for good
+    bool excluded_from_faults = false;  // drained, or crashed without a restart
 };
 
 // A gateway of the scenario and its process.
@@ -26,15 +26,15 @@
     int zone = 0;
     std::string address;
     std::string source;      // local address of its connections to engines
-    std::string fleet_file;  // its endpoint list
+    std::string fleet_file;  // path of its endpoint list
     std::string state_folder;
     std::unique_ptr<net::ChildProcess> child;
-    bool suspended = false;                       // by SIGSTOP
-    bool list_frozen = false;                     // its list is not updated
-    bool exit_expected = false;                   // its end was ordered
-    std::map<EndpointId, EndpointStatus> listed;  // what its list said last
+    bool suspended = false;                       // between SIGSTOP and SIGCONT
+    bool list_frozen = false;                     // its endpoint list is not updated
+    bool exit_expected = false;                   // SIGKILL or SIGTERM was sent
+    std::map<EndpointId, EndpointStatus> listed;  // as of its last endpoint list
 
-    bool can_be_hit() const { return child->running() && !suspended; }
+    bool is_fault_target() const { return child->running() && !suspended; }
 };
 
 }  // namespace gorsenotch::fault_scenario
--- a/src/fault_scenario/scenario_lists.cpp
+++ b/src/fault_scenario/scenario_lists.cpp
@@ -1,4 +1,4 @@
-// Scenario: the endpoint lists of the gateways, and the record of when each was told what.
+// Scenario: writes the endpoint lists of the gateways and records when each list changed.
 #include <filesystem>
 #include <fstream>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The word of the records.
+// The `mode` field of a `told` record.
 const char* status_word(EndpointStatus status) {
     switch (status) {
         case EndpointStatus::healthy:
@@ -41,8 +41,9 @@
     record_list(gateway, engines, before, net::now());
 }
 
-// A gateway may read the file as soon as it has its name, before this process runs on: what the gateway is
-// allowed from then on counts from before the renaming, what it is forbidden from after it.
+// A gateway may read the file as soon as it is renamed, before this process continues. A status that permits
+// requests (healthy) is therefore recorded with the time before the rename, one that forbids them with the
+// time after it.
 void Scenario::record_list(GatewayProcess& gateway, const std::vector<settings::Engine>& engines,
                            Millis before, Millis after) {
     for (const auto& engine : engines) {
--- a/src/fault_scenario/scenario_processes.cpp
+++ b/src/fault_scenario/scenario_processes.cpp
@@ -1,4 +1,4 @@
-// Scenario: addresses, and how its processes are started.
+// Scenario: address assignment and process start.
 #include <algorithm>
 #include <filesystem>
 #include <fstream>
@@ -10,7 +10,7 @@
 
 namespace {
 
-// How long past its deadline a client still listens, beyond the slack that the settings give an answer.
+// How long a client waits for an answer after its deadline and the answer slack of the settings.
 constexpr Millis kOverdueMargin = 400;
 
 std::string describe_exit(int status, int signal) {
@@ -31,11 +31,11 @@
            std::to_string(host);
 }
 
-// Addresses that nobody else uses, so that their ports are still free at a restart.
+// Addresses that no other process uses, so that a process can bind its port again after a restart.
 std::vector<std::string> Scenario::free_addresses(const std::string& host, std::size_t count) {
     std::vector<int> ports = net::free_ports(loop_, host, count);
     if (ports.empty()) {
-        fail_system(error_.empty() ? host + ": no port is free" : error_);
+        fail_with_system_error(error_.empty() ? host + ": no free port" : error_);
         ports.assign(count, 0);
     }
     std::vector<std::string> addresses;
@@ -51,8 +51,8 @@
     engine.control_address = addresses[1];
 }
 
-// The folder by which engines of one dedup scope drop each other's duplicates; the widest scope that any
-// class names is used.
+// The folder that the engines of one dedup scope share to recognize duplicates. The widest scope of all
+// classes is used.
 std::string Scenario::dedup_folder(const Endpoint& endpoint) const {
     DedupScope scope = DedupScope::cell;
     for (const auto& class_settings : plan_.program.router.classes) {
@@ -93,14 +93,14 @@
     const auto on_exit = [this, &engine, id, log](int status, int signal) {
         recorder_->write(net::now(), "down", {{"server", engine.engine.endpoint.id}});
         engine.running = false;
-        // A crash that was ordered is a kill; an engine that ends by itself is an error of the scenario.
+        // Injected crashes are SIGKILL; an engine that exits by itself is an error of the scenario.
         if (signal == 0 && !ended_)
             on_start_failure("engine " + id + " at " + engine.engine.address, log, status, signal);
     };
     engine.child = std::make_unique<net::ChildProcess>(loop_, on_exit);
     await_ready(*engine.child);
     if (const int code = engine.child->spawn(arguments, log))
-        fail_system("engine " + id + ": " + net::error_text(code));
+        fail_with_system_error("engine " + id + ": " + net::error_text(code));
 }
 
 void Scenario::start_gateway(GatewayProcess& gateway) {
@@ -133,28 +133,28 @@
     gateway.child = std::make_unique<net::ChildProcess>(loop_, on_exit);
     await_ready(*gateway.child);
     if (const int code = gateway.child->spawn(arguments, log))
-        fail_system("gateway " + gateway.address + ": " + net::error_text(code));
+        fail_with_system_error("gateway " + gateway.address + ": " + net::error_text(code));
 }
 
 void Scenario::on_gateway_exit(GatewayProcess& gateway, const std::string& log, int status, int signal) {
-    if (ended_) return;  // killed by end(): no error of its own, and the first error has been noted
-    if (!playing_) return on_start_failure("gateway " + gateway.address, log, status, signal);
+    if (ended_) return;  // killed by end(): not an error, and the first error is already recorded
+    if (!processes_ready_) return on_start_failure("gateway " + gateway.address, log, status, signal);
     const bool failed_to_drain = stopping_ && (status != 0 || signal != 0);
     if (!gateway.exit_expected || failed_to_drain)
-        error_ = "gateway " + gateway.address + " ended with status " + std::to_string(status) + ", signal " +
-                 std::to_string(signal);
+        error_ = "gateway " + gateway.address + " exited with status " + std::to_string(status) +
+                 ", signal " + std::to_string(signal);
     const bool any_running = std::any_of(gateways_.begin(), gateways_.end(),
                                          [](const auto& other) { return other->child->running(); });
     if (stopping_ && !any_running) end();
 }
 
-// A process prints `ready` on its standard output when it listens. Guards against another program on the
-// address, which would answer a connection just as well.
+// A process prints `ready` on its standard output when it listens. A successful connection would not prove
+// that: another program could listen on the address.
 void Scenario::await_ready(net::ChildProcess& process) {
-    if (playing_) return;
-    ++awaited_ready_;
+    if (processes_ready_) return;
+    ++processes_not_ready_;
     process.on_line = [this](const std::string& line) {
-        if (playing_ || line.rfind("ready ", 0) != 0 || --awaited_ready_ > 0) return;
+        if (processes_ready_ || line.rfind("ready ", 0) != 0 || --processes_not_ready_ > 0) return;
         on_processes_ready();
     };
 }
@@ -162,8 +162,8 @@
 void Scenario::on_start_failure(const std::string& name, const std::string& log, int status, int signal) {
     if (!error_.empty()) return;
     const std::string message = last_line(log);
-    fail_system(name + " did not start (" + describe_exit(status, signal) +
-                "): " + (message.empty() ? "see " + log : message));
+    fail_with_system_error(name + " did not start (" + describe_exit(status, signal) +
+                           "): " + (message.empty() ? "see " + log : message));
 }
 
 void Scenario::start_clients() {
@@ -174,13 +174,14 @@
 
 void Scenario::start_client(std::size_t index, const std::string& gateways) {
     clients_.push_back(std::make_unique<net::ChildProcess>(loop_, [this](int status, int signal) {
-        if (status != 0 || signal != 0) error_ = "a client process failed";
+        if (status != 0 || signal != 0)
+            error_ = "client process failed (" + describe_exit(status, signal) + ")";
         if (--running_clients_ == 0) on_clients_done();
     }));
     ++running_clients_;
     const std::string log = options_.out + "/client-" + std::to_string(index) + ".log";
     if (const int code = clients_.back()->spawn(client_arguments(index, gateways), log))
-        error_ = "client: " + net::error_text(code);
+        error_ = "client process: " + net::error_text(code);
 }
 
 std::vector<std::string> Scenario::client_arguments(std::size_t index, const std::string& gateways) const {
--- a/src/fault_scenario/scripted_clients.cpp
+++ b/src/fault_scenario/scripted_clients.cpp
@@ -16,25 +16,27 @@
 
 namespace {
 
-constexpr Millis kStreamTimeout = 60000;  // from the first event of a stream
-constexpr Millis kListenAfterEnd = 50;    // for bytes that must not come
-constexpr Millis kEndedTurnKept = 60;     // longer than that
+constexpr Millis kStreamTimeout = 60000;   // from the first event to the end of a stream
+constexpr Millis kLingerTimeout = 50;      // after the answer, to detect unexpected bytes
+constexpr Millis kEndedTurnLifetime = 60;  // longer than kLingerTimeout, whose timer refers to the turn
 constexpr Millis kDefaultRetryWait = 200;
-constexpr Millis kLongestRetryWait = 5000;
+constexpr Millis kMaxRetryWait = 5000;
 constexpr int kFollowUpTokens = 40;
+constexpr Millis kMaxEarlyDisconnect = 200;     // before the first token
+constexpr int kMaxEventsBeforeDisconnect = 20;  // text events of a stream
 
 struct Message {
     std::string role;
     std::string text;
 };
 
-// Text of so many tokens, the same for the same seed.
-std::string filler(std::uint64_t seed, int tokens) {
+// Deterministic text of about `tokens` tokens, four bytes each.
+std::string generate_text(std::uint64_t seed, int tokens) {
     const auto length = 4 * static_cast<std::size_t>(tokens);
     std::string text;
     for (int i = 0; text.size() < length; ++i) text += fake_engine::token_text(seed, i);
     text.resize(length, '.');
-    // The end may fall into a character of two bytes.
+    // Removes a UTF-8 character that the cut may have split.
     while (!text.empty() && static_cast<unsigned char>(text.back()) >= 0x80) text.pop_back();
     return text;
 }
@@ -43,20 +45,20 @@
 
 struct ScriptedClients::Attempt {
     Turn* turn = nullptr;
-    std::string name;        // in the records
-    std::string request_id;  // as the gateway gave it
-    std::string text;        // of the answer, so far
+    std::string name;        // TURN.ATTEMPT, as in the records
+    std::string request_id;  // from the gateway's request-id header
+    std::string text;        // of the answer so far
     std::unique_ptr<net::TcpStream> stream;
     std::unique_ptr<net::Timer> timer;
     http::Parser parser{http::Parser::Kind::response, {}};
     http::SseReader sse{1 << 20};
-    std::string body;  // of an answer that is no stream
+    std::string body;  // of an answer that is not a stream
     Millis deadline = 0;
     bool has_first_event = false;
     bool ended = false;
-    bool leaves_early = false;
+    bool disconnects_early = false;
     bool connected = false;
-    int leave_after = -1;  // text events; -1: does not leave in the stream
+    int disconnect_after = -1;  // text events; -1: does not disconnect during the stream
     int text_events = 0;
     std::string last_event;  // message_stop or error
 };
@@ -67,15 +69,15 @@
     std::string conversation;
     std::vector<Message> messages;
     std::string system;
-    int number = 0;  // in its conversation
-    int turns = 1;   // of its conversation
+    int number = 0;  // position in its conversation, from 0
+    int turns = 1;   // turns of its conversation
     int attempts = 0;
     double prompt_tokens = 0;
     std::unique_ptr<Attempt> attempt;  // the latest
     std::unique_ptr<net::Timer> timer;
     std::list<std::unique_ptr<Turn>>::iterator self;
 
-    // The seed by which the fake engines generate the answer.
+    // The seed from which the fake engines generate the answer.
     std::uint64_t text_seed() const {
         std::uint64_t chain = 0;
         if (!system.empty()) chain = api::hash(system, chain + api::hash("system"));
@@ -99,15 +101,15 @@
 
 void ScriptedClients::start(std::function<void()> done) {
     done_ = std::move(done);
-    began_ = net::now();
+    started_at_ = net::now();
     arrival_timer_.fire_after(options_.load.from);
 }
 
-// ---- questions ------------------------------------------------------------------------------------------
+// ---- turns ----------------------------------------------------------------------------------------------
 
 void ScriptedClients::next_arrival() {
-    if (net::now() - began_ >= options_.length) {
-        ending_ = true;
+    if (net::now() - started_at_ >= options_.length) {
+        arrivals_ended_ = true;
         return finish_if_done();
     }
     const Load& load = options_.load;
@@ -115,11 +117,11 @@
     turn->conversation = std::to_string(++conversations_);
     turn->turns = std::max(1, load.turns);
     const auto prefix = random_() % static_cast<std::uint64_t>(std::max(1, load.prefixes));
-    if (load.prefix_tokens > 0) turn->system = filler(1000 + prefix, load.prefix_tokens);
+    if (load.prefix_tokens > 0) turn->system = generate_text(1000 + prefix, load.prefix_tokens);
     const int question_tokens = std::max(1, load.prompt_tokens - load.prefix_tokens);
-    turn->messages.push_back({"user", filler(random_(), question_tokens)});
+    turn->messages.push_back({"user", generate_text(random_(), question_tokens)});
     begin_turn(std::move(turn));
-    // per_s counts questions: conversations come as often as their turns allow.
+    // per_s counts requests; a conversation has `turns` of them.
     const double rate = load.per_s / load.turns;
     arrival_timer_.fire_after(-std::log(1 - uniform()) * 1000 / std::max(1e-6, rate));
 }
@@ -128,7 +130,7 @@
     turns_.push_back(std::move(new_turn));
     Turn& turn = *turns_.back();
     turn.self = std::prev(turns_.end());
-    turn.id = std::to_string(++turns_begun_);
+    turn.id = std::to_string(++turns_started_);
     turn.key = "k" + std::to_string(options_.seed) + "-" + turn.id;
     turn.prompt_tokens = turn.system.empty() ? 0 : api::estimate_tokens(turn.system) + 4;
     for (const auto& message : turn.messages) turn.prompt_tokens += api::estimate_tokens(message.text) + 4;
@@ -136,7 +138,7 @@
     start_attempt(turn);
 }
 
-// ---- an attempt -----------------------------------------------------------------------------------------
+// ---- attempts -------------------------------------------------------------------------------------------
 
 void ScriptedClients::start_attempt(Turn& turn) {
     if (turn.attempt) {
@@ -149,20 +151,21 @@
     attempt.name = turn.id + "." + std::to_string(turn.attempts);
     const std::string& gateway = options_.gateways[random_() % options_.gateways.size()];
     attempt.deadline = net::now() + options_.load.patience;
-    const Millis leave_at = choose_leaving(attempt);
+    const Millis disconnect_at = choose_disconnect_time(attempt);
     const std::string request = request_text(turn, gateway);
     record_attempt(attempt, gateway);
     ++turn.attempts;
-    connect(attempt, gateway, request, leave_at > 0 ? leave_at : options_.load.patience + options_.overdue);
+    connect(attempt, gateway, request,
+            disconnect_at > 0 ? disconnect_at : options_.load.patience + options_.overdue);
 }
 
-// Of the impatient clients half leave before the first token, half in the stream. Returns the time after
-// which this one leaves before it, 0 if it does not.
-Millis ScriptedClients::choose_leaving(Attempt& attempt) {
-    attempt.leaves_early = uniform() < options_.load.impatient;
-    if (!attempt.leaves_early) return 0;
-    if (uniform() < 0.5) return uniform() * 200;
-    attempt.leave_after = 1 + static_cast<int>(random_() % 20);
+// Half of the impatient clients disconnect before the first token, half during the stream. Returns the time
+// after which this client disconnects before the first token; 0 if it does not.
+Millis ScriptedClients::choose_disconnect_time(Attempt& attempt) {
+    attempt.disconnects_early = uniform() < options_.load.impatient;
+    if (!attempt.disconnects_early) return 0;
+    if (uniform() < 0.5) return uniform() * kMaxEarlyDisconnect;
+    attempt.disconnect_after = 1 + static_cast<int>(random_() % kMaxEventsBeforeDisconnect);
     return 0;
 }
 
@@ -257,13 +260,13 @@
         const bool has_content =
             response.is_object() && response.contains("content") && !response["content"].empty();
         attempt.text = has_content ? response["content"][0].value("text", "") : "";
-        return record_answer(attempt, "whole", judge_text(*attempt.turn, attempt.text, true));
+        return record_answer(attempt, "whole", check_text(*attempt.turn, attempt.text, true));
     }
-    // The body has ended: the events before it must have said how.
+    // The body is complete: its last event tells whether the answer is complete.
     if (attempt.last_event == "message_stop")
-        return record_answer(attempt, "whole", judge_text(*attempt.turn, attempt.text, true));
+        return record_answer(attempt, "whole", check_text(*attempt.turn, attempt.text, true));
     const std::string ending = attempt.last_event == "error" ? "broken" : "cut";
-    record_answer(attempt, ending, judge_text(*attempt.turn, attempt.text, false));
+    record_answer(attempt, ending, check_text(*attempt.turn, attempt.text, false));
 }
 
 void ScriptedClients::on_event(Attempt& attempt, std::string_view name, std::string_view data) {
@@ -272,7 +275,7 @@
         attempt.has_first_event = true;
         if (const auto* id = http::find(attempt.parser.headers, "request-id")) attempt.request_id = *id;
         recorder_.write(net::now(), "first", {{"c", attempt.name}, {"id", attempt.request_id}});
-        // From here the answer may take as long as it takes, but the stream must have an end.
+        // The deadline applies to the first event only; the rest of the stream has its own timeout.
         attempt.timer->fire_after(kStreamTimeout);
     }
     if (name == "content_block_delta") on_text(attempt, data);
@@ -282,39 +285,40 @@
 void ScriptedClients::on_text(Attempt& attempt, std::string_view data) {
     const Json event = Json::parse(data, nullptr, false);
     if (event.is_object() && event.contains("delta")) attempt.text += event["delta"].value("text", "");
-    if (attempt.leave_after <= 0 || ++attempt.text_events < attempt.leave_after || attempt.ended) return;
+    if (attempt.disconnect_after <= 0 || ++attempt.text_events < attempt.disconnect_after || attempt.ended)
+        return;
     recorder_.write(net::now(), "gone", {{"c", attempt.name}});
     close(attempt);
     end_turn(*attempt.turn, false);
 }
 
-// Compares a text with the one that the fake engines generate; of one that is not complete, the beginning.
-std::string ScriptedClients::judge_text(const Turn& turn, const std::string& text, bool is_complete) const {
+// Compares the text with the one that the fake engines generate. Text that is not complete must be a prefix.
+std::string ScriptedClients::check_text(const Turn& turn, const std::string& text, bool is_complete) const {
     const std::uint64_t seed = turn.text_seed();
     const int tokens =
         std::min(options_.load.max_tokens, fake_engine::answer_length(seed, options_.load.usual_answer));
     std::string expected;
     for (int i = 0; i < tokens; ++i) expected += fake_engine::token_text(seed, i);
-    const bool is_right = is_complete ? text == expected : expected.rfind(text, 0) == 0;
-    return is_right ? "right" : "wrong";
+    const bool matches = is_complete ? text == expected : expected.rfind(text, 0) == 0;
+    return matches ? "right" : "wrong";
 }
 
-// ---- the end of an attempt and of a turn ----------------------------------------------------------------
+// ---- end of attempts and turns --------------------------------------------------------------------------
 
 void ScriptedClients::record_answer(Attempt& attempt, const std::string& ending,
-                                    const std::string& text_verdict) {
+                                    const std::string& text_result) {
     if (attempt.ended) return;
     const int status = attempt.parser.status;
     Json fields = {{"c", attempt.name}, {"id", attempt.request_id}, {"status", status}, {"ending", ending}};
-    if (!text_verdict.empty()) fields["text"] = text_verdict;
+    if (!text_result.empty()) fields["text"] = text_result;
     recorder_.write(net::now(), "answer", std::move(fields));
     const auto* should_retry = http::find(attempt.parser.headers, "x-should-retry");
     const bool may_retry = should_retry && *should_retry == "true";
     Millis wait = kDefaultRetryWait;
     if (const auto* advised = http::find(attempt.parser.headers, "retry-after-ms"))
-        wait = std::min(kLongestRetryWait, std::atof(advised->c_str()));
+        wait = std::min(kMaxRetryWait, std::atof(advised->c_str()));
     attempt.ended = true;
-    attempt.timer->fire_after(kListenAfterEnd);
+    attempt.timer->fire_after(kLingerTimeout);
     Turn& turn = *attempt.turn;
     if (status == 200 && ending == "whole") return end_turn(turn, true);
     if (may_retry && turn.attempts <= options_.load.retries) return retry_after(turn, wait);
@@ -327,7 +331,7 @@
 
 void ScriptedClients::on_connection_end(Attempt& attempt) {
     if (attempt.ended) return close(attempt);
-    // The end of the connection may complete the response.
+    // A response without a content length ends with the connection.
     if (attempt.connected) attempt.parser.finish();
     if (attempt.ended) return;
     recorder_.write(net::now(), "lost", {{"c", attempt.name}, {"id", attempt.request_id}});
@@ -339,8 +343,9 @@
 
 void ScriptedClients::on_timeout(Attempt& attempt) {
     if (attempt.ended) return close(attempt);
-    const bool has_left = attempt.leaves_early && !attempt.has_first_event && net::now() < attempt.deadline;
-    const char* outcome = has_left ? "gone" : "overdue";
+    const bool disconnected =
+        attempt.disconnects_early && !attempt.has_first_event && net::now() < attempt.deadline;
+    const char* outcome = disconnected ? "gone" : "overdue";
     recorder_.write(net::now(), attempt.connected ? outcome : "lost", {{"c", attempt.name}});
     close(attempt);
     end_turn(*attempt.turn, false);
@@ -354,15 +359,15 @@
 
 void ScriptedClients::retry_after(Turn& turn, Millis wait) { turn.timer->fire_after(wait + 30 * uniform()); }
 
-// `go_on`: the conversation's next question follows, if it has one.
-void ScriptedClients::end_turn(Turn& turn, bool go_on) {
-    const bool has_next = turn.number + 1 < turn.turns && net::now() - began_ < options_.length;
-    if (go_on && has_next) return begin_next_turn(turn);
+// `continue_conversation`: starts the next turn of the conversation, if there is one.
+void ScriptedClients::end_turn(Turn& turn, bool continue_conversation) {
+    const bool has_next = turn.number + 1 < turn.turns && net::now() - started_at_ < options_.length;
+    if (continue_conversation && has_next) return begin_next_turn(turn);
     turn.timer = std::make_unique<net::Timer>(loop_, [this, &turn] {
         discard(turn);
         finish_if_done();
     });
-    turn.timer->fire_after(kEndedTurnKept);
+    turn.timer->fire_after(kEndedTurnLifetime);
 }
 
 void ScriptedClients::begin_next_turn(Turn& turn) {
@@ -371,11 +376,11 @@
     next->system = turn.system;
     next->messages = turn.messages;
     next->messages.push_back({"assistant", turn.attempt->text});
-    next->messages.push_back({"user", filler(random_(), kFollowUpTokens)});
+    next->messages.push_back({"user", generate_text(random_(), kFollowUpTokens)});
     next->number = turn.number + 1;
     next->turns = turn.turns;
     const Millis think = options_.load.think * (0.5 + uniform());
-    // The next turn waits in this one's timer; a std::function must be copyable, so it is shared.
+    // This turn's timer owns the next turn. A std::function must be copyable, hence the shared_ptr.
     const auto waiting = std::make_shared<std::unique_ptr<Turn>>(std::move(next));
     turn.timer = std::make_unique<net::Timer>(loop_, [this, waiting, &turn] {
         discard(turn);
@@ -391,7 +396,7 @@
 }
 
 void ScriptedClients::finish_if_done() {
-    if (ending_ && turns_.empty() && done_) std::exchange(done_, nullptr)();
+    if (arrivals_ended_ && turns_.empty() && done_) std::exchange(done_, nullptr)();
 }
 
 }  // namespace gorsenotch::fault_scenario
