--- a/src/invariants/checks.h
+++ b/src/invariants/checks.h
@@ -1,4 +1,4 @@
-// The checks of invariants, each a function from the records to a finding. Pure.
+// The checks of the invariants: each is a pure function from the indexed records to a finding.
 #pragma once
 
 #include <string>
@@ -20,13 +20,14 @@
 // slow_start_check.cpp
 Finding check_slow_start(const RecordIndex& index);
 // held_state_check.cpp
-Finding check_held_states(const RecordIndex& index);
+Finding check_leased_states(const RecordIndex& index);
 
-// ---- shared by the checks ----
+// ---- helpers of the checks ----
 Finding make_finding(const char* rule, const char* what);
-// Counts a violation; the first one's text is kept. It begins with the name of a request or a client.
+// Counts a violation and stores the text of the first one, which must begin with the name of a request or a
+// client.
 void add_violation(Finding& finding, const std::string& example);
-// File, line and time of a record.
-std::string place(const Record* record);
+// The file, line and time of a record as text; empty for null.
+std::string record_location(const Record* record);
 
 }  // namespace gorsenotch::invariants
--- a/src/invariants/client_checks.cpp
+++ b/src/invariants/client_checks.cpp
@@ -1,18 +1,20 @@
-// Invariant 1: no request is lost, nothing comes after its end, and its text is the engine's.
+// Invariant 1: each request has one final answer in time, nothing follows it, and its text is the engine's.
 #include "invariants/checks.h"
 
 namespace gorsenotch::invariants {
 namespace {
 
-// What is wrong with how the client's request ended; empty: nothing.
-std::string wrong_ending(const RecordIndex& index, const ClientRequest& client, Millis late_by, bool late) {
+// The violation in how the client's request ended; empty if there is none.
+std::string ending_violation(const RecordIndex& index, const ClientRequest& client, Millis late_by_ms,
+                             bool late) {
     if (client.answers > 1) return std::to_string(client.answers) + " final answers";
-    if (client.lost && !index.killed(client.gateway, client.at, client.ended))
-        return "the connection broke without an answer, and its gateway lives";
-    if (client.overdue) return "no answer by the deadline";
-    if (late) return "answered " + std::to_string(late_by) + " ms after the deadline";
-    const bool ended = client.answers > 0 || client.gone || client.lost;
-    if (!ended && !index.killed(client.gateway, client.at, kNever)) return "never ended";
+    if (client.connection_lost && !index.gateway_killed(client.gateway, client.started_at, client.ended_at))
+        return "the connection closed without an answer from a live gateway";
+    if (client.timed_out) return "no answer by the deadline";
+    if (late) return "answered " + std::to_string(late_by_ms) + " ms after the deadline";
+    const bool has_ended = client.answers > 0 || client.disconnected || client.connection_lost;
+    if (!has_ended && !index.gateway_killed(client.gateway, client.started_at, kNever))
+        return "no answer, disconnect or connection loss recorded";
     return "";
 }
 
@@ -20,24 +22,26 @@
 
 Finding check_answered(const RecordIndex& index) {
     const CheckerSettings& settings = index.settings();
-    Finding finding = make_finding("1 no request lost", "each ask has one final answer in time");
+    Finding finding = make_finding("1 no request lost", "each request has one final answer in time");
     for (const auto& [name, client] : index.clients()) {
         if (!client.record) continue;
         ++finding.cases;
-        const Millis answered = client.stream && client.first >= 0 ? client.first : client.answered;
+        const Millis answered_at =
+            client.stream && client.first_token_at >= 0 ? client.first_token_at : client.answered_at;
         const Millis due = client.deadline + settings.answer_slack;
-        const bool late = client.answers == 1 && answered > due + settings.notice;
-        const Interval* stop = index.stop_at(client.gateway, due);
-        const bool in_time_after_stop =
-            stop && (client.overdue || answered <= stop->to + settings.recover + settings.notice);
-        if (in_time_after_stop && client.answers <= 1 && (client.overdue || late)) {
+        const bool late = client.answers == 1 && answered_at > due + settings.record_delay;
+        const Interval* suspension = index.suspension_at(client.gateway, due);
+        const bool in_time_after_suspension =
+            suspension && (client.timed_out || answered_at <= suspension->to + settings.suspension_recovery +
+                                                                  settings.record_delay);
+        if (in_time_after_suspension && client.answers <= 1 && (client.timed_out || late)) {
             ++finding.excused;
             continue;
         }
-        const std::string wrong = wrong_ending(index, client, answered - client.deadline, late);
-        if (wrong.empty()) continue;
+        const std::string violation = ending_violation(index, client, answered_at - client.deadline, late);
+        if (violation.empty()) continue;
         std::string example = name;
-        example.append(" (").append(place(client.record)).append("): ").append(wrong);
+        example.append(" (").append(record_location(client.record)).append("): ").append(violation);
         add_violation(finding, example);
     }
     return finding;
@@ -48,22 +52,24 @@
         make_finding("1 no request lost", "nothing is sent after the final answer or the deadline");
     std::map<std::string, const ClientRequest*> answered;
     for (const auto& [name, client] : index.clients()) {
-        if (client.after) add_violation(finding, name + ": bytes after the final answer");
+        if (client.unexpected_bytes) add_violation(finding, name + ": bytes after the final answer");
         if (client.answers > 0 && !client.request.empty()) answered[client.request] = &client;
     }
-    const Millis notice = index.settings().notice;
+    const Millis record_delay = index.settings().record_delay;
     for (const auto& [request, attempts] : index.attempts()) {
         const auto it = answered.find(request);
         if (it == answered.end()) continue;
         const ClientRequest& client = *it->second;
         for (const EngineAttempt& attempt : attempts) {
             ++finding.cases;
-            if (attempt.open.from > client.deadline + notice)
-                add_violation(finding, request + ": its client left at " + std::to_string(client.deadline) +
-                                           ", sent " + place(attempt.received));
-            if (attempt.open.from > client.answered + notice)
-                add_violation(finding, request + ": answered " + place(client.record) + ", sent " +
-                                           place(attempt.received));
+            if (attempt.open.from > client.deadline + record_delay)
+                add_violation(finding, request + ": sent after the client's deadline " +
+                                           std::to_string(client.deadline) + ", " +
+                                           record_location(attempt.received));
+            if (attempt.open.from > client.answered_at + record_delay)
+                add_violation(finding, request + ": sent after the final answer; request " +
+                                           record_location(client.record) + ", attempt " +
+                                           record_location(attempt.received));
         }
     }
     return finding;
@@ -71,13 +77,13 @@
 
 Finding check_text(const RecordIndex& index) {
     Finding finding =
-        make_finding("1 no request lost", "the text that came is the engine's, whole or its beginning");
+        make_finding("1 no request lost", "received text is the engine's text or a prefix of it");
     for (const auto& [name, client] : index.clients()) {
         if (client.text.empty()) continue;
         ++finding.cases;
         if (client.text == "wrong")
-            add_violation(finding,
-                          name + " (" + place(client.record) + "): other text than the engine wrote");
+            add_violation(finding, name + " (" + record_location(client.record) +
+                                       "): text differs from the engine's text");
     }
     return finding;
 }
--- a/src/invariants/execution_checks.cpp
+++ b/src/invariants/execution_checks.cpp
@@ -1,4 +1,4 @@
-// Invariant 2: no effect happens twice.
+// Invariant 2: no request has its side effect twice.
 #include <algorithm>
 #include <cstdlib>
 
@@ -12,11 +12,11 @@
     const EngineAttempt* last = nullptr;
 };
 
-// By key, engines that remember it drop the repeat; without one each run has its effect.
-Runs count_runs(const std::vector<EngineAttempt>& attempts, bool keyed) {
+// With an idempotency key, a duplicate run has no effect; without one, each run has its effect.
+Runs count_runs(const std::vector<EngineAttempt>& attempts, bool has_key) {
     Runs runs;
     for (const EngineAttempt& attempt : attempts) {
-        if (keyed ? attempt.first_run : attempt.ran) ++runs.count;
+        if (has_key ? attempt.first_run : attempt.ran) ++runs.count;
         if (attempt.ran) runs.last = &attempt;
     }
     return runs;
@@ -37,28 +37,28 @@
             attempts.empty() ? nullptr : index.class_settings(attempts[0].received->text("cls"));
         if (!cls || cls->idempotency == Idempotency::idempotent) continue;
         ++finding.cases;
-        const bool keyed =
+        const bool has_key =
             cls->idempotency == Idempotency::with_key && !attempts[0].received->text("key").empty();
-        const Runs runs = count_runs(attempts, keyed);
+        const Runs runs = count_runs(attempts, has_key);
         if (runs.count > 1)
             add_violation(finding, request + ": run " + std::to_string(runs.count) + " times, last " +
-                                       place(runs.last->received));
+                                       record_location(runs.last->received));
         const auto client = clients.find(request);
         const bool refused = client != clients.end() && client->second->status == 529;
-        if (refused && runs.last && !(keyed && cls->dedup_scope == DedupScope::all))
-            add_violation(finding, request + ": told that a repeat is harmless, but it ran " +
-                                       place(runs.last->received));
+        if (refused && runs.last && !(has_key && cls->dedup_scope == DedupScope::all))
+            add_violation(finding, request + ": status 529 (safe to retry), but it ran " +
+                                       record_location(runs.last->received));
     }
     return finding;
 }
 
 Finding check_no_overlap(const RecordIndex& index) {
-    Finding finding = make_finding("2 no effect twice", "never two attempts of a request at once");
-    const Millis notice = index.settings().notice;
+    Finding finding = make_finding("2 no effect twice", "no two attempts of a request overlap");
+    const Millis record_delay = index.settings().record_delay;
     for (const auto& [request, attempts] : index.attempts()) {
         ++finding.cases;
-        // In the order in which they were sent: one that was closed as the next was sent may be seen after
-        // it, as the records are two processes'.
+        // In the order in which they were sent, which may differ from the order of the records: one engine
+        // may record the end of an attempt after another engine has recorded the start of the next one.
         std::vector<const EngineAttempt*> sent;
         for (const EngineAttempt& attempt : attempts) sent.push_back(&attempt);
         std::sort(sent.begin(), sent.end(), [](const EngineAttempt* left, const EngineAttempt* right) {
@@ -68,12 +68,12 @@
             for (std::size_t k = 0; k < i; ++k) {
                 const EngineAttempt& before = *sent[k];
                 const Millis next_from = sent[i]->open.from;
-                // An engine that was cut off or stood still learns late that nobody waits any more.
-                if (before.open.to <= next_from + notice ||
-                    index.in_trouble(before.server, before.open.from, next_from))
+                // An engine with an injected fault may detect the closed connection late.
+                if (before.open.to <= next_from + record_delay ||
+                    index.has_server_fault(before.server, before.open.from, next_from))
                     continue;
-                add_violation(finding, request + ": " + place(before.received) + " still out when " +
-                                           place(sent[i]->received));
+                add_violation(finding, request + ": " + record_location(before.received) +
+                                           " still in flight at " + record_location(sent[i]->received));
             }
         }
     }
--- a/src/invariants/record.cpp
+++ b/src/invariants/record.cpp
@@ -11,8 +11,8 @@
 
 namespace gorsenotch::invariants {
 
-Recorder::Recorder(const std::string& file) : off_(file.empty()) {
-    if (!off_) fd_ = ::open(file.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+Recorder::Recorder(const std::string& file) : disabled_(file.empty()) {
+    if (!disabled_) fd_ = ::open(file.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
 }
 
 Recorder::~Recorder() {
@@ -50,7 +50,9 @@
     const Json& fields = record.fields;
     const bool valid = fields.is_object() && fields.contains("t") && fields["t"].is_number() &&
                        fields.contains("e") && fields["e"].is_string();
-    if (!valid) throw std::runtime_error(file + ":" + std::to_string(line_number) + ": not a record");
+    if (!valid)
+        throw std::runtime_error(file + ":" + std::to_string(line_number) +
+                                 ": expected a JSON object with a number t and a string e");
     record.t = fields["t"];
     record.event = fields["e"];
     record.line = line_number;
@@ -59,7 +61,7 @@
 
 void read_file(const std::string& file, std::vector<Record>& records) {
     std::ifstream in(file, std::ios::binary);
-    if (!in) throw std::runtime_error(file + ": can't be read");
+    if (!in) throw std::runtime_error(file + ": cannot be opened");
     const std::string source = std::filesystem::path(file).stem().string();
     std::size_t line_number = 0;
     for (std::string line; std::getline(in, line);) {
--- a/src/invariants/record_checker.cpp
+++ b/src/invariants/record_checker.cpp
@@ -11,9 +11,9 @@
 namespace gorsenotch::invariants {
 namespace {
 
-constexpr std::size_t kMaxTrace = 20;  // records of an example
+constexpr std::size_t kMaxTraceRecords = 20;
 
-// The request that an example speaks of, whose subject is a request, an attempt or a client; empty: none.
+// The request id of a subject, which is a request, an attempt or a client; empty if it has none.
 std::string request_in(const RecordIndex& index, const std::string& subject) {
     const auto client = index.clients().find(subject);
     if (client != index.clients().end()) return client->second.request;
@@ -21,7 +21,7 @@
     return is_request ? subject.substr(0, subject.find('.')) : "";
 }
 
-// Whether a client's record, or an engine's, is about the subject or the request.
+// True if the record belongs to the subject or its request.
 bool is_about(const RecordIndex& index, const Record& record, const std::string& subject,
               const std::string& request) {
     if (!request.empty() && record.text("id").rfind(request, 0) == 0) return true;
@@ -33,15 +33,15 @@
     return !request.empty() && client != index.clients().end() && client->second.request == request;
 }
 
-// Adds the records of the finding's example.
+// Adds the records of the finding's first violation.
 void add_trace(const RecordIndex& index, Finding& finding) {
     const std::string subject = finding.example.substr(0, finding.example.find_first_of(" :"));
     if (subject.empty()) return;
     const std::string request = request_in(index, subject);
     for (const Record& record : index.records()) {
-        if (finding.trace.size() >= kMaxTrace) return;
+        if (finding.trace.size() >= kMaxTraceRecords) return;
         if (is_about(index, record, subject, request))
-            finding.trace.push_back(place(&record) + " " + record.fields.dump());
+            finding.trace.push_back(record_location(&record) + " " + record.fields.dump());
     }
 }
 
@@ -58,7 +58,7 @@
     if (finding.broken++ == 0) finding.example = example;
 }
 
-std::string place(const Record* record) {
+std::string record_location(const Record* record) {
     if (!record) return "";
     std::array<char, 32> time{};
     std::snprintf(time.data(), time.size(), "%.1f", record->t);
@@ -70,12 +70,12 @@
                        [](const Finding& finding) { return finding.broken == 0; });
 }
 
-Verdict check_records(const std::vector<Record>& records, const CheckerSettings& terms) {
-    const RecordIndex index(records, terms);
+Verdict check_records(const std::vector<Record>& records, const CheckerSettings& settings) {
+    const RecordIndex index(records, settings);
     Verdict verdict;
     verdict.findings = {check_answered(index),   check_nothing_after(index), check_text(index),
                         check_runs_once(index),  check_no_overlap(index),    check_drains(index),
-                        check_slow_start(index), check_held_states(index)};
+                        check_slow_start(index), check_leased_states(index)};
     verdict.service = summarize_service(index);
     for (Finding& finding : verdict.findings) add_trace(index, finding);
     return verdict;
--- a/src/invariants/record_checker.h
+++ b/src/invariants/record_checker.h
@@ -1,6 +1,6 @@
-// Judges the five invariants from the records of clients' and engines' sockets and of the scenario's runner,
-// never from what a gateway says of itself. Pure. The checks are in checks.h, their view of the records in
-// record_index.h.
+// Checks the five invariants against the records of engines, clients and the scenario's runner. Logs and
+// status of the gateways under test are not used. No I/O. The checks are declared in checks.h, their view of
+// the records in record_index.h.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace gorsenotch::invariants {
 
-// Limits that the invariants are judged by; times are ms.
+// Limits of the invariants.
 struct CheckerSettings {
     std::vector<std::string> classes;           // names, as in the records
     std::vector<ClassSettings> class_settings;  // by class
@@ -20,48 +20,52 @@
     Millis release_within = 1000;
     Millis overload_window = 2000;
     double overload_factor = 2.5;
-    // What passes between a cause and its record in another process, on one machine; added to each limit.
-    Millis notice = 60;
-    // After a standstill that the runner made (a stopped process), a gateway is as before within this time.
-    Millis recover = 1000;
+    // Time from an event to its record in another process on the same machine; added to each limit.
+    Millis record_delay = 60;
+    // Within this time after the end of a suspension by the runner (SIGSTOP), a gateway must work normally
+    // again.
+    Millis suspension_recovery = 1000;
 };
 
 // The result of one check.
 struct Finding {
-    std::string rule;  // the invariant, with its number
-    std::string what;  // e.g. "answered once"
+    std::string rule;  // the invariant, with its number; equal for all its checks
+    std::string what;  // the property that this check verifies
     long cases = 0;
     long broken = 0;
-    long excused = 0;     // late only because the runner had killed or stopped the gateway that owed it
-    std::string example;  // of the first violation: what was seen, with the records' places
-    std::vector<std::string> trace;  // the records that speak of it, by time, at most 20
+    long excused = 0;  // late only because the runner had killed or suspended the responsible gateway or cut
+                       // off the engine
+    std::string example;             // the first violation, with the locations of its records
+    std::vector<std::string> trace;  // the records of the first violation by time, at most 20
 };
 
-// What clients were served.
+// How clients were served.
 struct Service {
     long asked = 0, answered = 0, refused = 0, failed = 0, client_disconnected = 0;
-    // The connection broke without an answer: because the runner had killed its gateway, which then owes
-    // nothing (the client's to retry), or with the gateway alive, which breaks rule 1.
-    long lost_killed = 0, lost = 0;
-    // Attempts that were out while their gateway stood still, and others begun within
-    // CheckerSettings::recover after, at engines without a trouble of their own and for clients that still
-    // waited; those that the gateway cut.
-    long attempts_during_stall = 0, cut_during_stall = 0, attempts_after_stall = 0, cut_after_stall = 0;
-    double value = 0;  // earned over asked, retries counted with their first try; 0 to 1
+    // Connections that closed without an answer: after the runner had killed the gateway (no violation; the
+    // client must retry), or with a live gateway (a violation of invariant 1).
+    long lost_with_killed_gateway = 0, lost_with_live_gateway = 0;
+    // Attempts in flight while their gateway was suspended, and attempts sent within
+    // CheckerSettings::suspension_recovery afterwards. Counted only at engines without an injected fault and
+    // for clients that still waited. `cancelled_...`: those that the gateway cancelled.
+    long attempts_during_suspension = 0, cancelled_during_suspension = 0, attempts_after_suspension = 0,
+         cancelled_after_suspension = 0;
+    double value = 0;  // value earned / value requested, 0 to 1; a request and its retries count once
     std::vector<std::pair<std::string, double>> by_class;
-    double p50 = 0, p99 = 0, p999 = 0;  // ms to the first token or whole answer, of those served
+    double p50 = 0, p99 = 0,
+           p999 = 0;  // ms to the first token, or to the answer without a stream; served requests only
 };
 
-// All findings of a run, and how well clients were served.
+// The findings of all checks and the service summary of a run.
 struct Verdict {
     std::vector<Finding> findings;
     Service service;
-    // Whether no invariant is broken.
+    // True if there is no violation.
     bool kept() const;
 };
 
-Verdict check_records(const std::vector<Record>& records, const CheckerSettings& terms);
-// As a table, with the records of each first violation.
+Verdict check_records(const std::vector<Record>& records, const CheckerSettings& settings);
+// The verdict as a table, with the records of each first violation.
 std::string format_verdict(const Verdict& verdict);
 
 }  // namespace gorsenotch::invariants
--- a/src/invariants/record_index.cpp
+++ b/src/invariants/record_index.cpp
@@ -5,8 +5,8 @@
 namespace gorsenotch::invariants {
 namespace {
 
-constexpr std::size_t kProcessPrefix = 20;  // "req_" and 16 digits, which name a gateway's process
-constexpr Millis kKillNearby = 10000;
+constexpr std::size_t kProcessPrefix = 20;  // "req_" and 16 hex digits that identify a gateway process
+constexpr Millis kKillProximity = 10000;
 
 std::string process_of(const std::string& request) { return request.substr(0, kProcessPrefix); }
 
@@ -26,7 +26,7 @@
     }
 }
 
-// False if the record is no engine's.
+// False if the record was not written by an engine.
 bool RecordIndex::add_engine_record(const Record& record) {
     const std::string& event = record.event;
     if (event == "recv") {
@@ -36,9 +36,9 @@
     } else if (event == "end" || event == "left") {
         on_attempt_ended(record);
     } else if (event == "held") {
-        on_held(record);
+        on_lease_started(record);
     } else if (event == "taken" || event == "let_go" || event == "lease") {
-        on_held_ended(record);
+        on_lease_ended(record);
     } else if (event == "up") {
         starts_[server_of(record)].push_back(&record);
     } else {
@@ -47,7 +47,7 @@
     return true;
 }
 
-// False if the record is not the runner's.
+// False if the record was not written by the runner.
 bool RecordIndex::add_runner_record(const Record& record) {
     const std::string& event = record.event;
     if (event == "down") {
@@ -57,9 +57,9 @@
     } else if (event == "kill_gateway") {
         kills_[record.text("gateway")].push_back(interval_of(record));
     } else if (event == "stop_gateway") {
-        stops_[record.text("gateway")].push_back(interval_of(record));
+        suspensions_[record.text("gateway")].push_back(interval_of(record));
     } else if (event == "trouble") {
-        troubles_[server_of(record)].push_back(interval_of(record));
+        server_faults_[server_of(record)].push_back(interval_of(record));
     } else {
         return false;
     }
@@ -74,33 +74,33 @@
         client.cls = record.text("cls");
         client.turn = record.source + "/" + record.text("turn");
         client.gateway = record.text("gateway");
-        client.at = record.t;
+        client.started_at = record.t;
         client.deadline = record.number("deadline");
         client.stream = record.number("stream") > 0;
     } else if (event == "first") {
-        client.first = record.t;
+        client.first_token_at = record.t;
         client.request = record.text("id");
     } else if (event == "answer") {
         ++client.answers;
-        client.answered = record.t;
-        client.ended = record.t;
+        client.answered_at = record.t;
+        client.ended_at = record.t;
         client.status = static_cast<int>(record.number("status"));
         client.request = record.text("id");
         client.ending = record.text("ending");
         client.text = record.text("text");
     } else if (event == "gone") {
-        client.gone = true;
-        client.ended = record.t;
+        client.disconnected = true;
+        client.ended_at = record.t;
     } else if (event == "lost") {
-        client.lost = true;
-        client.ended = record.t;
+        client.connection_lost = true;
+        client.ended_at = record.t;
     } else if (event == "overdue") {
-        client.overdue = true;
-        client.ended = record.t;
+        client.timed_out = true;
+        client.ended_at = record.t;
     } else if (event == "after") {
-        client.after = true;
+        client.unexpected_bytes = true;
     }
-    if (!client.request.empty()) gateway_of_process_[process_of(client.request)] = client.gateway;
+    if (!client.request.empty()) gateway_by_process_[process_of(client.request)] = client.gateway;
 }
 
 void RecordIndex::on_received(const Record& record) {
@@ -111,7 +111,7 @@
     attempt.server = server_of(record);
     attempt.open.from = record.t;
     attempts.push_back(attempt);
-    attempt_positions_[id] = {request_of(id), attempts.size() - 1};
+    attempt_locations_[id] = {request_of(id), attempts.size() - 1};
 }
 
 void RecordIndex::on_run(const Record& record) {
@@ -128,24 +128,24 @@
     attempt->open.to = std::min(attempt->open.to, record.t);
 }
 
-void RecordIndex::on_held(const Record& record) {
+void RecordIndex::on_lease_started(const Record& record) {
     const std::string id = record.text("id");
-    open_held_[{server_of(record), id}] = held_states_.size();
-    held_states_.push_back({id, server_of(record), &record, {record.t, kNever}});
+    open_leases_[{server_of(record), id}] = leased_states_.size();
+    leased_states_.push_back({id, server_of(record), &record, {record.t, kNever}});
 }
 
-void RecordIndex::on_held_ended(const Record& record) {
-    const auto it = open_held_.find({server_of(record), record.text("id")});
-    if (it == open_held_.end()) return;
-    held_states_[it->second].held.to = record.t;
-    open_held_.erase(it);
+void RecordIndex::on_lease_ended(const Record& record) {
+    const auto it = open_leases_.find({server_of(record), record.text("id")});
+    if (it == open_leases_.end()) return;
+    leased_states_[it->second].leased.to = record.t;
+    open_leases_.erase(it);
 }
 
 void RecordIndex::on_server_down(const Record& record) {
     const long server = server_of(record);
-    std::erase_if(open_held_, [&](const auto& entry) {
+    std::erase_if(open_leases_, [&](const auto& entry) {
         if (entry.first.server != server) return false;
-        held_states_[entry.second].held.to = record.t;
+        leased_states_[entry.second].leased.to = record.t;
         return true;
     });
     for (auto& [request, attempts] : attempts_) {
@@ -158,13 +158,13 @@
 }
 
 EngineAttempt* RecordIndex::find_attempt(const std::string& id) {
-    const auto it = attempt_positions_.find(id);
-    return it == attempt_positions_.end() ? nullptr : &attempts_[it->second.request][it->second.index];
+    const auto it = attempt_locations_.find(id);
+    return it == attempt_locations_.end() ? nullptr : &attempts_[it->second.request][it->second.index];
 }
 
 const EngineAttempt* RecordIndex::attempt(const std::string& id) const {
-    const auto it = attempt_positions_.find(id);
-    return it == attempt_positions_.end() ? nullptr : &attempts_of(it->second.request)[it->second.index];
+    const auto it = attempt_locations_.find(id);
+    return it == attempt_locations_.end() ? nullptr : &attempts_of(it->second.request)[it->second.index];
 }
 
 const std::vector<EngineAttempt>& RecordIndex::attempts_of(const std::string& request) const {
@@ -189,53 +189,54 @@
 }
 
 const std::string* RecordIndex::gateway_of(const std::string& request) const {
-    const auto it = gateway_of_process_.find(process_of(request));
-    return it == gateway_of_process_.end() ? nullptr : &it->second;
+    const auto it = gateway_by_process_.find(process_of(request));
+    return it == gateway_by_process_.end() ? nullptr : &it->second;
 }
 
-bool RecordIndex::killed(const std::string& gateway, Millis from, Millis to) const {
+bool RecordIndex::gateway_killed(const std::string& gateway, Millis from, Millis to) const {
     const auto it = kills_.find(gateway);
     if (it == kills_.end()) return false;
     return std::any_of(it->second.begin(), it->second.end(), [&](const Interval& kill) {
-        return kill.from <= to + settings_.notice && from <= kill.to + settings_.notice;
+        return kill.from <= to + settings_.record_delay && from <= kill.to + settings_.record_delay;
     });
 }
 
-bool RecordIndex::any_killed_near(Millis at) const {
+bool RecordIndex::any_gateway_killed_near(Millis at) const {
     for (const auto& [gateway, kills] : kills_) {
         for (const Interval& kill : kills) {
-            if (kill.from >= at - kKillNearby && kill.from <= at + kKillNearby) return true;
+            if (kill.from >= at - kKillProximity && kill.from <= at + kKillProximity) return true;
         }
     }
     return false;
 }
 
-const std::vector<Interval>& RecordIndex::stops(const std::string& gateway) const {
+const std::vector<Interval>& RecordIndex::suspensions(const std::string& gateway) const {
     static const std::vector<Interval> none;
-    const auto it = stops_.find(gateway);
-    return it == stops_.end() ? none : it->second;
+    const auto it = suspensions_.find(gateway);
+    return it == suspensions_.end() ? none : it->second;
 }
 
-const Interval* RecordIndex::stop_at(const std::string& gateway, Millis at) const {
-    for (const Interval& stop : stops(gateway)) {
-        if (stop.from <= at + settings_.notice && at <= stop.to + settings_.recover + settings_.notice)
-            return &stop;
+const Interval* RecordIndex::suspension_at(const std::string& gateway, Millis at) const {
+    for (const Interval& suspension : suspensions(gateway)) {
+        if (suspension.from <= at + settings_.record_delay &&
+            at <= suspension.to + settings_.suspension_recovery + settings_.record_delay)
+            return &suspension;
     }
     return nullptr;
 }
 
-Millis RecordIndex::stopped_for(const std::string& gateway, Millis from, Millis to) const {
+Millis RecordIndex::suspended_time(const std::string& gateway, Millis from, Millis to) const {
     Millis sum = 0;
-    for (const Interval& stop : stops(gateway))
-        sum += std::max(0.0, std::min(to, stop.to) - std::max(from, stop.from));
+    for (const Interval& suspension : suspensions(gateway))
+        sum += std::max(0.0, std::min(to, suspension.to) - std::max(from, suspension.from));
     return sum;
 }
 
-bool RecordIndex::in_trouble(long server, Millis from, Millis to) const {
-    const auto it = troubles_.find(server);
-    if (it == troubles_.end()) return false;
-    return std::any_of(it->second.begin(), it->second.end(), [&](const Interval& trouble) {
-        return trouble.from <= to + settings_.notice && from <= trouble.to + settings_.notice;
+bool RecordIndex::has_server_fault(long server, Millis from, Millis to) const {
+    const auto it = server_faults_.find(server);
+    if (it == server_faults_.end()) return false;
+    return std::any_of(it->second.begin(), it->second.end(), [&](const Interval& fault) {
+        return fault.from <= to + settings_.record_delay && from <= fault.to + settings_.record_delay;
     });
 }
 
--- a/src/invariants/service_summary.cpp
+++ b/src/invariants/service_summary.cpp
@@ -11,14 +11,14 @@
 
 constexpr int kOk = 200;
 constexpr int kOverloaded = 529;
-constexpr Millis kLongestWait = 1e6;  // of an attempt without an end
+constexpr Millis kMaxAttemptDuration = 1e6;  // limits attempts without a recorded end
 
-// A request with its retries, which are valued together.
+// A request and its retries, whose value counts once.
 struct Turn {
     double possible = 0;
     double earned = 0;
     std::string cls;
-    Millis began = kNever;
+    Millis started_at = kNever;
 };
 using Turns = std::map<std::string, Turn>;
 
@@ -27,15 +27,15 @@
 }
 
 Millis first_byte_at(const ClientRequest& client) {
-    return client.first >= 0 ? client.first : client.answered;
+    return client.first_token_at >= 0 ? client.first_token_at : client.answered_at;
 }
 
 void count_outcome(const RecordIndex& index, const ClientRequest& client, Service& service) {
     ++service.asked;
-    if (client.gone) ++service.client_disconnected;
-    if (client.lost) {
-        const bool killed = index.killed(client.gateway, client.at, client.ended);
-        ++(killed ? service.lost_killed : service.lost);
+    if (client.disconnected) ++service.client_disconnected;
+    if (client.connection_lost) {
+        const bool killed = index.gateway_killed(client.gateway, client.started_at, client.ended_at);
+        ++(killed ? service.lost_with_killed_gateway : service.lost_with_live_gateway);
     }
     if (client.answers != 1) return;
     if (is_served(client)) {
@@ -50,15 +50,15 @@
 void begin_turn(Turn& turn, const ClientRequest& client, const ClassSettings& cls) {
     turn.cls = client.cls;
     turn.possible = cls.priority_weight;
-    turn.began = std::min(turn.began, client.at);
+    turn.started_at = std::min(turn.started_at, client.started_at);
 }
 
-// Once all of the turn's requests are known: an answer's value counts from the first of them.
+// Latency counts from the first request of the turn, so all of them must have been added.
 void credit(Turn& turn, const ClientRequest& client, const ClassSettings& cls) {
-    const Millis took = first_byte_at(client) - turn.began;
+    const Millis latency = first_byte_at(client) - turn.started_at;
     const Millis objective = cls.latency_objective +
                              cls.latency_objective_per_1000_tokens * client.record->number("prompt") / 1000;
-    const double value = cls.priority_weight * (took <= objective ? 1 : cls.late_value_fraction);
+    const double value = cls.priority_weight * (latency <= objective ? 1 : cls.late_value_fraction);
     turn.earned = std::max(turn.earned, value);
 }
 
@@ -85,34 +85,37 @@
     return sorted[std::min(position, sorted.size() - 1)];
 }
 
-bool overlaps_stop(const std::vector<Interval>& stops, const EngineAttempt& attempt, Millis recovery) {
-    return std::any_of(stops.begin(), stops.end(), [&](const Interval& stop) {
-        return attempt.open.from <= stop.to + recovery && attempt.open.to >= stop.from;
+bool overlaps_suspension(const std::vector<Interval>& suspensions, const EngineAttempt& attempt,
+                         Millis recovery) {
+    return std::any_of(suspensions.begin(), suspensions.end(), [&](const Interval& suspension) {
+        return attempt.open.from <= suspension.to + recovery && attempt.open.to >= suspension.from;
     });
 }
 
-void count_stalled_attempt(const RecordIndex& index, const ClientRequest& client,
-                           const std::vector<Interval>& stops, const EngineAttempt& attempt,
-                           Service& service) {
+void count_suspended_attempt(const RecordIndex& index, const ClientRequest& client,
+                             const std::vector<Interval>& suspensions, const EngineAttempt& attempt,
+                             Service& service) {
     const Interval& open = attempt.open;
-    const bool waited = !client.gone && client.deadline > std::min(open.to, open.from + kLongestWait);
-    if (!waited || !overlaps_stop(stops, attempt, index.settings().recover)) return;
-    if (index.in_trouble(attempt.server, open.from, open.to) || attempt.ending == "down") return;
-    const bool during = overlaps_stop(stops, attempt, 0);
-    const bool cut = attempt.ending == "left" || attempt.ending == "cancelled";
-    ++(during ? service.attempts_during_stall : service.attempts_after_stall);
-    if (cut) ++(during ? service.cut_during_stall : service.cut_after_stall);
+    const bool client_waits =
+        !client.disconnected && client.deadline > std::min(open.to, open.from + kMaxAttemptDuration);
+    if (!client_waits || !overlaps_suspension(suspensions, attempt, index.settings().suspension_recovery))
+        return;
+    if (index.has_server_fault(attempt.server, open.from, open.to) || attempt.ending == "down") return;
+    const bool during = overlaps_suspension(suspensions, attempt, 0);
+    const bool cancelled = attempt.ending == "left" || attempt.ending == "cancelled";
+    ++(during ? service.attempts_during_suspension : service.attempts_after_suspension);
+    if (cancelled) ++(during ? service.cancelled_during_suspension : service.cancelled_after_suspension);
 }
 
-void count_stalled_attempts(const RecordIndex& index, Service& service) {
+void count_suspended_attempts(const RecordIndex& index, Service& service) {
     const auto clients = index.clients_by_request();
     for (const auto& [request, attempts] : index.attempts()) {
         const std::string* gateway = index.gateway_of(request);
         const auto client = clients.find(request);
         if (!gateway || client == clients.end()) continue;
-        const std::vector<Interval>& stops = index.stops(*gateway);
+        const std::vector<Interval>& suspensions = index.suspensions(*gateway);
         for (const EngineAttempt& attempt : attempts)
-            count_stalled_attempt(index, *client->second, stops, attempt, service);
+            count_suspended_attempt(index, *client->second, suspensions, attempt, service);
     }
 }
 
@@ -129,7 +132,7 @@
         if (!cls) continue;
         begin_turn(turn, client, *cls);
         count_outcome(index, client, service);
-        if (is_served(client)) times.push_back(first_byte_at(client) - client.at);
+        if (is_served(client)) times.push_back(first_byte_at(client) - client.started_at);
     }
     for (const auto& [name, client] : index.clients()) {
         if (!client.record || !is_served(client)) continue;
@@ -137,7 +140,7 @@
             credit(turns[client.turn], client, *cls);
     }
     sum_values(turns, service);
-    count_stalled_attempts(index, service);
+    count_suspended_attempts(index, service);
     std::sort(times.begin(), times.end());
     service.p50 = quantile(times, 0.5);
     service.p99 = quantile(times, 0.99);
--- a/src/invariants/service_summary.h
+++ b/src/invariants/service_summary.h
@@ -1,4 +1,4 @@
-// What clients were served, from their own records. Pure.
+// Summarizes how clients were served, from the records of clients and engines.
 #pragma once
 
 #include "invariants/record_checker.h"
--- a/src/invariants/slow_start_check.cpp
+++ b/src/invariants/slow_start_check.cpp
@@ -1,4 +1,4 @@
-// Invariant 4: a warming engine is sent no more work, by all gateways together, than it can bear.
+// Invariant 4: all gateways together send no more work to an engine in slow start than its capacity allows.
 #include <algorithm>
 
 #include "invariants/checks.h"
@@ -6,12 +6,12 @@
 namespace gorsenotch::invariants {
 namespace {
 
-// What a send weighs: the mean work of its operation and class, as done at all engines; where nothing is
-// known of those, what the request itself asked for.
+// The weight of an attempt in engine-seconds: the mean work done for its operation and class at all engines;
+// if none was recorded, the work that the engine estimated for this request.
 class WorkWeights {
 public:
     explicit WorkWeights(const RecordIndex& index) {
-        for (const HeldState& state : index.held_states()) {
+        for (const LeasedState& state : index.leased_states()) {
             const EngineAttempt* attempt = index.attempt(state.id);
             if (!attempt || !state.record->fields.contains("did")) continue;
             Work& work = done_[operation_of(*attempt->received)];
@@ -36,18 +36,18 @@
     std::map<std::string, Work> done_;
 };
 
-using Sends = std::vector<const Record*>;  // to one server, by time
+using Attempts = std::vector<const Record*>;  // to one server, by time
 
-std::map<long, Sends> sends_by_server(const RecordIndex& index) {
-    std::map<long, Sends> sends;
+std::map<long, Attempts> attempts_by_server(const RecordIndex& index) {
+    std::map<long, Attempts> by_server;
     for (const auto& [request, attempts] : index.attempts()) {
-        for (const EngineAttempt& attempt : attempts) sends[attempt.server].push_back(attempt.received);
+        for (const EngineAttempt& attempt : attempts) by_server[attempt.server].push_back(attempt.received);
     }
-    for (auto& [server, records] : sends) {
+    for (auto& [server, records] : by_server) {
         std::sort(records.begin(), records.end(),
                   [](const Record* left, const Record* right) { return left->t < right->t; });
     }
-    return sends;
+    return by_server;
 }
 
 struct WindowLoad {
@@ -55,11 +55,12 @@
     double largest = 0;
 };
 
-// The work sent in the window that ends with the send at `last`.
-WindowLoad window_load(const Sends& sends, std::size_t last, Millis window, const WorkWeights& weights) {
+// The work sent in the window that ends with the attempt at `last`.
+WindowLoad window_load(const Attempts& attempts, std::size_t last, Millis window,
+                       const WorkWeights& weights) {
     WindowLoad load;
-    for (std::size_t i = last + 1; i-- > 0 && sends[i]->t > sends[last]->t - window;) {
-        const double weight = weights.weight(*sends[i]);
+    for (std::size_t i = last + 1; i-- > 0 && attempts[i]->t > attempts[last]->t - window;) {
+        const double weight = weights.weight(*attempts[i]);
         load.sum += weight;
         load.largest = std::max(load.largest, weight);
     }
@@ -71,22 +72,22 @@
     return it != start.fields.end() && *it == true && start.number("warm") > 0;
 }
 
-// One violation a start at most.
-void check_start(const RecordIndex& index, long server, const Record& start, const Sends& sends,
+// Adds at most one violation per start.
+void check_start(const RecordIndex& index, long server, const Record& start, const Attempts& attempts,
                  const WorkWeights& weights, Finding& finding) {
     const CheckerSettings& settings = index.settings();
     const Millis warm = start.number("warm");
     const double initial_capacity = start.number("start", 1);
-    for (std::size_t i = 0; i < sends.size(); ++i) {
-        const Millis age = sends[i]->t - start.t;
+    for (std::size_t i = 0; i < attempts.size(); ++i) {
+        const Millis age = attempts[i]->t - start.t;
         if (age < 0 || age > warm) continue;
-        const WindowLoad load = window_load(sends, i, settings.overload_window, weights);
+        const WindowLoad load = window_load(attempts, i, settings.overload_window, weights);
         const double capacity =
             (initial_capacity + (1 - initial_capacity) * age / warm) * settings.overload_window / 1000;
         if (load.sum <= std::max(settings.overload_factor * capacity, load.largest)) continue;
         add_violation(finding, "server " + std::to_string(server) + " at age " + std::to_string(age) +
-                                   " ms was sent " + std::to_string(load.sum) + " s of work, it can do " +
-                                   std::to_string(capacity) + " s, " + place(sends[i]));
+                                   " ms was sent " + std::to_string(load.sum) + " s of work, capacity " +
+                                   std::to_string(capacity) + " s, " + record_location(attempts[i]));
         return;
     }
 }
@@ -95,14 +96,14 @@
 
 Finding check_slow_start(const RecordIndex& index) {
     Finding finding =
-        make_finding("4 no cold engine pushed over", "work sent by all gateways against what it can do");
+        make_finding("4 no cold engine pushed over", "work sent by all gateways is within its capacity");
     const WorkWeights weights(index);
-    auto sends = sends_by_server(index);
+    auto attempts = attempts_by_server(index);
     for (const auto& [server, starts] : index.starts()) {
         for (const Record* start : starts) {
             if (!is_cold_start(*start)) continue;
             ++finding.cases;
-            check_start(index, server, *start, sends[server], weights, finding);
+            check_start(index, server, *start, attempts[server], weights, finding);
         }
     }
     return finding;
