--- a/src/fake_engine/model.h
+++ b/src/fake_engine/model.h
@@ -29,7 +29,7 @@
     settings::FakeEngineSettings pace;
     double initial_capacity = 1;     // fraction of full speed at a cold start
     Millis slow_start_duration = 0;  // from start to full speed; 0: no slow start
-    bool local_prefill = false;
+    bool local_prefill = false;      // a decode engine accepts requests without a KV state
     std::uint64_t seed = 1;
 };
 
@@ -63,6 +63,8 @@
 
     Model(EngineConfig config, Millis now, Events events);
 
+    // Queue a job. Rejected if the queue is full, the job exceeds the memory or its id was aborted before; a
+    // decode engine without local prefill requires a job that brings its KV state.
     Admission submit_prefill(Millis now, Job job);
     Admission submit_decode(Millis now, Job job);
     // The outcome of Events::fetch_state; on failure the job is dropped.
@@ -83,6 +85,7 @@
     Millis advance(Millis now);
 
     double memory_fraction() const { return used_tokens_ / config_.memory_tokens; }
+    // Prompt tokens in the queue, in thousands.
     double waiting_ktokens() const;
     // Fraction of full speed, after slow start and slowdown.
     double speed_fraction(Millis now) const;
@@ -124,7 +127,7 @@
     Millis prefill_until_ = 0;
     double prefill_cached_tokens_ = 0;
     std::unordered_map<std::string, State> states_;
-    std::list<std::pair<std::uint64_t, double>> lru_;
+    std::list<std::pair<std::uint64_t, double>> lru_;  // prefix hash and added tokens, most recent first
     std::unordered_map<std::uint64_t, std::list<std::pair<std::uint64_t, double>>::iterator> cached_prefixes_;
     double cached_tokens_ = 0;
     std::deque<std::string> aborted_ids_;
--- a/src/invariants/checks.h
+++ b/src/invariants/checks.h
@@ -8,18 +8,18 @@
 
 namespace gorsenotch::invariants {
 
-// client_checks.cpp
+// Invariant 1 (client_checks.cpp).
 Finding check_answered(const RecordIndex& index);
 Finding check_nothing_after(const RecordIndex& index);
 Finding check_text(const RecordIndex& index);
-// execution_checks.cpp
+// Invariant 2 (execution_checks.cpp).
 Finding check_runs_once(const RecordIndex& index);
 Finding check_no_overlap(const RecordIndex& index);
-// drain_check.cpp
+// Invariant 3 (drain_check.cpp).
 Finding check_drains(const RecordIndex& index);
-// slow_start_check.cpp
+// Invariant 4 (slow_start_check.cpp).
 Finding check_slow_start(const RecordIndex& index);
-// held_state_check.cpp
+// Invariant 5 (held_state_check.cpp).
 Finding check_leased_states(const RecordIndex& index);
 
 // ---- helpers of the checks ----
--- a/src/invariants/execution_checks.cpp
+++ b/src/invariants/execution_checks.cpp
@@ -68,7 +68,7 @@
             for (std::size_t k = 0; k < i; ++k) {
                 const EngineAttempt& before = *sent[k];
                 const Millis next_from = sent[i]->open.from;
-                // An engine with an injected fault may detect the closed connection late.
+                // An engine that is cut off or suspended detects the closed connection late.
                 if (before.open.to <= next_from + record_delay ||
                     index.has_server_fault(before.server, before.open.from, next_from))
                     continue;
--- a/src/invariants/record_index.h
+++ b/src/invariants/record_index.h
@@ -86,7 +86,7 @@
     const std::string* gateway_of(const std::string& request) const;
     // True if the runner had killed the gateway and not yet restarted it at any time in the interval.
     bool gateway_killed(const std::string& gateway, Millis from, Millis to) const;
-    // True if the runner killed any gateway within 10 s of `at`.
+    // True if the runner killed any gateway within 10 s of `at`; for requests whose gateway is not known.
     bool any_gateway_killed_near(Millis at) const;
     // Suspensions of the gateway by the runner (SIGSTOP).
     const std::vector<Interval>& suspensions(const std::string& gateway) const;
--- a/src/invariants/service_summary.h
+++ b/src/invariants/service_summary.h
@@ -1,4 +1,4 @@
-// Summarizes how clients were served, from the records of clients and engines.
+// Summary of how clients were served, from the records of clients and engines.
 #pragma once
 
 #include "invariants/record_checker.h"
