--- a/src/fake_engine/model.cpp
+++ b/src/fake_engine/model.cpp
@@ -219,10 +219,10 @@
 }
 
 void Model::set_slowdown(Millis now, double factor) {
-    const double before = slowdown_factor_;
+    const double previous_factor = slowdown_factor_;
     slowdown_factor_ = std::max(1.0, factor);
     if (is_prefilling_)
-        prefill_until_ = now + std::max(0.0, prefill_until_ - now) * slowdown_factor_ / before;
+        prefill_until_ = now + std::max(0.0, prefill_until_ - now) * slowdown_factor_ / previous_factor;
 }
 
 void Model::run_decode_step(Millis now) {
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -18,10 +18,9 @@
 
 constexpr int kNetworkCount = 200;  // second octets of 127.N.x.y that the runs on one machine choose from
 constexpr int kFirstNetwork = 16;
-constexpr Millis kStartTimeout = 15000;  // from the start to the last `ready` line
-constexpr Millis kListReadTime = 100;    // within which gateways read their endpoint lists
-constexpr Millis kClientTimeout =
-    90000;  // after the end of the traffic; guards against a client process that hangs
+constexpr Millis kStartTimeout = 15000;    // from the start to the last `ready` line
+constexpr Millis kListReadTime = 100;      // within which gateways read their endpoint lists
+constexpr Millis kClientTimeout = 90000;   // after the end of the traffic, if a client process hangs
 constexpr Millis kReleaseMargin = 500;     // after the lease release timeout, before SIGTERM to the gateways
 constexpr Millis kGatewayTimeout = 10000;  // from SIGTERM to the exit of the last gateway
 
--- a/src/fault_scenario/scripted_clients.cpp
+++ b/src/fault_scenario/scripted_clients.cpp
@@ -22,8 +22,8 @@
 constexpr Millis kDefaultRetryWait = 200;
 constexpr Millis kMaxRetryWait = 5000;
 constexpr int kFollowUpTokens = 40;
-constexpr Millis kMaxEarlyDisconnect = 200;     // before the first token
-constexpr int kMaxEventsBeforeDisconnect = 20;  // text events of a stream
+constexpr Millis kMaxEarlyDisconnect = 200;               // before the first token
+constexpr std::uint64_t kMaxEventsBeforeDisconnect = 20;  // text events of a stream
 
 struct Message {
     std::string role;
@@ -118,8 +118,8 @@
     turn->turns = std::max(1, load.turns);
     const auto prefix = random_() % static_cast<std::uint64_t>(std::max(1, load.prefixes));
     if (load.prefix_tokens > 0) turn->system = generate_text(1000 + prefix, load.prefix_tokens);
-    const int question_tokens = std::max(1, load.prompt_tokens - load.prefix_tokens);
-    turn->messages.push_back({"user", generate_text(random_(), question_tokens)});
+    const int message_tokens = std::max(1, load.prompt_tokens - load.prefix_tokens);
+    turn->messages.push_back({"user", generate_text(random_(), message_tokens)});
     begin_turn(std::move(turn));
     // per_s counts requests; a conversation has `turns` of them.
     const double rate = load.per_s / load.turns;
@@ -151,17 +151,17 @@
     attempt.name = turn.id + "." + std::to_string(turn.attempts);
     const std::string& gateway = options_.gateways[random_() % options_.gateways.size()];
     attempt.deadline = net::now() + options_.load.patience;
-    const Millis disconnect_at = choose_disconnect_time(attempt);
+    const Millis disconnect_delay = choose_disconnect_delay(attempt);
     const std::string request = request_text(turn, gateway);
     record_attempt(attempt, gateway);
     ++turn.attempts;
     connect(attempt, gateway, request,
-            disconnect_at > 0 ? disconnect_at : options_.load.patience + options_.overdue);
+            disconnect_delay > 0 ? disconnect_delay : options_.load.patience + options_.overdue);
 }
 
 // Half of the impatient clients disconnect before the first token, half during the stream. Returns the time
 // after which this client disconnects before the first token; 0 if it does not.
-Millis ScriptedClients::choose_disconnect_time(Attempt& attempt) {
+Millis ScriptedClients::choose_disconnect_delay(Attempt& attempt) {
     attempt.disconnects_early = uniform() < options_.load.impatient;
     if (!attempt.disconnects_early) return 0;
     if (uniform() < 0.5) return uniform() * kMaxEarlyDisconnect;
--- a/src/fault_scenario/scripted_clients.h
+++ b/src/fault_scenario/scripted_clients.h
@@ -70,7 +70,7 @@
     void next_arrival();
     void begin_turn(std::unique_ptr<Turn> turn);
     void start_attempt(Turn& turn);
-    Millis choose_disconnect_time(Attempt& attempt);
+    Millis choose_disconnect_delay(Attempt& attempt);
     std::string request_body(const Turn& turn) const;
     std::string request_text(const Turn& turn, const std::string& gateway) const;
     void record_attempt(const Attempt& attempt, const std::string& gateway);
