--- a/src/control/kv_lease.cpp
+++ b/src/control/kv_lease.cpp
@@ -39,7 +39,7 @@
 }
 
 void KvLease::on_acquired(Millis now, LeaseOrigin origin, EndpointId holder) {
-    const bool held_before = held();
+    const bool held_before = is_held();
     uncertain_ = origin == LeaseOrigin::prefill_lost || (held_before && uncertain_);
     holding_ = origin == LeaseOrigin::prefill_unanswered ? Holding::unanswered_prefill : Holding::held;
     timeline_.origin = origin;
@@ -63,7 +63,7 @@
 void KvLease::on_request_written(Millis now, Millis expected_by) {
     prefill_expected_by_ = expected_by;
     attempt_ = decode_in_flight() ? Attempt::decode_written : Attempt::prefill_written;
-    if (attempt_ == Attempt::prefill_written && !held())
+    if (attempt_ == Attempt::prefill_written && !is_held())
         on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.awaited);
     timeline_.written = now;
 }
@@ -90,15 +90,15 @@
     // An attempt that arrived may have been waiting for the resource, so the lease restarts. If it did not
     // arrive, the lease was never stopped.
     const bool answered = std::exchange(proof_, Proof::none) != Proof::none;
-    if (answered && held()) {
+    if (answered && is_held()) {
         running_since_ = now;
         timeline_.acquired = now;
     }
     if (std::exchange(kept_for_decode_, false)) {
-        if (!held()) holding_ = Holding::held;
+        if (!is_held()) holding_ = Holding::held;
         running_since_ = now;
     }
-    if (held() && attempt_ == Attempt::decode_written && !never_ran) uncertain_ = true;
+    if (is_held() && attempt_ == Attempt::decode_written && !never_ran) uncertain_ = true;
     attempt_ = Attempt::none;
 }
 
@@ -118,7 +118,7 @@
 
 void KvLease::on_release_answered(Millis now) {
     release_in_progress_ = false;
-    if (!held()) return;
+    if (!is_held()) return;
     holding_ = Holding::nothing;
     uncertain_ = false;
     kept_for_decode_ = attempt_ == Attempt::decode_written;
@@ -129,7 +129,7 @@
 void KvLease::on_release_failed() { release_in_progress_ = false; }
 
 std::optional<Millis> KvLease::release_at() const {
-    if (!held() || proof_ == Proof::decode_arrived || release_in_progress_) return std::nullopt;
+    if (!is_held() || proof_ == Proof::decode_arrived || release_in_progress_) return std::nullopt;
     if (attempt_ == Attempt::prefill_written) {
         const Millis due = running_since_ + kPrefillFraction * duration_ + kPrefillExtra;
         return prefill_in_flight() ? std::max(due, prefill_expected_by_ + health_check_timeout()) : due;
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -79,7 +79,7 @@
 
     // ---- decisions ----
     // Whether a resource is, or may be, held for the request.
-    bool held() const { return holding_ != Holding::nothing; }
+    bool is_held() const { return holding_ != Holding::nothing; }
     // Whether the only resource may be the result of a prefill in flight.
     bool only_unanswered_prefill() const { return holding_ == Holding::unanswered_prefill; }
     // Whether one release is not enough. A prefill whose connection was closed may end well after the
--- a/src/platform/attempt_runner.cpp
+++ b/src/platform/attempt_runner.cpp
@@ -65,7 +65,7 @@
     const auto exchange = std::make_shared<UpstreamExchange>(
         attempt.is_prefill ? UpstreamExchange::Kind::prefill : UpstreamExchange::Kind::decode);
     attempt.exchange = exchange;
-    conditions.reads_kv_cache = !attempt.is_prefill && request->lease.held();
+    conditions.reads_kv_cache = !attempt.is_prefill && request->lease.is_held();
     exchange->may_start_hook = [this, conditions] { return may_send(conditions); };
     attach_hooks(*exchange, key, endpoint->endpoint, now);
     lease_keeper_.on_attempt_begun(*request, attempt);
--- a/src/platform/lease_keeper.cpp
+++ b/src/platform/lease_keeper.cpp
@@ -110,7 +110,7 @@
 // ---- releases -------------------------------------------------------------------------------------------
 
 void LeaseKeeper::release(RequestState& request, ReleaseReason reason) {
-    if (!request.lease.held()) return;
+    if (!request.lease.is_held()) return;
     // The endpoint may have answered the release in progress before the lease was last acquired.
     if (releaser_.in_progress(request.release_id)) return releaser_.restart(request.release_id);
     request.lease.on_release_begun(context_.environment.now());
--- a/tests/control/kv_lease_test.cpp
+++ b/tests/control/kv_lease_test.cpp
@@ -23,7 +23,7 @@
 
 TEST_F(KvLeaseTest, NothingIsHeldAtFirst) {
     lease.on_attempt_begun(0, kPrefillEndpoint, false);
-    EXPECT_FALSE(lease.held());
+    EXPECT_FALSE(lease.is_held());
     EXPECT_FALSE(lease.release_at());
     EXPECT_FALSE(lease.health_check_at());
 }
@@ -45,7 +45,7 @@
     lease.on_release_answered(1180);
     EXPECT_EQ(lease.release_at(), 1880) << "the prefill may store its KV cache after the first release";
     lease.on_attempt_ended(1900, true);
-    EXPECT_FALSE(lease.held()) << "the prefill never ran";
+    EXPECT_FALSE(lease.is_held()) << "the prefill never ran";
 }
 
 // Guards against a lease that treats a prefill as in flight when its response began and the rest was lost;
@@ -87,7 +87,7 @@
     lease.on_attempt_answered(300);
     EXPECT_FALSE(lease.release_at());
     lease.on_attempt_ended(900, false);
-    EXPECT_TRUE(lease.held());
+    EXPECT_TRUE(lease.is_held());
     EXPECT_EQ(lease.release_at(), 1500);
 }
 
@@ -116,7 +116,7 @@
     lease.on_attempt_answered(200);
     lease.on_taken();
     lease.on_attempt_ended(5000, false);
-    EXPECT_FALSE(lease.held());
+    EXPECT_FALSE(lease.is_held());
     EXPECT_FALSE(lease.release_at());
 }
 
@@ -129,7 +129,7 @@
     EXPECT_EQ(lease.release_at(), 700);
     lease.on_release_begun(700);
     lease.on_release_answered(700);
-    EXPECT_FALSE(lease.held());
+    EXPECT_FALSE(lease.is_held());
 }
 
 // A release does not free a KV cache that an arrived decode waits for, so it is still held when that decode
@@ -138,9 +138,9 @@
     prefill_then_decode(100);
     lease.on_release_begun(700);
     lease.on_release_answered(700);
-    EXPECT_FALSE(lease.held());
+    EXPECT_FALSE(lease.is_held());
     lease.on_attempt_ended(2000, false);
-    EXPECT_TRUE(lease.held());
+    EXPECT_TRUE(lease.is_held());
     EXPECT_EQ(lease.release_at(), 2600);
 }
 
@@ -166,7 +166,7 @@
     lease.on_release_begun(700);
     lease.on_release_answered(700);
     lease.on_attempt_ended(800, false);
-    EXPECT_FALSE(lease.held());
+    EXPECT_FALSE(lease.is_held());
     EXPECT_TRUE(lease.released_since(110));
     EXPECT_FALSE(lease.released_since(900));
 }
@@ -187,7 +187,7 @@
     lease.on_attempt_begun(50, kPrefillEndpoint, false);
     lease.on_attempt_ended(100, false);
     lease.on_acquired(100, LeaseOrigin::prefill_lost, kPrefillEndpoint);
-    EXPECT_TRUE(lease.held());
+    EXPECT_TRUE(lease.is_held());
     EXPECT_TRUE(lease.uncertain());
     EXPECT_EQ(lease.release_at(), 700);
 }
