--- a/src/control/kv_lease.cpp
+++ b/src/control/kv_lease.cpp
@@ -86,7 +86,7 @@
 }
 
 void KvLease::on_attempt_ended(Millis now, bool never_ran) {
-    if (never_ran && only_unanswered_prefill()) holding_ = Holding::nothing;
+    if (never_ran && only_prefill_in_flight()) holding_ = Holding::nothing;
     // An attempt that arrived may have been waiting for the resource, so the lease restarts. If it did not
     // arrive, the lease was never stopped.
     const bool answered = std::exchange(proof_, Proof::none) != Proof::none;
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -81,7 +81,7 @@
     // Whether a resource is, or may be, held for the request.
     bool is_held() const { return holding_ != Holding::nothing; }
     // Whether the only resource may be the result of a prefill in flight.
-    bool only_unanswered_prefill() const { return holding_ == Holding::unanswered_prefill; }
+    bool only_prefill_in_flight() const { return holding_ == Holding::unanswered_prefill; }
     // Whether one release is not enough. A prefill whose connection was closed may end well after the
     // release. The close of a decode may reach its endpoint after the release, which then did not free the
     // resource that this decode still waited for.
--- a/src/platform/lease_keeper.cpp
+++ b/src/platform/lease_keeper.cpp
@@ -146,7 +146,7 @@
     if (result.end == ReleaseEnd::answered) {
         const Millis age = context_.environment.now() - request->lease.timeline().acquired;
         Millis& longest = context_.counters.longest_lease;
-        if (!request->lease.only_unanswered_prefill()) longest = std::max(longest, age);
+        if (!request->lease.only_prefill_in_flight()) longest = std::max(longest, age);
         request->lease.on_release_answered(context_.environment.now());
     } else {
         request->lease.on_release_failed();
@@ -209,7 +209,7 @@
 }
 
 void LeaseKeeper::release_expiring(RequestState& request) {
-    if (request.lease.only_unanswered_prefill()) return release(request, ReleaseReason::prefill_unanswered);
+    if (request.lease.only_prefill_in_flight()) return release(request, ReleaseReason::prefill_unanswered);
     request.lease.on_expiring(context_.environment.now());
     if (request.attempt_in_flight()) {
         DiscoveredEndpoint* unresponsive = context_.endpoints.find(request.lease.timeline().awaited);
--- a/tests/control/kv_lease_test.cpp
+++ b/tests/control/kv_lease_test.cpp
@@ -33,7 +33,7 @@
 TEST_F(KvLeaseTest, AnUnansweredPrefillGetsAHealthCheckAndThenARelease) {
     lease.on_attempt_begun(0, kPrefillEndpoint, false);
     lease.on_request_written(10);
-    EXPECT_TRUE(lease.only_unanswered_prefill());
+    EXPECT_TRUE(lease.only_prefill_in_flight());
     EXPECT_EQ(lease.health_check_at(), 460);
     EXPECT_EQ(lease.release_at(), 710);
     lease.on_health_check_sent();
