--- a/src/control/kv_lease.cpp
+++ b/src/control/kv_lease.cpp
@@ -40,7 +40,7 @@
 
 void KvLease::on_acquired(Millis now, LeaseOrigin origin, EndpointId holder) {
     const bool held_before = is_held();
-    uncertain_ = origin == LeaseOrigin::prefill_lost || (held_before && uncertain_);
+    needs_second_release_ = origin == LeaseOrigin::prefill_lost || (held_before && needs_second_release_);
     holding_ = origin == LeaseOrigin::prefill_unanswered ? Holding::unanswered_prefill : Holding::held;
     timeline_.origin = origin;
     timeline_.holder = holder;
@@ -98,13 +98,13 @@
         if (!is_held()) holding_ = Holding::held;
         running_since_ = now;
     }
-    if (is_held() && attempt_ == Attempt::decode_written && !never_ran) uncertain_ = true;
+    if (is_held() && attempt_ == Attempt::decode_written && !never_ran) needs_second_release_ = true;
     attempt_ = Attempt::none;
 }
 
 void KvLease::on_taken() {
     holding_ = Holding::nothing;
-    uncertain_ = false;
+    needs_second_release_ = false;
     release_in_progress_ = false;
     kept_for_decode_ = false;
     proof_ = Proof::decode_arrived;
@@ -120,7 +120,7 @@
     release_in_progress_ = false;
     if (!is_held()) return;
     holding_ = Holding::nothing;
-    uncertain_ = false;
+    needs_second_release_ = false;
     kept_for_decode_ = attempt_ == Attempt::decode_written;
     health_check_sent_ = false;
     if (prefill_in_flight()) on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.awaited);
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -85,7 +85,7 @@
     // Whether one release is not enough. A prefill whose connection was closed may end well after the
     // release. The close of a decode may reach its endpoint after the release, which then did not free the
     // resource that this decode still waited for.
-    bool uncertain() const { return uncertain_; }
+    bool needs_second_release() const { return needs_second_release_; }
     // Whether a release was begun at or after `begun`, so that a decode begun then has nothing to take.
     bool released_since(Millis begun) const { return release_begun_at_ >= begun; }
     // When a release must begin if no proof comes; nullopt if none is needed.
@@ -127,7 +127,7 @@
     Holding holding_ = Holding::nothing;
     Attempt attempt_ = Attempt::none;
     Proof proof_ = Proof::none;
-    bool uncertain_ = false;
+    bool needs_second_release_ = false;
     bool release_in_progress_ = false;
     bool health_check_sent_ = false;
     bool kept_for_decode_ = false;  // a release was answered while a written decode may have been waiting
--- a/src/platform/lease_keeper.cpp
+++ b/src/platform/lease_keeper.cpp
@@ -118,7 +118,7 @@
     release.txn = request.inbound.txn;
     release.request = request.handle;
     release.holder = request.lease.timeline().holder;
-    release.needs_second_release = request.lease.uncertain();
+    release.needs_second_release = request.lease.needs_second_release();
     if (request.attempt_in_flight()) release.unresponsive = request.lease.timeline().awaited;
     release.reason = reason;
     ++context_.counters.release_reasons[static_cast<std::size_t>(reason)];
--- a/tests/control/kv_lease_test.cpp
+++ b/tests/control/kv_lease_test.cpp
@@ -148,16 +148,17 @@
 // before it, and then it frees nothing. Found by the soak test.
 TEST_F(KvLeaseTest, OneReleaseIsNotEnoughAsItMayOvertakeTheCloseOfADecode) {
     prefill_then_decode(100);
-    EXPECT_FALSE(lease.uncertain());
+    EXPECT_FALSE(lease.needs_second_release());
     lease.on_attempt_ended(300, false);
-    EXPECT_TRUE(lease.uncertain());
+    EXPECT_TRUE(lease.needs_second_release());
     lease.on_release_begun(300);
     lease.on_release_answered(310);
-    EXPECT_FALSE(lease.uncertain());
+    EXPECT_FALSE(lease.needs_second_release());
     prefill_then_decode(400);
     lease.on_attempt_answered(450);
     lease.on_attempt_ended(450, true);
-    EXPECT_FALSE(lease.uncertain()) << "the decode was rejected, so it does not wait at its endpoint";
+    EXPECT_FALSE(lease.needs_second_release())
+        << "the decode was rejected, so it does not wait at its endpoint";
 }
 
 TEST_F(KvLeaseTest, AReleaseIsFinalForADecodeThatWasNotWritten) {
@@ -188,7 +189,7 @@
     lease.on_attempt_ended(100, false);
     lease.on_acquired(100, LeaseOrigin::prefill_lost, kPrefillEndpoint);
     EXPECT_TRUE(lease.is_held());
-    EXPECT_TRUE(lease.uncertain());
+    EXPECT_TRUE(lease.needs_second_release());
     EXPECT_EQ(lease.release_at(), 700);
 }
 
