--- a/src/control/kv_lease.cpp
+++ b/src/control/kv_lease.cpp
@@ -102,7 +102,7 @@
     attempt_ = Attempt::none;
 }
 
-void KvLease::on_taken() {
+void KvLease::on_resource_taken() {
     holding_ = Holding::nothing;
     needs_second_release_ = false;
     release_in_progress_ = false;
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -68,7 +68,7 @@
     // The attempt ended without taking the resource. `never_ran`: it is proved that it did not run.
     void on_attempt_ended(Millis now, bool never_ran);
     // The decode's stream has begun: it took the resource.
-    void on_taken();
+    void on_resource_taken();
     void on_release_begun(Millis now);
     // A running endpoint answered a release. It keeps a resource that a written decode may be waiting for.
     void on_release_answered(Millis now);
--- a/src/gateway/request_attempts.cpp
+++ b/src/gateway/request_attempts.cpp
@@ -130,7 +130,7 @@
     attempt->last_data_at = environment_.now();
     // The decode engine has fetched the KV cache, so there is nothing to release.
     request->clear_kv_state();
-    request->lease.on_taken();
+    request->lease.on_resource_taken();
     set_timer(TimerKind::stream_idle, attempt->last_data_at + program_.limits.stream_idle_ms, request,
               number);
     const auto exchange = attempt->exchange;
--- a/src/platform/lease_keeper.cpp
+++ b/src/platform/lease_keeper.cpp
@@ -47,7 +47,7 @@
     request.lease.on_attempt_answered(context_.environment.now());
 }
 
-void LeaseKeeper::on_kv_cache_fetched(RequestState& request) { request.lease.on_taken(); }
+void LeaseKeeper::on_kv_cache_fetched(RequestState& request) { request.lease.on_resource_taken(); }
 
 void LeaseKeeper::on_attempt_ended(RequestState& request, const AttemptState& attempt,
                                    const AttemptOutcome& outcome) {
--- a/tests/control/kv_lease_test.cpp
+++ b/tests/control/kv_lease_test.cpp
@@ -114,7 +114,7 @@
 TEST_F(KvLeaseTest, AStreamThatHasBegunEndsTheLease) {
     prefill_then_decode(100);
     lease.on_attempt_answered(200);
-    lease.on_taken();
+    lease.on_resource_taken();
     lease.on_attempt_ended(5000, false);
     EXPECT_FALSE(lease.is_held());
     EXPECT_FALSE(lease.release_at());
