--- a/src/control/kv_lease.cpp
+++ b/src/control/kv_lease.cpp
@@ -46,7 +46,7 @@
     timeline_.holder = holder;
     if (held_before) return;  // the lease keeps running from the older resource
     running_since_ = now;
-    timeline_ = {origin, holder, now, -1, -1, -1, -1, timeline_.awaited};
+    timeline_ = {origin, holder, now, -1, -1, -1, -1, timeline_.attempt_endpoint};
 }
 
 void KvLease::on_attempt_begun(Millis now, EndpointId endpoint, bool is_decode) {
@@ -55,7 +55,7 @@
     health_check_sent_ = false;
     kept_for_decode_ = false;
     if (is_decode) decode_begun_at_ = now;
-    timeline_.awaited = endpoint;
+    timeline_.attempt_endpoint = endpoint;
     timeline_.written = -1;
     timeline_.arrived = -1;
 }
@@ -64,7 +64,7 @@
     prefill_expected_by_ = expected_by;
     attempt_ = decode_in_flight() ? Attempt::decode_written : Attempt::prefill_written;
     if (attempt_ == Attempt::prefill_written && !is_held())
-        on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.awaited);
+        on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.attempt_endpoint);
     timeline_.written = now;
 }
 
@@ -123,7 +123,7 @@
     needs_second_release_ = false;
     kept_for_decode_ = attempt_ == Attempt::decode_written;
     health_check_sent_ = false;
-    if (prefill_in_flight()) on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.awaited);
+    if (prefill_in_flight()) on_acquired(now, LeaseOrigin::prefill_unanswered, timeline_.attempt_endpoint);
 }
 
 void KvLease::on_release_failed() { release_in_progress_ = false; }
--- a/src/control/kv_lease.h
+++ b/src/control/kv_lease.h
@@ -39,12 +39,12 @@
     struct Timeline {
         LeaseOrigin origin = LeaseOrigin::prefill_done;
         EndpointId holder = 0;
-        Millis acquired = -1;    // the resource was acquired, or may have been
-        Millis written = -1;     // the latest attempt's last byte was written to the socket
-        Millis arrived = -1;     // the latest attempt was proved to have arrived
-        Millis expiring = -1;    // the time limit for proof of arrival passed
-        Millis released = -1;    // a release was begun
-        EndpointId awaited = 0;  // the endpoint of the latest attempt
+        Millis acquired = -1;             // the resource was acquired, or may have been
+        Millis written = -1;              // the latest attempt's last byte was written to the socket
+        Millis arrived = -1;              // the latest attempt was proved to have arrived
+        Millis expiring = -1;             // the time limit for proof of arrival passed
+        Millis released = -1;             // a release was begun
+        EndpointId attempt_endpoint = 0;  // the endpoint of the latest attempt
     };
 
     // `release_timeout`: from the settings; 0 or less: one second.
--- a/src/platform/lease_keeper.cpp
+++ b/src/platform/lease_keeper.cpp
@@ -119,7 +119,7 @@
     release.request = request.handle;
     release.holder = request.lease.timeline().holder;
     release.needs_second_release = request.lease.needs_second_release();
-    if (request.attempt_in_flight()) release.unresponsive = request.lease.timeline().awaited;
+    if (request.attempt_in_flight()) release.unresponsive = request.lease.timeline().attempt_endpoint;
     release.reason = reason;
     ++context_.counters.release_reasons[static_cast<std::size_t>(reason)];
     release.lease_description = describe(request);
@@ -192,7 +192,7 @@
 // Extends the lease if the prefill's endpoint has answered anything sent after the prefill. Sends a health
 // check if such an answer is due and none has been received.
 void LeaseKeeper::check_prefill_endpoint(RequestState& request) {
-    const EndpointId endpoint = request.lease.timeline().awaited;
+    const EndpointId endpoint = request.lease.timeline().attempt_endpoint;
     const Millis sent = request.lease.prefill_written_at();
     const bool unusual =
         prefill_times_.is_unusual(context_.environment.now() - sent, request.inbound.arrival.prompt_tokens);
@@ -212,7 +212,7 @@
     if (request.lease.only_prefill_in_flight()) return release(request, ReleaseReason::prefill_unanswered);
     request.lease.on_expiring(context_.environment.now());
     if (request.attempt_in_flight()) {
-        DiscoveredEndpoint* unresponsive = context_.endpoints.find(request.lease.timeline().awaited);
+        DiscoveredEndpoint* unresponsive = context_.endpoints.find(request.lease.timeline().attempt_endpoint);
         if (unresponsive) unresponsive->last_failure = context_.environment.now();
     }
     release(request, ReleaseReason::lease_expiring);
@@ -231,7 +231,7 @@
     const control::KvLease::Timeline& timeline = request.lease.timeline();
     return describe_timeline(timeline, request.arrived, context_.environment.now(),
                              context_.endpoint_name(timeline.holder),
-                             context_.endpoint_name(timeline.awaited));
+                             context_.endpoint_name(timeline.attempt_endpoint));
 }
 
 }  // namespace gorsenotch::platform
