--- a/src/platform/access_log.cpp
+++ b/src/platform/access_log.cpp
@@ -38,7 +38,7 @@
 }
 
 std::string describe_timeline(const control::KvLease::Timeline& timeline, Millis arrived, Millis now,
-                              const std::string& holder, const std::string& awaited) {
+                              const std::string& holder, const std::string& attempt_endpoint) {
     std::string text("lease ");
     text.append(rounded_text(now - timeline.acquired)).append(" ");
     text.append(control::kLeaseOriginNames[static_cast<std::size_t>(timeline.origin)])
@@ -48,7 +48,10 @@
     if (timeline.expiring >= 0) text.append(", expiring ").append(rounded_text(timeline.expiring - arrived));
     if (timeline.released >= 0) text.append(", release ").append(rounded_text(timeline.released - arrived));
     if (timeline.written < timeline.acquired) return text;
-    text.append("; ").append(awaited).append(" sent ").append(rounded_text(timeline.written - arrived));
+    text.append("; ")
+        .append(attempt_endpoint)
+        .append(" sent ")
+        .append(rounded_text(timeline.written - arrived));
     if (timeline.arrived < 0) return text.append(" unconfirmed");
     return text.append(" arrived ").append(rounded_text(timeline.arrived - arrived));
 }
--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -108,7 +108,7 @@
 // The history of a lease: "lease 612 prefill_done at r1, acquired 23, expiring 623; w0 sent 23 unconfirmed".
 // The first number is the age of the lease at `now`; the others are ms since `arrived`.
 std::string describe_timeline(const control::KvLease::Timeline& timeline, Millis arrived, Millis now,
-                              const std::string& holder, const std::string& awaited);
+                              const std::string& holder, const std::string& attempt_endpoint);
 
 // The number of completion tokens given in the closing events of an answer; 0 if there is none.
 double completion_tokens(std::string_view events);
