--- a/src/control/attempt_clock.h
+++ b/src/control/attempt_clock.h
@@ -20,7 +20,7 @@
 
     // When the attempt times out. Stalls between its begin and its write extend the time-out, but not beyond
     // the request's deadline.
-    Millis due() const;
+    Millis timeout_at() const;
     // False if the request's deadline kept the time-out from being extended by the full stall: the endpoint
     // had less than its full time because of this process.
     bool endpoint_at_fault() const;
--- a/src/gateway/request_attempts.cpp
+++ b/src/gateway/request_attempts.cpp
@@ -44,7 +44,7 @@
     if (attempt.is_prefill) request->prefill_attempts.push_back(number);
     request->lease.on_attempt_begun(now, start.endpoint, !attempt.is_prefill);
     schedule_lease_check(*request);
-    set_timer(TimerKind::attempt_timeout, attempt.clock.due(), request, number);
+    set_timer(TimerKind::attempt_timeout, attempt.clock.timeout_at(), request, number);
     const auto exchange = attempt.exchange;
     const std::string address = attempt.address;
     request->attempts.push_back(std::move(attempt));
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -268,7 +268,7 @@
     AttemptState* attempt = find_attempt(&request, number);
     if (!attempt || !attempt->in_flight() || attempt->streaming()) return;
     if (!driver_.has_expired(attempt->clock))
-        return set_timer(TimerKind::attempt_timeout, attempt->clock.due(), &request, number);
+        return set_timer(TimerKind::attempt_timeout, attempt->clock.timeout_at(), &request, number);
     end_exchange(*attempt, attempt->clock.endpoint_at_fault() ? &UpstreamExchange::time_out
                                                               : &UpstreamExchange::cancel);
 }
--- a/src/platform/attempt_runner.cpp
+++ b/src/platform/attempt_runner.cpp
@@ -75,7 +75,8 @@
     };
     const std::string address = endpoint->dial_address;
     std::string request_text = compose_request(*request, address);
-    context_.driver.set_timer(TimerKind::attempt_timeout, attempt.clock.due(), request, key.index, 0, true);
+    context_.driver.set_timer(TimerKind::attempt_timeout, attempt.clock.timeout_at(), request, key.index, 0,
+                              true);
     ++context_.counters.attempts;
     ++context_.attempts_in_flight;
     request->attempts.push_back(std::move(attempt));
@@ -162,7 +163,7 @@
     AttemptState& attempt = *request.find_attempt(attempt_index);
     if (attempt.phase != AttemptPhase::awaiting_response) return;
     if (!context_.driver.has_expired(attempt.clock))
-        return context_.driver.set_timer(TimerKind::attempt_timeout, attempt.clock.due(), &request,
+        return context_.driver.set_timer(TimerKind::attempt_timeout, attempt.clock.timeout_at(), &request,
                                          attempt_index, 0, true);
     const bool endpoint_at_fault = attempt.clock.endpoint_at_fault();
     abort_attempt(context_.environment, attempt,
--- a/src/proxy/router_driver.h
+++ b/src/proxy/router_driver.h
@@ -126,10 +126,10 @@
         clock.written = true;
         clock.stalled_at_write = stall_detector_.stalled_for();
     }
-    // Whether the attempt has timed out. If not, clock.due() may be later than when the timer was set.
+    // Whether the attempt has timed out. If not, clock.timeout_at() may be later than when the timer was set.
     bool has_expired(control::AttemptClock& clock) {
         if (!clock.written) clock.stalled_at_write = stall_detector_.stalled_for();
-        return clock.due() <= now();
+        return clock.timeout_at() <= now();
     }
 
 private:
--- a/tests/control/attempt_clock_test.cpp
+++ b/tests/control/attempt_clock_test.cpp
@@ -8,26 +8,26 @@
 
 TEST(AttemptClock, StallsBeforeTheWriteExtendTheTimeOutUpToTheDeadline) {
     AttemptClock clock{1000, 500, 9000, 0, 0};
-    EXPECT_EQ(clock.due(), 1500);
+    EXPECT_EQ(clock.timeout_at(), 1500);
     EXPECT_TRUE(clock.endpoint_at_fault());
     clock.stalled_at_write = 2000;
-    EXPECT_EQ(clock.due(), 3500);
+    EXPECT_EQ(clock.timeout_at(), 3500);
     EXPECT_TRUE(clock.endpoint_at_fault());
     clock.request_deadline = 3000;  // the request's deadline is never extended
-    EXPECT_EQ(clock.due(), 3000);
+    EXPECT_EQ(clock.timeout_at(), 3000);
     EXPECT_FALSE(clock.endpoint_at_fault());
     clock.timeout = 0;
-    EXPECT_EQ(clock.due(), 3000);
+    EXPECT_EQ(clock.timeout_at(), 3000);
 }
 
 TEST(AttemptClock, AStallTimeReadBeforeTheAttemptDoesNotShortenTheTimeOut) {
     const AttemptClock clock{1000, 500, 9000, 200, 0};
-    EXPECT_EQ(clock.due(), 1500);
+    EXPECT_EQ(clock.timeout_at(), 1500);
 }
 
 TEST(AttemptClock, AtTheDeadlineTheEndpointIsAtFaultUnlessThereWasAStall) {
     AttemptClock clock{1000, 500, 1200, 0, 0};
-    EXPECT_EQ(clock.due(), 1200);
+    EXPECT_EQ(clock.timeout_at(), 1200);
     EXPECT_TRUE(clock.endpoint_at_fault());
     clock.stalled_at_write = 1;
     EXPECT_FALSE(clock.endpoint_at_fault());
--- a/tests/proxy/router_driver_test.cpp
+++ b/tests/proxy/router_driver_test.cpp
@@ -149,7 +149,7 @@
     auto attempt_clock = driver.start_clock(100, 9000);
     clock = 1500;
     driver.on_request_written(attempt_clock);
-    EXPECT_EQ(attempt_clock.due(), 1600);
+    EXPECT_EQ(attempt_clock.timeout_at(), 1600);
     EXPECT_FALSE(driver.has_expired(attempt_clock));
     clock = 1600;
     EXPECT_TRUE(driver.has_expired(attempt_clock));
