--- a/src/control/stall_detector.h
+++ b/src/control/stall_detector.h
@@ -35,7 +35,7 @@
     void after_poll(Millis at);
 
     // Whether a time-out that was due at `due` may be evaluated now.
-    bool may_judge_timeout(Millis due) const { return !last_poll_ || *last_poll_ >= due; }
+    bool may_evaluate_timeout(Millis due) const { return !last_poll_ || *last_poll_ >= due; }
 
     // Total stall time so far; the difference of two readings is the stall time between them.
     Millis stalled_for() const { return stalled_for_; }
--- a/src/proxy/router_driver.h
+++ b/src/proxy/router_driver.h
@@ -169,7 +169,7 @@
         while (const auto timer = timers_.pop_due(at, last_order)) fire(*timer);
     }
     void fire_due_timeouts(std::uint64_t last_order, Millis at) {
-        while (!timeouts_.empty() && stall_detector_.may_judge_timeout(timeouts_.next_due())) {
+        while (!timeouts_.empty() && stall_detector_.may_evaluate_timeout(timeouts_.next_due())) {
             const auto timeout = timeouts_.pop_due(at, last_order);
             if (!timeout) return;
             fire(*timeout);
--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -45,12 +45,12 @@
 
 TEST(StallDetector, ATimeOutIsEvaluatedOnlyAfterAPollOnceItIsDue) {
     StallDetector detector;
-    EXPECT_TRUE(detector.may_judge_timeout(1e9));  // the event loop reports no polls
+    EXPECT_TRUE(detector.may_evaluate_timeout(1e9));  // the event loop reports no polls
     detector.after_poll(100);
-    EXPECT_TRUE(detector.may_judge_timeout(100));
-    EXPECT_FALSE(detector.may_judge_timeout(101));
+    EXPECT_TRUE(detector.may_evaluate_timeout(100));
+    EXPECT_FALSE(detector.may_evaluate_timeout(101));
     detector.after_poll(101);
-    EXPECT_TRUE(detector.may_judge_timeout(101));
+    EXPECT_TRUE(detector.may_evaluate_timeout(101));
 }
 
 struct StallTest : ::testing::Test, CoreBench {
