--- a/src/control/drain_schedule.h
+++ b/src/control/drain_schedule.h
@@ -29,7 +29,7 @@
     // gateway.
     bool stop_accepting(Millis now) const { return now >= stop_accepting_at_; }
     // Whether all requests that still lack a final response must get one now.
-    bool answer_remaining(Millis now) const { return now >= answer_remaining_at_; }
+    bool must_answer_remaining(Millis now) const { return now >= answer_remaining_at_; }
 
 private:
     Millis migrate_from_;
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -223,7 +223,7 @@
     if (stop_accepting) client_connections_.stop_accepting();
     if (config_.named.settings.stream_migration)
         lifecycle_.migrate_streams(drain_schedule_->streams_to_migrate(now, lifecycle_.open_streams()));
-    if (drain_schedule_->answer_remaining(now)) {
+    if (drain_schedule_->must_answer_remaining(now)) {
         lifecycle_.shutdown();
         lifecycle_.end_stalled_streams(*stopped_at_ + kEndedByKillPeriod);
     }
--- a/tests/control/drain_schedule_test.cpp
+++ b/tests/control/drain_schedule_test.cpp
@@ -31,8 +31,8 @@
     EXPECT_FALSE(schedule.stop_accepting(2000));
     EXPECT_FALSE(schedule.stop_accepting(3100));
     EXPECT_TRUE(schedule.stop_accepting(3300));
-    EXPECT_FALSE(schedule.answer_remaining(3300));
-    EXPECT_TRUE(schedule.answer_remaining(3500));
+    EXPECT_FALSE(schedule.must_answer_remaining(3300));
+    EXPECT_TRUE(schedule.must_answer_remaining(3500));
 }
 
 // Guards against accepting a stream that the kill cuts off: on the fleet bench a stream accepted 2.9 s after
@@ -41,14 +41,14 @@
     const control::DrainSchedule schedule(0, 3700, false);
     EXPECT_FALSE(schedule.stop_accepting(400)) << "new connections still arrive";
     EXPECT_TRUE(schedule.stop_accepting(650));
-    EXPECT_FALSE(schedule.answer_remaining(3300)) << "accepted requests keep their time";
-    EXPECT_TRUE(schedule.answer_remaining(3500));
+    EXPECT_FALSE(schedule.must_answer_remaining(3300)) << "accepted requests keep their time";
+    EXPECT_TRUE(schedule.must_answer_remaining(3500));
 }
 
 TEST(DrainSchedule, WithNoTimeUntilTheKillAllStreamsAreMigratedAtOnce) {
     control::DrainSchedule schedule(0, 0, true);
     EXPECT_EQ(schedule.streams_to_migrate(0, 7), 7u);
-    EXPECT_TRUE(schedule.answer_remaining(0));
+    EXPECT_TRUE(schedule.must_answer_remaining(0));
 }
 
 }  // namespace
