--- a/src/control/endpoint_incarnation.cpp
+++ b/src/control/endpoint_incarnation.cpp
@@ -25,7 +25,7 @@
     return std::max(kEarliestStart, incarnation + clock_offset_);
 }
 
-void EndpointIncarnations::forget(std::size_t listed, Millis now) {
+void EndpointIncarnations::drop_unlisted(std::size_t listed, Millis now) {
     if (entries_.size() <= 2 * listed + kMaxUnlisted) return;
     std::erase_if(entries_,
                   [now](const auto& entry) { return now - entry.second.last_listed > kUnlistedRetention; });
--- a/src/control/endpoint_incarnation.h
+++ b/src/control/endpoint_incarnation.h
@@ -30,7 +30,7 @@
     void on_full_list() { full_list_received_ = true; }
     // Drops endpoints that have been unlisted for long, once they are many compared to `listed`, the number
     // of listed ones.
-    void forget(std::size_t listed, Millis now);
+    void drop_unlisted(std::size_t listed, Millis now);
     std::size_t size() const { return entries_.size(); }
 
 private:
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -168,7 +168,7 @@
         }
     }
     if (full && source != Source::cached) incarnations_.on_full_list();
-    incarnations_.forget(endpoints_.size(), now);
+    incarnations_.drop_unlisted(endpoints_.size(), now);
     if (full) std::erase_if(ids_, [&](const auto& entry) { return !endpoints_.count(entry.second); });
     return update;
 }
--- a/tests/control/endpoint_incarnation_test.cpp
+++ b/tests/control/endpoint_incarnation_test.cpp
@@ -30,11 +30,11 @@
     EndpointIncarnations incarnations(kClockOffset);
     for (int i = 0; i < 66; ++i) incarnations.on_listed("old" + std::to_string(i), 1500, 0);
     incarnations.on_listed("listed", 1500, 70000);
-    incarnations.forget(2, 70000);
+    incarnations.drop_unlisted(2, 70000);
     EXPECT_EQ(incarnations.size(), 67U) << "not many compared to the listed ones";
-    incarnations.forget(1, 60000);
+    incarnations.drop_unlisted(1, 60000);
     EXPECT_EQ(incarnations.size(), 67U) << "not unlisted for long enough";
-    incarnations.forget(1, 70000);
+    incarnations.drop_unlisted(1, 70000);
     EXPECT_EQ(incarnations.size(), 1U);
 }
 
