--- a/src/control/invariant_checker.h
+++ b/src/control/invariant_checker.h
@@ -3,8 +3,9 @@
 // control/send_preconditions). No I/O; the caller supplies the clock, in ms.
 //
 // Each violation is counted by invariant and passed to on_violation.
-// Ownership: one per request lifecycle, its only caller. It holds one entry per request until forget(), and
-// one per leased KV cache, see control/lease_invariant. Errors: calls for an unknown request have no effect.
+// Ownership: one per request lifecycle, its only caller. It holds one entry per request until drop_request(),
+// and one per leased KV cache, see control/lease_invariant. Errors: calls for an unknown request have no
+// effect.
 #pragma once
 
 #include <array>
@@ -63,7 +64,7 @@
     void on_answered(Handle request, bool rejected, Millis now);
     void on_client_disconnected(Handle request);
     // Drops the request's entry; its KV lease remains.
-    void forget(Handle request) { requests_.erase(request); }
+    void drop_request(Handle request) { requests_.erase(request); }
 
     // ---- KV caches stored by prefills, see LeaseInvariant ----
     void on_prefill_answered(Handle request, Millis now, Millis stalled_for) {
--- a/src/platform/request_completion.cpp
+++ b/src/platform/request_completion.cpp
@@ -110,7 +110,7 @@
     if (!lease_keeper_.release_in_progress(request))
         context_.health_checker.on_request_ended(request.inbound.txn);
     context_.driver.cancel_timers(request);
-    context_.invariant_checker.forget(request.handle);
+    context_.invariant_checker.drop_request(request.handle);
     context_.requests.remove(request.handle);
 }
 
--- a/tests/control/invariant_checker_test.cpp
+++ b/tests/control/invariant_checker_test.cpp
@@ -50,7 +50,7 @@
     send_decode(0, 2, 200);
     checker.on_answered(0, false, 300);
     checker.on_attempt_ended(0, 2, false);
-    checker.forget(0);
+    checker.drop_request(0);
     EXPECT_TRUE(violated.empty());
     EXPECT_EQ(checker.size(), 2u);
 }
@@ -137,7 +137,7 @@
     check_at(10500);
     EXPECT_EQ(violated.size(), 2u) << "a release sent before the lease restarted proves nothing";
     checker.on_prefill_answered(1, 11000, 0);
-    checker.forget(1);
+    checker.drop_request(1);
     checker.on_release_answered(1, 11500);
     checker.on_prefill_answered(2, 11000, 0);
     checker.on_lease_taken(2);
