--- a/src/control/invariant_checker.h
+++ b/src/control/invariant_checker.h
@@ -81,7 +81,7 @@
     // May be called at any interval.
     void check_leases(Millis now, Millis stalled_for);
     // See LeaseInvariant::unanswered().
-    std::uint64_t unanswered_leases() const { return leases_.unanswered(); }
+    std::uint64_t unresponsive_overruns() const { return leases_.unanswered(); }
 
     // ---- results ----
     // The number of violations by Invariant.
--- a/src/platform/status_reporter.cpp
+++ b/src/platform/status_reporter.cpp
@@ -111,7 +111,7 @@
     fields["release_reasons"] = counts_by_name(kReleaseReasons, counters.release_reasons);
     fields["health_checks"] = {{"sent", lifecycle.health_checker().checks_sent()},
                                {"unanswered", lifecycle.health_checker().checks_unanswered()}};
-    fields["leases_unanswered"] = lifecycle.invariant_checker().unanswered_leases();
+    fields["leases_unanswered"] = lifecycle.invariant_checker().unresponsive_overruns();
     fields["longest_lease_ms"] = std::round(counters.longest_lease);
 }
 
--- a/tests/control/invariant_checker_test.cpp
+++ b/tests/control/invariant_checker_test.cpp
@@ -154,13 +154,13 @@
     checker.on_prefill_answered(0, 100, 0);
     checker.check_leases(5000, 0);
     EXPECT_TRUE(violated.empty());
-    EXPECT_EQ(checker.unanswered_leases(), 1u);
+    EXPECT_EQ(checker.unresponsive_overruns(), 1u);
     checker.on_prefill_answered(1, 6000, 0);
     for (int call = 0; call < 3; ++call) checker.on_release_called(1);
     checker.on_endpoint_answered(7000);
     checker.check_leases(8000, 0);
     EXPECT_TRUE(violated.empty()) << "three releases were sent and none was answered";
-    EXPECT_EQ(checker.unanswered_leases(), 2u);
+    EXPECT_EQ(checker.unresponsive_overruns(), 2u);
 }
 
 TEST_F(InvariantCheckerTest, ALateOrSecondAnswerIsAViolation) {
