--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -58,7 +58,7 @@
     // runs.
     virtual proxy::UpstreamRequest release_request(const std::string& id) const = 0;
     // Interprets a complete response to a prefill.
-    virtual ParsedResponse judge_prefill(int status, const std::string& body) const = 0;
+    virtual ParsedResponse parse_prefill_response(int status, const std::string& body) const = 0;
     // Interprets a response to a decode that is not a stream.
     virtual ParsedResponse parse_rejection(int status, const std::string& body) const = 0;
     // Replaces the contents of `pieces` with the parts of one event, in order; at most one text, one stop and
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -231,7 +231,7 @@
         return post("/abort_request", Json{{"rid", id}}, {id, {}, {}, 0});
     }
 
-    ParsedResponse judge_prefill(int status, const std::string& body) const override {
+    ParsedResponse parse_prefill_response(int status, const std::string& body) const override {
         if (status != 200) return parse_error_response(status, body);
         ParsedResponse parsed;
         const Json json = api::parse_json(body, parsed.why);
--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -142,7 +142,7 @@
         if (progress_ != StreamProgress::stopped) return fail_response("stream ended without a stop reason");
         return finish_served();
     }
-    const auto parsed = is_prefill_ ? dialect_.judge_prefill(parser_.status, body_)
+    const auto parsed = is_prefill_ ? dialect_.parse_prefill_response(parser_.status, body_)
                                     : dialect_.parse_rejection(parser_.status, body_);
     AttemptOutcome outcome;
     outcome.result = parsed.result;
