--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -60,7 +60,7 @@
     // Interprets a complete response to a prefill.
     virtual ParsedResponse parse_prefill_response(int status, const std::string& body) const = 0;
     // Interprets a response to a decode that is not a stream.
-    virtual ParsedResponse parse_rejection(int status, const std::string& body) const = 0;
+    virtual ParsedResponse parse_decode_error(int status, const std::string& body) const = 0;
     // Replaces the contents of `pieces` with the parts of one event, in order; at most one text, one stop and
     // one usage.
     virtual void parse_event(std::string_view data, std::vector<StreamPiece>& pieces) const = 0;
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -249,7 +249,7 @@
         return parsed;
     }
 
-    ParsedResponse parse_rejection(int status, const std::string& body) const override {
+    ParsedResponse parse_decode_error(int status, const std::string& body) const override {
         ParsedResponse parsed = parse_error_response(status, body);
         if (status == 200) parsed.why = "response with status 200 is not an event stream";
         return parsed;
--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -143,7 +143,7 @@
         return finish_served();
     }
     const auto parsed = is_prefill_ ? dialect_.parse_prefill_response(parser_.status, body_)
-                                    : dialect_.parse_rejection(parser_.status, body_);
+                                    : dialect_.parse_decode_error(parser_.status, body_);
     AttemptOutcome outcome;
     outcome.result = parsed.result;
     outcome.detail = parsed.note;
