--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -29,7 +29,7 @@
 // The meaning of a complete response, or of its head.
 struct ParsedResponse {
     AttemptResult result = AttemptResult::error;
-    double note = 0;         // as AttemptEnded::detail
+    double detail = 0;       // as AttemptEnded::detail
     std::string parameters;  // prefill_done: transfer parameters for the decode, as the engine sent them
     std::string why;         // the reason for the log if the attempt did not succeed
 };
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -79,7 +79,7 @@
     // Only responses that state that nothing ran count as not run: 429 at admission, and a missing KV cache.
     if (status == 429) parsed.result = AttemptResult::rejected;
     if (status == 424 && error_type(json) == "kv_transfer_error")
-        parsed.result = AttemptResult::rejected, parsed.note = 1;
+        parsed.result = AttemptResult::rejected, parsed.detail = 1;
     return parsed;
 }
 
@@ -245,7 +245,7 @@
         parsed.result = AttemptResult::prefill_done;
         parsed.parameters = params->dump();
         if (const auto usage = json.find("usage"); usage != json.end() && usage->is_object())
-            parsed.note = static_cast<double>(usage_of(*usage).cached);
+            parsed.detail = static_cast<double>(usage_of(*usage).cached);
         return parsed;
     }
 
--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -146,7 +146,7 @@
                                     : dialect_.parse_decode_error(parser_.status, body_);
     AttemptOutcome outcome;
     outcome.result = parsed.result;
-    outcome.detail = parsed.note;
+    outcome.detail = parsed.detail;
     outcome.parameters = parsed.parameters;
     outcome.why = parsed.why;
     finish(std::move(outcome));
