--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -31,7 +31,7 @@
     AttemptResult result = AttemptResult::error;
     double detail = 0;       // as AttemptEnded::detail
     std::string parameters;  // prefill_done: transfer parameters for the decode, as the engine sent them
-    std::string why;         // the reason for the log if the attempt did not succeed
+    std::string reason;      // the reason for the log if the attempt did not succeed
 };
 
 // One part of the meaning of a stream's event.
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -72,10 +72,10 @@
 }
 
 ParsedResponse parse_error_response(int status, const std::string& body) {
-    std::string why;
-    const Json json = api::parse_json(body, why);
+    std::string reason;
+    const Json json = api::parse_json(body, reason);
     ParsedResponse parsed;
-    parsed.why = "status " + std::to_string(status) + ": " + error_text(json);
+    parsed.reason = "status " + std::to_string(status) + ": " + error_text(json);
     // Only responses that state that nothing ran count as not run: 429 at admission, and a missing KV cache.
     if (status == 429) parsed.result = AttemptResult::rejected;
     if (status == 424 && error_type(json) == "kv_transfer_error")
@@ -234,12 +234,12 @@
     ParsedResponse parse_prefill_response(int status, const std::string& body) const override {
         if (status != 200) return parse_error_response(status, body);
         ParsedResponse parsed;
-        const Json json = api::parse_json(body, parsed.why);
+        const Json json = api::parse_json(body, parsed.reason);
         const auto params = json.is_object() ? json.find("kv_transfer_params") : json.end();
         // Without transfer parameters no decode can fetch the KV cache, so the next attempt prefills again.
         if (!json.is_object() || params == json.end() || !params->is_object() ||
             !params->value("do_remote_prefill", Json()).is_boolean() || !params->at("do_remote_prefill")) {
-            parsed.why = "prefill response: kv_transfer_params with do_remote_prefill true not found";
+            parsed.reason = "prefill response: kv_transfer_params with do_remote_prefill true not found";
             return parsed;
         }
         parsed.result = AttemptResult::prefill_done;
@@ -251,7 +251,7 @@
 
     ParsedResponse parse_decode_error(int status, const std::string& body) const override {
         ParsedResponse parsed = parse_error_response(status, body);
-        if (status == 200) parsed.why = "response with status 200 is not an event stream";
+        if (status == 200) parsed.reason = "response with status 200 is not an event stream";
         return parsed;
     }
 
@@ -264,8 +264,8 @@
         ChunkReader chunk;
         const bool is_valid = Json::sax_parse(data, &chunk);
         if (!is_valid || !chunk.object || chunk.error) {
-            const std::string why = chunk.error ? chunk.error_text : "stream event is not a JSON object";
-            pieces.push_back({StreamPiece::Kind::broken, why.substr(0, kMaxErrorTextBytes), {}, {}});
+            const std::string reason = chunk.error ? chunk.error_text : "stream event is not a JSON object";
+            pieces.push_back({StreamPiece::Kind::broken, reason.substr(0, kMaxErrorTextBytes), {}, {}});
             return;
         }
         if (!chunk.text.empty()) pieces.push_back({StreamPiece::Kind::text, std::move(chunk.text), {}, {}});
--- a/src/gateway/request_attempts.cpp
+++ b/src/gateway/request_attempts.cpp
@@ -250,7 +250,7 @@
                       {"attempt", number},
                       {"endpoint", endpoint},
                       {"result", name(outcome.result)},
-                      {"why", outcome.why}});
+                      {"why", outcome.reason}});
 }
 
 // ---- leases ---------------------------------------------------------------------------------------------
--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -148,7 +148,7 @@
     outcome.result = parsed.result;
     outcome.detail = parsed.detail;
     outcome.parameters = parsed.parameters;
-    outcome.why = parsed.why;
+    outcome.reason = parsed.reason;
     finish(std::move(outcome));
 }
 
@@ -180,16 +180,16 @@
 }
 
 // Ends the attempt after an invalid response: as a reset if the stream has begun, else as an error.
-void UpstreamExchange::fail_response(std::string why) {
-    fail_attempt(begun() ? AttemptResult::reset : AttemptResult::error, std::move(why));
+void UpstreamExchange::fail_response(std::string reason) {
+    fail_attempt(begun() ? AttemptResult::reset : AttemptResult::error, std::move(reason));
 }
 
-void UpstreamExchange::fail_attempt(AttemptResult result, std::string why) {
+void UpstreamExchange::fail_attempt(AttemptResult result, std::string reason) {
     if (over_) return;
     connection_ = ConnectionUse::unusable;
     AttemptOutcome outcome;
     outcome.result = result;
-    outcome.why = std::move(why);
+    outcome.reason = std::move(reason);
     finish(std::move(outcome));
 }
 
--- a/src/gateway/upstream_exchange.h
+++ b/src/gateway/upstream_exchange.h
@@ -18,7 +18,7 @@
     AttemptResult result = AttemptResult::error;
     double detail = 0;       // see AttemptEnded::detail
     std::string parameters;  // of prefill_done: KV transfer parameters for the decode request
-    std::string why;         // the reason, for the log
+    std::string reason;      // the reason, for the log
     api::StopReason stop_reason = api::StopReason::end;
     std::string stop_sequence;  // if `stop_reason` is StopReason::sequence
     api::Usage usage;           // of a served decode attempt
@@ -79,8 +79,8 @@
     void on_message_complete();
     void begin_stream();
     void finish_served();
-    void fail_response(std::string why);
-    void fail_attempt(AttemptResult result, std::string why);
+    void fail_response(std::string reason);
+    void fail_attempt(AttemptResult result, std::string reason);
     void finish(AttemptOutcome outcome);
 
     const engine::Dialect& dialect_;
--- a/tests/gateway/upstream_exchange_test.cpp
+++ b/tests/gateway/upstream_exchange_test.cpp
@@ -205,7 +205,7 @@
             const Observed observed = run_exchange(tested.is_prefill, tested.bytes, tested.after, size);
             EXPECT_EQ(observed.ends, 1);
             EXPECT_EQ(static_cast<int>(observed.outcome.result), static_cast<int>(tested.result))
-                << observed.outcome.why;
+                << observed.outcome.reason;
             EXPECT_EQ(observed.text, tested.text);
             EXPECT_EQ(observed.reusable, tested.reusable);
         }
