--- a/src/platform/attempt_runner.cpp
+++ b/src/platform/attempt_runner.cpp
@@ -192,7 +192,7 @@
     ended.result = outcome.result;
     ended.took = attempt->ended_at - attempt->started_at;
     ended.detail = outcome.detail;
-    if (outcome.begun && !request->closed) {
+    if (outcome.stream_begun && !request->closed) {
         completion_.finish_stream(*request, outcome.result);
         request = context_.requests.find(key.handle);
     }
--- a/src/platform/upstream_exchange.cpp
+++ b/src/platform/upstream_exchange.cpp
@@ -131,7 +131,7 @@
     outcome.result = result;
     outcome.status = status_;
     outcome.detail = detail;
-    outcome.begun = stream_begun_;
+    outcome.stream_begun = stream_begun_;
     body_ = std::string();
     const auto callback = std::move(on_ended);
     if (callback) callback(outcome);
--- a/src/platform/upstream_exchange.h
+++ b/src/platform/upstream_exchange.h
@@ -22,9 +22,9 @@
 // How an exchange ended.
 struct AttemptOutcome {
     AttemptResult result = AttemptResult::error;
-    int status = 0;      // of the response; 0: none received
-    double detail = 0;   // as AttemptEnded::detail
-    bool begun = false;  // the stream had begun
+    int status = 0;     // of the response; 0: none received
+    double detail = 0;  // as AttemptEnded::detail
+    bool stream_begun = false;
 };
 
 // Ownership: shared between the caller that started it and the connection that carries it. Errors: a
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -249,7 +249,8 @@
         text += b;
     };
     exchange.on_ended = [&](const platform::AttemptOutcome& outcome) {
-        need(++ends == 1 && outcome.begun == (firsts == 1), "one end, which knows whether it had begun");
+        need(++ends == 1 && outcome.stream_begun == (firsts == 1),
+             "one end, which knows whether it had begun");
         result = static_cast<int>(outcome.result);
     };
     exchange.on_first_byte_sent(), exchange.on_request_written();
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -356,7 +356,7 @@
     EXPECT_EQ(incomplete.events, "");
     incomplete.exchange->on_connection_closed();
     EXPECT_EQ(incomplete.end->result, AttemptResult::reset);
-    EXPECT_FALSE(incomplete.end->begun);
+    EXPECT_FALSE(incomplete.end->stream_begun);
 }
 
 TEST(UpstreamExchangeTest, ARequestThatBrokeBeforeItsLastByteNeverRan) {
