--- a/src/engine/dialect.h
+++ b/src/engine/dialect.h
@@ -36,8 +36,8 @@
 
 // One part of the meaning of a stream's event.
 struct StreamPiece {
-    enum class Kind { none, text, stop, usage, done, broken } kind = Kind::none;
-    std::string text;  // stop: the matched stop string, if the engine sends it; broken: the reason
+    enum class Kind { none, text, stop, usage, done, error } kind = Kind::none;
+    std::string text;  // stop: the matched stop string, if the engine sends it; error: the reason
     api::StopReason stop = api::StopReason::end;
     api::Usage usage;
 };
--- a/src/engine/vllm.cpp
+++ b/src/engine/vllm.cpp
@@ -265,7 +265,7 @@
         const bool is_valid = Json::sax_parse(data, &chunk);
         if (!is_valid || !chunk.object || chunk.error) {
             const std::string reason = chunk.error ? chunk.error_text : "stream event is not a JSON object";
-            pieces.push_back({StreamPiece::Kind::broken, reason.substr(0, kMaxErrorTextBytes), {}, {}});
+            pieces.push_back({StreamPiece::Kind::error, reason.substr(0, kMaxErrorTextBytes), {}, {}});
             return;
         }
         if (!chunk.text.empty()) pieces.push_back({StreamPiece::Kind::text, std::move(chunk.text), {}, {}});
--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -98,7 +98,7 @@
             return;
         case Kind::done:
             return on_stream_done();
-        case Kind::broken:
+        case Kind::error:
             connection_ = ConnectionUse::unusable;
             return fail_response("error in the engine's stream: " + piece.text);
     }
