--- a/src/api/chat.cpp
+++ b/src/api/chat.cpp
@@ -16,7 +16,7 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-Json parse_json(std::string_view text, std::string& why, int max_depth) {
+Json parse_json(std::string_view text, std::string& reason, int max_depth) {
     // The depth limit prevents a stack overflow when the value is traversed or serialized. Duplicate keys are
     // rejected because two parsers of one body could use different ones. Lenient parsers accept more than
     // this.
@@ -33,9 +33,9 @@
     try {
         return Json::parse(text, check_event);
     } catch (const Json::parse_error& json) {
-        why = "not valid JSON at byte " + std::to_string(json.byte);
+        reason = "not valid JSON at byte " + std::to_string(json.byte);
     } catch (const std::exception& error) {
-        why = error.what();
+        reason = error.what();
     }
     return Json(Json::value_t::discarded);
 }
--- a/src/api/chat.h
+++ b/src/api/chat.h
@@ -51,8 +51,8 @@
 std::uint64_t hash(std::string_view text, std::uint64_t seed = 0);
 
 // Parses untrusted JSON: nested at most `max_depth` deep, no duplicate key in an object, valid UTF-8. On
-// failure returns a discarded value and sets `why` to the reason.
-Json parse_json(std::string_view text, std::string& why, int max_depth = 64);
+// failure returns a discarded value and sets `reason`.
+Json parse_json(std::string_view text, std::string& reason, int max_depth = 64);
 
 // Why an engine ended its answer.
 enum class StopReason { end, length, sequence, refused };
--- a/src/api/messages.cpp
+++ b/src/api/messages.cpp
@@ -13,8 +13,8 @@
 // Keeps members in the order of the public reference.
 using OrderedJson = nlohmann::ordered_json;
 
-ApiError invalid_request(const std::string& path, const std::string& why) {
-    return {400, "invalid_request_error", path.empty() ? why : path + ": " + why};
+ApiError invalid_request(const std::string& path, const std::string& reason) {
+    return {400, "invalid_request_error", path.empty() ? reason : path + ": " + reason};
 }
 
 constexpr std::array kSupportedFields = {"model",          "messages", "max_tokens",  "system",
@@ -409,9 +409,9 @@
 }  // namespace
 
 std::variant<ChatRequest, ApiError> parse(std::string_view body, bool count_only, const Version& version) {
-    std::string why;
-    const Json json = parse_json(body, why);
-    if (json.is_discarded()) return invalid_request("", "the body is " + why);
+    std::string reason;
+    const Json json = parse_json(body, reason);
+    if (json.is_discarded()) return invalid_request("", "the body is " + reason);
     ChatRequest chat;
     if (auto error = parse_fields(json, count_only, version, chat)) return *error;
     set_derived_fields(chat);
--- a/src/engine/load_report.cpp
+++ b/src/engine/load_report.cpp
@@ -39,8 +39,8 @@
 
 LoadReport parse_json_format(std::string_view text) {
     LoadReport report;
-    std::string why;
-    const Json json = api::parse_json(text, why, kMaxJsonDepth);
+    std::string reason;
+    const Json json = api::parse_json(text, reason, kMaxJsonDepth);
     if (!json.is_object()) return report;
     for (const auto& [name, value] : json.items()) {
         if (value.is_number()) set_metric(report, name, value.get<double>());
--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -268,8 +268,8 @@
 }
 
 void Engine::complete(Connection& link, const std::string& body) {
-    std::string why;
-    const Json json = api::parse_json(body, why);
+    std::string reason;
+    const Json json = api::parse_json(body, reason);
     if (!json.is_object() || !json.contains("messages"))
         return link.answer(400, error_json("invalid_request_error", "bad body"), load_header());
     ActiveRequest request = parse_completion(link, json);
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -110,8 +110,8 @@
             const auto& chat = std::get<api::ChatRequest>(parsed);
             need(!chat.messages.empty() && chat.prompt_tokens > 0, "what is taken has turns");
             const auto wanted = dialect->decode_request(chat, {"req_1.0", "", "c", 0}, "");
-            std::string why;
-            const auto sent = api::parse_json(wanted.body, why);
+            std::string reason;
+            const auto sent = api::parse_json(wanted.body, reason);
             need(sent.is_object() && sent["messages"].size() == chat.messages.size(),
                  "what goes to the engine is the same, well-formed");
         }
@@ -195,17 +195,18 @@
 void discovery(std::string_view bytes) {
     const auto names = named();
     platform::EndpointList hosts(names, 0);
-    std::string why;
+    std::string reason;
     need(
         hosts
             .take(
                 R"({"seq":1,"whole":true,"hosts":[{"host":"x","dial":"127.0.0.1:1","site":"a","class":"decode",
         "health":"up"}]})",
-                platform::EndpointList::Source::same_address, 0, why)
+                platform::EndpointList::Source::same_address, 0, reason)
             .has_value(),
         "a good list is taken");
-    const auto update = hosts.take(std::string(bytes), platform::EndpointList::Source::same_address, 0, why);
-    need(update.has_value() == why.empty(), "a list or the reason why not");
+    const auto update =
+        hosts.take(std::string(bytes), platform::EndpointList::Source::same_address, 0, reason);
+    need(update.has_value() == reason.empty(), "a list or the reason why not");
     if (!update) need(hosts.all().size() == 1 && hosts.version() == 1, "a bad one changes nothing");
     for (const auto& [id, h] : hosts.all())
         need(h.endpoint.id == id && !h.dial_address.empty(), "entries are whole");
