--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -329,9 +329,9 @@
 
 std::optional<Program> load(const std::string& file, std::vector<FileFault>& faults) {
     std::string text;
-    std::string why;
-    if (!read_file(file, text, why)) {
-        faults.push_back({0, "", why});
+    std::string error;
+    if (!read_file(file, text, error)) {
+        faults.push_back({0, "", error});
         return std::nullopt;
     }
     return parse(text, file, faults);
--- a/src/settings/xml.cpp
+++ b/src/settings/xml.cpp
@@ -165,25 +165,25 @@
 std::unique_ptr<Document> Document::load(const std::string& file, const char* root,
                                          std::vector<FileFault>& faults) {
     std::string text;
-    std::string why;
-    if (!read_file(file, text, why)) {
-        faults.push_back({0, "", why});
+    std::string error;
+    if (!read_file(file, text, error)) {
+        faults.push_back({0, "", error});
         return nullptr;
     }
     return parse(text, root, faults);
 }
 
-bool read_file(const std::string& file, std::string& out, std::string& why) {
+bool read_file(const std::string& file, std::string& out, std::string& error) {
     std::ifstream in(file, std::ios::binary);
     std::ostringstream content;
     if (!in || !(content << in.rdbuf())) {
-        why = "the file can't be read or is empty";
+        error = "the file can't be read or is empty";
         return false;
     }
     out = content.str();
     if (out.size() <= kMaxFileBytes) return true;
-    why = "the file has " + std::to_string(out.size()) + " bytes, more than the limit of " +
-          std::to_string(kMaxFileMib) + " MiB";
+    error = "the file has " + std::to_string(out.size()) + " bytes, more than the limit of " +
+            std::to_string(kMaxFileMib) + " MiB";
     return false;
 }
 
--- a/src/settings/xml.h
+++ b/src/settings/xml.h
@@ -62,7 +62,7 @@
     void* doc_ = nullptr;
 };
 
-// Reads a whole file. False, with the error in `why`, if it can't be read or is larger than 16 MiB.
-bool read_file(const std::string& file, std::string& out, std::string& why);
+// Reads a whole file. False, with the message in `error`, if it can't be read or is larger than 16 MiB.
+bool read_file(const std::string& file, std::string& out, std::string& error);
 
 }  // namespace gorsenotch::settings
