--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -53,8 +53,8 @@
     loop_.before_poll = [this](Millis due) { lifecycle_->before_poll(due); };
     loop_.after_poll = [this] { lifecycle_->after_poll(loop_.last_poll()); };
     if (!options_.journal_file.empty()) {
-        journal_ = state::open_journal(options_.journal_file, seed, [this](const std::string& why) {
-            log("error", "journal", {{"why", why}});
+        journal_ = state::open_journal(options_.journal_file, seed, [this](const std::string& reason) {
+            log("error", "journal", {{"why", reason}});
         });
         lifecycle_->observer = journal_.get();
     }
@@ -120,10 +120,10 @@
     if (!options_.state_folder.empty()) {
         snapshot_store_ = std::make_shared<state::SnapshotStore>(options_.state_folder, "fleet");
         const state::LoadedSnapshot snapshot = snapshot_store_->load();
-        std::string why = snapshot.error ? snapshot.error->message : "";
+        std::string reason = snapshot.error ? snapshot.error->message : "";
         if (snapshot.text) engines = settings::parse_fleet(*snapshot.text, program_, faults);
-        if (!faults.empty()) why = settings::render("cached endpoint list", faults);
-        if (!why.empty()) log("warn", "cached_endpoint_list", {{"why", why}});
+        if (!faults.empty()) reason = settings::render("cached endpoint list", faults);
+        if (!reason.empty()) log("warn", "cached_endpoint_list", {{"why", reason}});
     }
     if (engines) {
         lifecycle_->on_endpoint_list(*engines, true);
@@ -135,14 +135,14 @@
 void Gateway::reload_fleet() {
     const net::ActivityScope activity(loop_, "list");
     std::string text;
-    std::string why;
+    std::string reason;
     std::vector<settings::FileFault> faults;
     std::optional<std::vector<settings::Engine>> engines;
-    if (!settings::read_file(program_.fleet_file, text, why)) {
+    if (!settings::read_file(program_.fleet_file, text, reason)) {
         // Guards against missing this version for good: the file does not change when it becomes readable.
         if (fleet_watcher_) fleet_watcher_->report_again();
         if (std::exchange(fleet_file_unreadable_, true)) return;
-        faults.push_back({0, "", why + "; will retry"});
+        faults.push_back({0, "", reason + "; will retry"});
     } else {
         fleet_file_unreadable_ = false;
         engines = settings::parse_fleet(text, program_, faults);
@@ -162,21 +162,21 @@
     unsaved_endpoint_list_ = std::move(text);
     if (saving_) return;
     saving_ = true;
-    const auto why = std::make_shared<std::string>();
+    const auto reason = std::make_shared<std::string>();
     const auto list = std::make_shared<std::string>(*std::exchange(unsaved_endpoint_list_, std::nullopt));
     net::run_on_thread_pool(
         loop_,
-        [store = snapshot_store_, list, why] {
-            if (const auto error = store->save(*list)) *why = error->message;
+        [store = snapshot_store_, list, reason] {
+            if (const auto error = store->save(*list)) *reason = error->message;
         },
-        [this, alive = std::weak_ptr<bool>(alive_), list, why] {
+        [this, alive = std::weak_ptr<bool>(alive_), list, reason] {
             if (alive.expired()) return;
             saving_ = false;
             // Guards against an outdated list at the next start after the file system was full or failed for
             // a while.
-            if (!why->empty()) {
+            if (!reason->empty()) {
                 if (!std::exchange(save_failed_, true))
-                    log("warn", "cached_endpoint_list", {{"why", *why + "; will retry"}});
+                    log("warn", "cached_endpoint_list", {{"why", *reason + "; will retry"}});
                 if (!unsaved_endpoint_list_) unsaved_endpoint_list_ = std::move(*list);
                 return save_retry_timer_.fire_after(kSaveRetryDelay);
             }
