--- a/src/api/chat.h
+++ b/src/api/chat.h
@@ -78,7 +78,7 @@
     std::string fail(const ApiError& error);
     // Keeps an idle stream alive; ignored before begin().
     std::string ping();
-    bool begun() const { return begun_; }
+    bool has_begun() const { return begun_; }
     bool ended() const { return ended_; }
     // The number of ignored calls.
     long ignored_calls() const { return ignored_calls_; }
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -209,7 +209,7 @@
 void RequestLifecycle::reject(OpenRequest& request, const api::ApiError& error, Millis retry_after,
                               bool should_retry) {
     if (request.closed) return;
-    const bool streaming = request.request.chat.stream && request.request.answer->begun();
+    const bool streaming = request.request.chat.stream && request.request.answer->has_begun();
     if (streaming) return fail_stream(request, error);
     Client* client = std::exchange(request.request.client, nullptr);
     request.request.answer->fail(error);
