--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -120,8 +120,8 @@
                     std::to_string(version)};
 }
 
-std::optional<EndpointUpdate> EndpointList::take(const std::string& body, Source source, Millis now,
-                                                 std::string& rejection) {
+std::optional<EndpointUpdate> EndpointList::apply(const std::string& body, Source source, Millis now,
+                                                  std::string& rejection) {
     try {
         const Json json = Json::parse(body, nullptr, false);
         if (json.is_discarded() || !json.is_object()) throw ListError{"expected a JSON object"};
--- a/src/platform/endpoint_list.h
+++ b/src/platform/endpoint_list.h
@@ -35,7 +35,7 @@
 };
 
 // Ownership: the listed endpoints, and the ids of their names. Pointers from find() stay valid until the next
-// take(). Times: an endpoint's start is on the monotonic clock, see control/endpoint_incarnation; an
+// apply(). Times: an endpoint's start is on the monotonic clock, see control/endpoint_incarnation; an
 // incarnation always keeps the same start time, so that it is never mistaken for a new one. Errors: text that
 // is malformed, or older than the current list, changes no endpoint, and the reason is returned. Threading:
 // one thread.
@@ -51,8 +51,8 @@
     enum class Source { cached, same_address, new_address };
     // Applies a full list or changes. Returns the update for the Router, or nothing and the reason in
     // `rejection`.
-    std::optional<EndpointUpdate> take(const std::string& text, Source source, Millis now,
-                                       std::string& rejection);
+    std::optional<EndpointUpdate> apply(const std::string& text, Source source, Millis now,
+                                        std::string& rejection);
     // The version of the current list.
     std::uint64_t version() const { return version_; }
     // Null if the endpoint is not listed.
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -131,7 +131,7 @@
     const auto source =
         from_new_address ? EndpointList::Source::new_address : EndpointList::Source::same_address;
     std::string rejection;
-    auto update = endpoints_.take(text, source, net::now(), rejection);
+    auto update = endpoints_.apply(text, source, net::now(), rejection);
     if (!update) {
         log("warn", "list_refused", rejection);
         return std::nullopt;
@@ -152,7 +152,7 @@
 void Node::load_cached_list() {
     if (config_.cached_list.empty()) return;
     std::string rejection;
-    auto update = endpoints_.take(config_.cached_list, EndpointList::Source::cached, net::now(), rejection);
+    auto update = endpoints_.apply(config_.cached_list, EndpointList::Source::cached, net::now(), rejection);
     if (update)
         lifecycle_.on_endpoint_update(std::move(*update));
     else
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -198,14 +198,14 @@
     std::string reason;
     need(
         hosts
-            .take(
+            .apply(
                 R"({"seq":1,"whole":true,"hosts":[{"host":"x","dial":"127.0.0.1:1","site":"a","class":"decode",
         "health":"up"}]})",
                 platform::EndpointList::Source::same_address, 0, reason)
             .has_value(),
         "a good list is taken");
     const auto update =
-        hosts.take(std::string(bytes), platform::EndpointList::Source::same_address, 0, reason);
+        hosts.apply(std::string(bytes), platform::EndpointList::Source::same_address, 0, reason);
     need(update.has_value() == reason.empty(), "a list or the reason why not");
     if (!update) need(hosts.all().size() == 1 && hosts.version() == 1, "a bad one changes nothing");
     for (const auto& [id, h] : hosts.all())
--- a/tests/platform/client_connections_fixture.h
+++ b/tests/platform/client_connections_fixture.h
@@ -30,7 +30,7 @@
 
     void start(ClientConnections::Config listener_config) {
         std::string rejection;
-        auto list = endpoints.take(config.cached_list, EndpointList::Source::same_address, 0, rejection);
+        auto list = endpoints.apply(config.cached_list, EndpointList::Source::same_address, 0, rejection);
         ASSERT_TRUE(list) << rejection;
         lifecycle.on_endpoint_update(std::move(*list));
         listener_config.listen = "127.0.0.1:0";
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -57,7 +57,7 @@
     std::optional<EndpointUpdate> apply(const std::string& text,
                                         EndpointList::Source source = EndpointList::Source::same_address) {
         rejection.clear();
-        return endpoints.take(text, source, now_ms, rejection);
+        return endpoints.apply(text, source, now_ms, rejection);
     }
     static std::string row(const char* name, const char* health, long born = 0) {
         return std::string("{\"host\":\"") + name +
--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -115,7 +115,8 @@
     }
     void apply_list(const std::string& text) {
         std::string rejection;
-        auto update = endpoints.take(text, EndpointList::Source::same_address, environment.now_ms, rejection);
+        auto update =
+            endpoints.apply(text, EndpointList::Source::same_address, environment.now_ms, rejection);
         ASSERT_TRUE(update) << rejection;
         lifecycle.on_endpoint_update(std::move(*update));
     }
