--- a/src/platform/client_connection.cpp
+++ b/src/platform/client_connection.cpp
@@ -125,7 +125,8 @@
     is_readiness_check_ = parser_.method == "GET" && parser_.target == kReadinessPath;
     if (is_readiness_check_) return;
     auto head = read_head(group_.named, parser_);
-    if (const auto* refusal = std::get_if<Refusal>(&head)) return reject(refusal->status, refusal->why);
+    if (const auto* refusal = std::get_if<RequestError>(&head))
+        return reject(refusal->status, refusal->message);
     if (group_.body_bytes > group_.limits.max_body_bytes)
         return reject(503, "too many bytes of request bodies are being received");
     inbound_ = std::get<Inbound>(std::move(head));
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -122,14 +122,14 @@
 };
 
 // Each of the functions below reads one part of the head and returns an error, or nothing.
-using Rejection = std::optional<Refusal>;
+using Rejection = std::optional<RequestError>;
 
 Rejection check_request_line(const http::Parser& parser) {
     const auto path = std::string_view(parser.target).substr(0, parser.target.find('?'));
-    if (path != kCompletionsPath) return Refusal{404, "path not found"};
-    if (parser.method != "POST") return Refusal{405, "method not allowed: expected POST"};
+    if (path != kCompletionsPath) return RequestError{404, "path not found"};
+    if (parser.method != "POST") return RequestError{405, "method not allowed: expected POST"};
     if (!is_visible_ascii(parser.target))
-        return Refusal{400, "request target: expected only visible ASCII characters"};
+        return RequestError{400, "request target: expected only visible ASCII characters"};
     return std::nullopt;
 }
 
@@ -138,15 +138,16 @@
     for (const auto& [name, value] : headers) {
         // Guards against different interpretations of one request: a known header may be given only once.
         if (const std::string** slot = known.find(name)) {
-            if (*slot) return Refusal{400, name + ": given more than once"};
+            if (*slot) return RequestError{400, name + ": given more than once"};
             *slot = &value;
         }
         if (name == "transfer-encoding" && value != "chunked")
-            return Refusal{400, "transfer-encoding: expected chunked, got \"" + value + "\""};
+            return RequestError{400, "transfer-encoding: expected chunked, got \"" + value + "\""};
         // Guards against dropping a header that an endpoint uses, such as its idempotency key, tracing and
         // content headers. The cost is forwarding bytes that no endpoint reads.
         if (!is_forwarded(name)) continue;
-        if (!is_valid_header_value(value)) return Refusal{400, name + ": value contains a control character"};
+        if (!is_valid_header_value(value))
+            return RequestError{400, name + ": value contains a control character"};
         head.append(name).append(": ").append(value).append("\r\n");
     }
     return std::nullopt;
@@ -154,17 +155,17 @@
 
 Rejection read_transaction(const std::string* header, std::string& transaction) {
     if (!header || header->empty() || header->size() > kMaxTransactionLength || !is_visible_ascii(*header))
-        return Refusal{400, "x-txn: expected 1 to 128 visible ASCII characters"};
+        return RequestError{400, "x-txn: expected 1 to 128 visible ASCII characters"};
     if (header->find('/') != std::string::npos || header->find('?') != std::string::npos)
-        return Refusal{400, "x-txn: must not contain / or ?, got \"" + *header + "\""};
+        return RequestError{400, "x-txn: must not contain / or ?, got \"" + *header + "\""};
     transaction = *header;
     return std::nullopt;
 }
 
 Rejection read_class(const settings::NamedSettings& named, const std::string* lane, Arrival& arrival) {
-    if (!lane) return Refusal{400, "x-lane: header is required"};
+    if (!lane) return RequestError{400, "x-lane: header is required"};
     const auto cls = named.classes.find(*lane);
-    if (cls == named.classes.end()) return Refusal{400, "x-lane: unknown class \"" + *lane + "\""};
+    if (cls == named.classes.end()) return RequestError{400, "x-lane: unknown class \"" + *lane + "\""};
     arrival.cls = cls->second;
     return std::nullopt;
 }
@@ -174,7 +175,7 @@
     arrival.tenant = -1;
     if (named.tenants.empty()) return std::nullopt;
     const auto tenant = organization ? named.tenants.find(*organization) : named.tenants.end();
-    if (tenant == named.tenants.end()) return Refusal{400, "x-org: missing or unknown tenant"};
+    if (tenant == named.tenants.end()) return RequestError{400, "x-org: missing or unknown tenant"};
     arrival.tenant = tenant->second;
     return std::nullopt;
 }
@@ -182,33 +183,35 @@
 // Parses a number of milliseconds followed by m, or of microseconds followed by u.
 Rejection read_remaining(const std::string* header, Arrival& arrival) {
     if (!header || header->size() < 2)
-        return Refusal{400, "x-remaining: expected a number followed by m or u"};
+        return RequestError{400, "x-remaining: expected a number followed by m or u"};
     const char unit = header->back();
     const double remaining = parse_amount(std::string_view(*header).substr(0, header->size() - 1));
     if (remaining <= 0 || (unit != 'm' && unit != 'u') || remaining > kMaxRemaining)
-        return Refusal{400,
-                       "x-remaining: expected a number above 0 and up to 1e9, followed by m or u, got \"" +
-                           *header + "\""};
+        return RequestError{
+            400, "x-remaining: expected a number above 0 and up to 1e9, followed by m or u, got \"" +
+                     *header + "\""};
     arrival.deadline = unit == 'm' ? remaining : remaining / 1000;
     return std::nullopt;
 }
 
 Rejection read_hints(const KnownHeaders& known, Arrival& arrival) {
     if (known.labels && !read_labels(*known.labels, arrival))
-        return Refusal{400, "x-labels: expected comma-separated name=value pairs with valid values"};
+        return RequestError{400, "x-labels: expected comma-separated name=value pairs with valid values"};
     arrival.client_retry = known.resent && *known.resent == "1";
     arrival.resumed = known.resent && *known.resent == "again";
     if (!known.estimate) return std::nullopt;
     const double work = parse_amount(*known.estimate);
     if (work < 0)
-        return Refusal{400, "x-estimate: expected a non-negative number, got \"" + *known.estimate + "\""};
+        return RequestError{400,
+                            "x-estimate: expected a non-negative number, got \"" + *known.estimate + "\""};
     arrival.length_hint = work / 1000;
     return std::nullopt;
 }
 
 }  // namespace
 
-std::variant<Refusal, Inbound> read_head(const settings::NamedSettings& named, const http::Parser& parser) {
+std::variant<RequestError, Inbound> read_head(const settings::NamedSettings& named,
+                                              const http::Parser& parser) {
     if (auto refusal = check_request_line(parser)) return std::move(*refusal);
     Inbound inbound;
     Arrival& arrival = inbound.arrival;
--- a/src/platform/request.h
+++ b/src/platform/request.h
@@ -12,9 +12,9 @@
 namespace gorsenotch::platform {
 
 // The error with which a request is answered.
-struct Refusal {
+struct RequestError {
     int status = 400;
-    std::string why;  // names the header, if one is at fault
+    std::string message;  // names the header, if one is at fault
 };
 
 // A client's request.
@@ -31,6 +31,7 @@
 
 // Reads the head of a request. `parser` has parsed the request's headers. Returns the error for the first
 // fault if the request is invalid.
-std::variant<Refusal, Inbound> read_head(const settings::NamedSettings& named, const http::Parser& parser);
+std::variant<RequestError, Inbound> read_head(const settings::NamedSettings& named,
+                                              const http::Parser& parser);
 
 }  // namespace gorsenotch::platform
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -220,8 +220,9 @@
     parser.feed(bytes);
     if (!read) return;
     const auto result = platform::read_head(names, parser);
-    if (const auto* refusal = std::get_if<platform::Refusal>(&result)) {
-        need(refusal->status >= 400 && refusal->status < 500 && !refusal->why.empty(), "a refusal says why");
+    if (const auto* refusal = std::get_if<platform::RequestError>(&result)) {
+        need(refusal->status >= 400 && refusal->status < 500 && !refusal->message.empty(),
+             "a refusal says why");
         return;
     }
     const auto& in = std::get<platform::Inbound>(result);
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -166,7 +166,7 @@
 
 struct RequestHeadTest : ::testing::Test {
     Config config = parse_config(kConfig, "", "");
-    std::variant<Refusal, Inbound> read(const std::string& head) {
+    std::variant<RequestError, Inbound> read(const std::string& head) {
         http::Parser parser(http::Parser::Kind::request,
                             http::Limits{std::size_t{16} * 1024, 64, kMaxBodyBytes});
         parser.feed("POST /v1/chat/completions HTTP/1.1\r\n" + head + "content-length: 0\r\n\r\n");
@@ -175,7 +175,7 @@
     }
     std::string error_text(const std::string& head) {
         const auto result = read(head);
-        return std::holds_alternative<Refusal>(result) ? std::get<Refusal>(result).why : "";
+        return std::holds_alternative<RequestError>(result) ? std::get<RequestError>(result).message : "";
     }
 };
 
@@ -222,7 +222,7 @@
 // rejects: another parser might end the line there.
 TEST_F(RequestHeadTest, HeaderValuesMayContainAllBytesThatHttpAllows) {
     const auto result = read(kHead + "X-Note: a\tb caf\xc3\xa9 \xe9\r\n");
-    ASSERT_TRUE(std::holds_alternative<Inbound>(result)) << std::get<Refusal>(result).why;
+    ASSERT_TRUE(std::holds_alternative<Inbound>(result)) << std::get<RequestError>(result).message;
     EXPECT_NE(std::get<Inbound>(result).head.find("x-note: a\tb caf\xc3\xa9 \xe9\r\n"), std::string::npos);
     for (const char control : {'\x01', '\x0b', '\x7f'}) {
         http::Parser parser(http::Parser::Kind::request,
