--- a/src/platform/attempt_runner.cpp
+++ b/src/platform/attempt_runner.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-AttemptRunner::AttemptRunner(LifecycleContext& context, LeaseKeeper& lease_keeper,
+AttemptRunner::AttemptRunner(LifecycleContext& context, LeaseManager& lease_keeper,
                              RequestCompletion& completion, StreamForwarder& streams)
     : context_(context), lease_keeper_(lease_keeper), completion_(completion), streams_(streams) {}
 
--- a/src/platform/attempt_runner.h
+++ b/src/platform/attempt_runner.h
@@ -21,7 +21,7 @@
 class AttemptRunner {
 public:
     // All references have to outlive this object.
-    AttemptRunner(LifecycleContext& context, LeaseKeeper& lease_keeper, RequestCompletion& completion,
+    AttemptRunner(LifecycleContext& context, LeaseManager& lease_keeper, RequestCompletion& completion,
                   StreamForwarder& streams);
 
     // Starts the attempt, or ends it as not_sent if it may not be sent any more.
@@ -63,7 +63,7 @@
     Role role_of(const Endpoint& endpoint) const;
 
     LifecycleContext& context_;
-    LeaseKeeper& lease_keeper_;
+    LeaseManager& lease_keeper_;
     RequestCompletion& completion_;
     StreamForwarder& streams_;
 };
--- a/src/platform/lease_keeper.cpp
+++ b/src/platform/lease_keeper.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-LeaseKeeper::LeaseKeeper(LifecycleContext& context)
+LeaseManager::LeaseManager(LifecycleContext& context)
     : context_(context),
       releaser_(context.named.settings.lease_release_timeout, context.endpoints, context.environment,
                 [this](Millis at, std::uint64_t release_id, bool timeout) {
@@ -29,28 +29,28 @@
 
 // ---- evidence -------------------------------------------------------------------------------------------
 
-void LeaseKeeper::on_attempt_begun(RequestState& request, const AttemptState& attempt) {
+void LeaseManager::on_attempt_begun(RequestState& request, const AttemptState& attempt) {
     request.lease.on_attempt_begun(attempt.started_at, attempt.endpoint, !attempt.is_prefill);
     // A release does not harm a new prefill attempt: it frees what an earlier attempt has left.
     if (!attempt.is_prefill) releaser_.withdraw(request.release_id);
     schedule_check(request);
 }
 
-void LeaseKeeper::on_request_written(RequestState& request, const AttemptState& attempt) {
+void LeaseManager::on_request_written(RequestState& request, const AttemptState& attempt) {
     const double prompt_tokens = request.inbound.arrival.prompt_tokens;
     const Millis usual_duration = attempt.is_prefill ? prefill_times_.usual_duration(prompt_tokens) : 0;
     request.lease.on_request_written(context_.environment.now(), context_.environment.now() + usual_duration);
     schedule_check(request);
 }
 
-void LeaseKeeper::on_attempt_answered(RequestState& request) {
+void LeaseManager::on_attempt_answered(RequestState& request) {
     request.lease.on_attempt_answered(context_.environment.now());
 }
 
-void LeaseKeeper::on_kv_cache_fetched(RequestState& request) { request.lease.on_resource_taken(); }
+void LeaseManager::on_kv_cache_fetched(RequestState& request) { request.lease.on_resource_taken(); }
 
-void LeaseKeeper::on_attempt_ended(RequestState& request, const AttemptState& attempt,
-                                   const AttemptOutcome& outcome) {
+void LeaseManager::on_attempt_ended(RequestState& request, const AttemptState& attempt,
+                                    const AttemptOutcome& outcome) {
     const Millis now = attempt.ended_at;
     const bool prefill_done = outcome.result == AttemptResult::prefill_done;
     request.lease.on_attempt_ended(now, never_ran(outcome.result));
@@ -65,7 +65,7 @@
 
 // ---- reservations ---------------------------------------------------------------------------------------
 
-void LeaseKeeper::reserve_slot(const ReserveSlot& reserve) {
+void LeaseManager::reserve_slot(const ReserveSlot& reserve) {
     RequestState* request = context_.requests.find(reserve.request);
     if (!request || request->closed) return;
     const EndpointId endpoint = reserve.endpoint;
@@ -93,14 +93,14 @@
     context_.environment.start_exchange(address, lease_call("POST", request->inbound.txn, address), call);
 }
 
-void LeaseKeeper::on_reservation_timeout(const RequestState& request) {
+void LeaseManager::on_reservation_timeout(const RequestState& request) {
     if (!request.reservation || request.reservation->is_over()) return;
     const std::shared_ptr<UpstreamExchange> call = request.reservation;
     context_.environment.close(*call);
     call->abort(AttemptResult::timed_out);
 }
 
-void LeaseKeeper::abandon_reservation(const RequestState& request) {
+void LeaseManager::abandon_reservation(const RequestState& request) {
     if (!request.reservation || request.reservation->is_over()) return;
     const std::shared_ptr<UpstreamExchange> call = request.reservation;
     call->on_ended = nullptr;
@@ -109,7 +109,7 @@
 
 // ---- releases -------------------------------------------------------------------------------------------
 
-void LeaseKeeper::release(RequestState& request, ReleaseReason reason) {
+void LeaseManager::release(RequestState& request, ReleaseReason reason) {
     if (!request.lease.is_held()) return;
     // The endpoint may have answered the release in progress before the lease was last acquired.
     if (releaser_.in_progress(request.release_id)) return releaser_.restart(request.release_id);
@@ -126,11 +126,11 @@
     request.release_id = releaser_.start(std::move(release));
 }
 
-bool LeaseKeeper::release_in_progress(const RequestState& request) const {
+bool LeaseManager::release_in_progress(const RequestState& request) const {
     return releaser_.in_progress(request.release_id);
 }
 
-void LeaseKeeper::on_release_ended(const LeaseReleaser::Result& result) {
+void LeaseManager::on_release_ended(const LeaseReleaser::Result& result) {
     ++context_.counters.release_ends[static_cast<std::size_t>(result.end)];
     if (result.end == ReleaseEnd::answered) {
         context_.invariant_checker.on_endpoint_answered(context_.environment.now());
@@ -140,7 +140,7 @@
     log_release(result);
 }
 
-void LeaseKeeper::update_lease(const LeaseReleaser::Result& result) {
+void LeaseManager::update_lease(const LeaseReleaser::Result& result) {
     RequestState* request = context_.requests.find(result.release.request);
     if (!request) return;
     if (result.end == ReleaseEnd::answered) {
@@ -154,7 +154,7 @@
     schedule_check(*request);
 }
 
-void LeaseKeeper::log_release(const LeaseReleaser::Result& result) {
+void LeaseManager::log_release(const LeaseReleaser::Result& result) {
     const bool failed = result.end == ReleaseEnd::unanswered;
     const bool notable =
         failed || result.release.reason == ReleaseReason::lease_expiring || result.calls_made > 1;
@@ -172,7 +172,7 @@
 
 // ---- expiry ---------------------------------------------------------------------------------------------
 
-void LeaseKeeper::schedule_check(RequestState& request) {
+void LeaseManager::schedule_check(RequestState& request) {
     const std::optional<Millis> health_check_at = request.lease.health_check_at();
     const std::optional<Millis> at = health_check_at ? health_check_at : request.lease.release_at();
     if (!at || (request.lease_check_at && *request.lease_check_at <= *at)) return;
@@ -180,7 +180,7 @@
     context_.driver.set_timer(TimerKind::lease, *at, &request, 0, 0, true);
 }
 
-void LeaseKeeper::on_lease_timer(RequestState& request) {
+void LeaseManager::on_lease_timer(RequestState& request) {
     request.lease_check_at.reset();
     if (request.lease.prefill_in_flight()) check_prefill_endpoint(request);
     const std::optional<Millis> at = request.lease.release_at();
@@ -191,7 +191,7 @@
 
 // Extends the lease if the prefill's endpoint has answered anything sent after the prefill. Sends a health
 // check if such an answer is due and none has been received.
-void LeaseKeeper::check_prefill_endpoint(RequestState& request) {
+void LeaseManager::check_prefill_endpoint(RequestState& request) {
     const EndpointId endpoint = request.lease.timeline().attempt_endpoint;
     const Millis sent = request.lease.prefill_written_at();
     const bool unusual =
@@ -208,7 +208,7 @@
     context_.health_checker.check(endpoint);
 }
 
-void LeaseKeeper::release_expiring(RequestState& request) {
+void LeaseManager::release_expiring(RequestState& request) {
     if (request.lease.only_prefill_in_flight()) return release(request, ReleaseReason::prefill_unanswered);
     request.lease.on_expiring(context_.environment.now());
     if (request.attempt_in_flight()) {
@@ -227,7 +227,7 @@
         abort_attempt(context_.environment, latest, AttemptResult::cancelled);
 }
 
-std::string LeaseKeeper::describe(const RequestState& request) {
+std::string LeaseManager::describe(const RequestState& request) {
     const control::KvLease::Timeline& timeline = request.lease.timeline();
     return describe_timeline(timeline, request.arrived, context_.environment.now(),
                              context_.endpoint_name(timeline.holder),
--- a/src/platform/lease_keeper.h
+++ b/src/platform/lease_keeper.h
@@ -20,10 +20,10 @@
 // Ownership: the releases in progress, the statistics of prefill durations, and the lease fields of every
 // RequestState (see request_state.h). Errors: none are returned; a release that no endpoint answered is
 // logged and counted. Times: ms. Threading: one thread.
-class LeaseKeeper {
+class LeaseManager {
 public:
     // `context` has to outlive this object.
-    explicit LeaseKeeper(LifecycleContext& context);
+    explicit LeaseManager(LifecycleContext& context);
 
     // ---- evidence, from AttemptRunner and StreamForwarder ----
     // A decode attempt withdraws a release in progress, which would free the KV cache that the attempt is to
--- a/src/platform/request_completion.cpp
+++ b/src/platform/request_completion.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-RequestCompletion::RequestCompletion(LifecycleContext& context, LeaseKeeper& lease_keeper)
+RequestCompletion::RequestCompletion(LifecycleContext& context, LeaseManager& lease_keeper)
     : context_(context), lease_keeper_(lease_keeper), access_log_(context.named.settings) {}
 
 void RequestCompletion::send_final(RequestState& request, const FinalAnswer& answer) {
--- a/src/platform/request_completion.h
+++ b/src/platform/request_completion.h
@@ -31,7 +31,7 @@
     };
 
     // Both references have to outlive this object.
-    RequestCompletion(LifecycleContext& context, LeaseKeeper& lease_keeper);
+    RequestCompletion(LifecycleContext& context, LeaseManager& lease_keeper);
 
     // Closes the request with this answer, or aborts its stream if one has begun. Does nothing if the request
     // is closed already.
@@ -60,7 +60,7 @@
     void remove(RequestState& request);
 
     LifecycleContext& context_;
-    LeaseKeeper& lease_keeper_;
+    LeaseManager& lease_keeper_;
     AccessLog access_log_;
     std::vector<std::uint64_t> to_revisit_;  // handles
 };
--- a/src/platform/request_lifecycle.h
+++ b/src/platform/request_lifecycle.h
@@ -3,7 +3,7 @@
 // The Router makes all decisions. This module guarantees what needs none: one final answer for each client,
 // an end for every broken stream, and a release for whatever endpoints may hold. The work is divided between
 //   AttemptRunner      attempts at endpoints: start, timeout, end
-//   LeaseKeeper        KV-cache leases and their release
+//   LeaseManager       KV-cache leases and their release
 //   StreamForwarder    streams that have begun
 //   RequestCompletion  final answers, access log, removal of records
 // which share a LifecycleContext. No I/O; the clock and connections come from Environment.
@@ -98,7 +98,7 @@
     void on_violation(control::Invariant invariant, std::uint64_t handle, const std::string& details);
 
     LifecycleContext context_;
-    LeaseKeeper lease_keeper_;
+    LeaseManager lease_keeper_;
     RequestCompletion completion_;
     StreamForwarder streams_;
     AttemptRunner attempts_;
--- a/src/platform/request_state.h
+++ b/src/platform/request_state.h
@@ -2,7 +2,7 @@
 //
 // Ownership: RequestTable owns the records. RequestLifecycle adds a record when a request arrives;
 // RequestCompletion closes and removes it. `attempts` is changed by AttemptRunner and, for a begun stream, by
-// StreamForwarder; `lease`, `reservation`, `release_id` and `lease_check_at` by LeaseKeeper alone. Pointers
+// StreamForwarder; `lease`, `reservation`, `release_id` and `lease_check_at` by LeaseManager alone. Pointers
 // to a record stay valid until it is removed, which happens only while the Router is idle: after any call
 // that may feed an event to the Router the record has to be looked up again. Times are ms on the clock of
 // Environment::now(). Threading: one thread.
--- a/src/platform/stream_forwarder.cpp
+++ b/src/platform/stream_forwarder.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-StreamForwarder::StreamForwarder(LifecycleContext& context, LeaseKeeper& lease_keeper,
+StreamForwarder::StreamForwarder(LifecycleContext& context, LeaseManager& lease_keeper,
                                  RequestCompletion& completion)
     : context_(context), lease_keeper_(lease_keeper), completion_(completion) {}
 
--- a/src/platform/stream_forwarder.h
+++ b/src/platform/stream_forwarder.h
@@ -19,7 +19,7 @@
 class StreamForwarder {
 public:
     // All references have to outlive this object.
-    StreamForwarder(LifecycleContext& context, LeaseKeeper& lease_keeper, RequestCompletion& completion);
+    StreamForwarder(LifecycleContext& context, LeaseManager& lease_keeper, RequestCompletion& completion);
 
     // ---- called by the exchange of an attempt ----
     // The first event of the attempt's stream was received: starts the client's stream.
@@ -48,7 +48,7 @@
     void set_idle_timer(RequestState& request, int attempt_index, Millis last_event_at);
 
     LifecycleContext& context_;
-    LeaseKeeper& lease_keeper_;
+    LeaseManager& lease_keeper_;
     RequestCompletion& completion_;
 };
 
