--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -204,7 +204,7 @@
 void ClientConnection::on_request() {
     state_ = State::replying;
     if (early_reply_) return reply(*early_reply_);
-    auto intake_result = take(program_, request_, id_);
+    auto intake_result = accept_request(program_, request_, id_);
     request_.body = {};
     if (const auto* answer = std::get_if<Reply>(&intake_result)) return reply(*answer);
     auto& accepted = std::get<NewRequest>(intake_result);
--- a/src/gateway/request_intake.cpp
+++ b/src/gateway/request_intake.cpp
@@ -137,8 +137,8 @@
 
 }  // namespace
 
-std::variant<Reply, NewRequest> take(const settings::Program& program, const HttpRequest& request,
-                                     const std::string& id) {
+std::variant<Reply, NewRequest> accept_request(const settings::Program& program, const HttpRequest& request,
+                                               const std::string& id) {
     NewRequest accepted;
     accepted.id = id;
     accepted.tenant = settings::tenant_of(program, api_key(request.headers));
--- a/tests/api/messages_test.cpp
+++ b/tests/api/messages_test.cpp
@@ -153,7 +153,7 @@
         [&](const gateway::HttpRequest& request) -> std::pair<int, std::optional<gateway::NewRequest>> {
         if (const auto early_reply = gateway::precheck(program, request, "req_1"))
             return {early_reply->status, std::nullopt};
-        auto result = gateway::take(program, request, "req_1");
+        auto result = gateway::accept_request(program, request, "req_1");
         if (const auto* reply = std::get_if<gateway::Reply>(&result)) return {reply->status, std::nullopt};
         return {0, std::move(std::get<gateway::NewRequest>(result))};
     };
