--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -424,16 +424,18 @@
     start_gateway();
     BlockingClient idle_client(gateway_under_test->port());
     idle_client.send(post_request(false));
-    ASSERT_TRUE(
-        run_until([&] { return idle_client.look(), idle_client.text.rfind("HTTP/1.1 200", 0) == 0; }));
+    ASSERT_TRUE(run_until(
+        [&] { return idle_client.read_available(), idle_client.text.rfind("HTTP/1.1 200", 0) == 0; }));
     run_for(20);
-    idle_client.look();
+    idle_client.read_available();
     idle_client.text.clear();
     BlockingClient unaccepted_client(gateway_under_test->port());
     unaccepted_client.send(post_request(false));
     idle_client.send(post_request(false));
     gateway_under_test->drain([] {});
-    const auto has_ended = [](BlockingClient& client) { return client.look(), client.ended || client.reset; };
+    const auto has_ended = [](BlockingClient& client) {
+        return client.read_available(), client.ended || client.reset;
+    };
     EXPECT_TRUE(run_until([&] { return has_ended(unaccepted_client) && has_ended(idle_client); }));
     for (const BlockingClient* client : {&unaccepted_client, &idle_client}) {
         EXPECT_EQ(client->text.rfind("HTTP/1.1 529", 0), 0u) << client->text;
--- a/tests/platform/client_connection_test.cpp
+++ b/tests/platform/client_connection_test.cpp
@@ -11,7 +11,7 @@
     peer.send(replace_once(post_request("t1"), "x-lane", "connection: close\r\nx-lane"));
     run_until([&] { return times_sent("t1") > 0; });
     answer_exchanges();
-    run_until([&] { return peer.look(), peer.ended; });
+    run_until([&] { return peer.read_available(), peer.ended; });
     EXPECT_NE(peer.text.find("connection: close\r\n"), std::string::npos);
     EXPECT_NE(peer.text.find("0\r\n\r\n"), std::string::npos);
     EXPECT_FALSE(peer.reset);
@@ -23,7 +23,7 @@
     clients->stop_accepting();
     run_until([&] { return times_sent("t2") > 0; });
     answer_exchanges();
-    run_until([&] { return peer->look(), peer->ended; });
+    run_until([&] { return peer->read_available(), peer->ended; });
     EXPECT_NE(peer->text.find("HTTP/1.1 200"), std::string::npos);
     EXPECT_NE(peer->text.find("0\r\n\r\n"), std::string::npos);
     EXPECT_FALSE(peer->reset);
@@ -32,10 +32,10 @@
 TEST_F(ClientConnectionsTest, ARequestAfterTheFinIsNotForwardedAndItsClientSeesNoReset) {
     const auto peer = idle_connection("t1");
     clients->stop_accepting();
-    run_until([&] { return peer->look(), peer->ended; });
+    run_until([&] { return peer->read_available(), peer->ended; });
     peer->send(post_request("t2"));
     run(50);
-    peer->look();
+    peer->read_available();
     EXPECT_EQ(times_sent("t2"), 0u);
     EXPECT_EQ(peer->text, "");
     EXPECT_FALSE(peer->reset) << "input after the FIN is read and discarded";
@@ -57,7 +57,7 @@
         answer_exchanges();
         answer_exchanges();
     }
-    run_until([&] { return peer.look(), peer.ended; });
+    run_until([&] { return peer.read_available(), peer.ended; });
     std::size_t answers = 0;
     for (std::size_t at = 0; (at = peer.text.find("0\r\n\r\n", at)) != std::string::npos; ++at) ++answers;
     EXPECT_EQ(answers, 3u) << peer.text;
@@ -79,13 +79,13 @@
     const auto peer = idle_connection("t1");
     peer->send("\r\n");
     run(400);
-    peer->look();
+    peer->read_available();
     EXPECT_EQ(peer->text, "");
     EXPECT_FALSE(peer->ended);
     peer->send("\r\n" + post_request("t2"));
     run_until([&] { return times_sent("t2") > 0; });
     answer_exchanges();
-    run_until([&] { return peer->look(), peer->text.find("0\r\n\r\n") != std::string::npos; });
+    run_until([&] { return peer->read_available(), peer->text.find("0\r\n\r\n") != std::string::npos; });
     EXPECT_EQ(peer->text.rfind("HTTP/1.1 200", 0), 0u) << peer->text;
 }
 
@@ -101,17 +101,17 @@
 
 TEST_F(ShortIdleTimeoutTest, ARequestThatCrossesTheIdleFinSeesNoReset) {
     const auto peer = idle_connection("t1");
-    run_until([&] { return peer->look(), peer->ended; });
+    run_until([&] { return peer->read_available(), peer->ended; });
     peer->send(post_request("t2"));
     run(30);
-    peer->look();
+    peer->read_available();
     EXPECT_EQ(times_sent("t2"), 0u);
     EXPECT_FALSE(peer->reset);
 }
 
 TEST_F(ShortIdleTimeoutTest, ANewConnectionWithoutARequestEndsWithoutAnAnswerOrReset) {
     BlockingClient peer(clients->port());
-    run_until([&] { return peer.look(), peer.ended || peer.reset; });
+    run_until([&] { return peer.read_available(), peer.ended || peer.reset; });
     EXPECT_FALSE(peer.reset);
     EXPECT_EQ(peer.text, "");
 }
@@ -122,7 +122,7 @@
     run_until([&] { return times_sent("t1") > 0; });
     const auto prefill = environment.exchanges.back().exchange;
     for (int i = 0; i < 10; ++i) peer.send(post_request("flood" + std::to_string(i), std::string(2000, 'x')));
-    run_until([&] { return peer.look(), peer.ended; });
+    run_until([&] { return peer.read_available(), peer.ended; });
     EXPECT_TRUE(prefill->is_over());
     EXPECT_EQ(times_sent("flood0"), 0u);
     EXPECT_FALSE(peer.reset);
--- a/tests/platform/client_connections_fixture.h
+++ b/tests/platform/client_connections_fixture.h
@@ -76,7 +76,7 @@
         peer->send(post_request(txn));
         run_until([&] { return times_sent(txn) > 0; });
         answer_exchanges();
-        run_until([&] { return peer->look(), peer->text.find("0\r\n\r\n") != std::string::npos; });
+        run_until([&] { return peer->read_available(), peer->text.find("0\r\n\r\n") != std::string::npos; });
         peer->text.clear();
         return peer;
     }
--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -14,7 +14,7 @@
     clients->stop_accepting();
     run_until([&] { return times_sent("t1") > 0; });
     answer_exchanges();
-    run_until([&] { return peer.look(), peer.ended; });
+    run_until([&] { return peer.read_available(), peer.ended; });
     EXPECT_NE(peer.text.find("0\r\n\r\n"), std::string::npos);
     EXPECT_FALSE(peer.reset);
 }
@@ -35,13 +35,14 @@
     run_until([&] { return times_sent("t1") + times_sent("t2") == 2; });
     BlockingClient third(clients->port());
     third.send(post_request("t3"));
-    run_until([&] { return third.look(), third.ended || third.reset; });
+    run_until([&] { return third.read_available(), third.ended || third.reset; });
     EXPECT_NE(third.text.find("HTTP/1.1 503"), std::string::npos);
     EXPECT_FALSE(third.reset);
     EXPECT_EQ(times_sent("t3"), 0u);
     answer_exchanges();
     answer_exchanges();
-    run_until([&] { return one.look(), two.look(), !one.text.empty() && !two.text.empty(); });
+    run_until(
+        [&] { return one.read_available(), two.read_available(), !one.text.empty() && !two.text.empty(); });
 }
 
 TEST_F(FewConnectionsTest, AConnectionWithAnUnreadRequestIsNotEvicted) {
@@ -53,10 +54,12 @@
     third.send(post_request("t2"));
     first.send(post_request("t1"));  // on the oldest connection; read only after the third is accepted
     run_until([&] { return times_sent("t1") + times_sent("t2") == 2; });
-    run_until([&] { return second.look(), second.ended; });
+    run_until([&] { return second.read_available(), second.ended; });
     answer_exchanges();
     answer_exchanges();
-    run_until([&] { return first.look(), third.look(), !first.text.empty() && !third.text.empty(); });
+    run_until([&] {
+        return first.read_available(), third.read_available(), !first.text.empty() && !third.text.empty();
+    });
     EXPECT_NE(first.text.find("HTTP/1.1 200"), std::string::npos);
     EXPECT_NE(third.text.find("HTTP/1.1 200"), std::string::npos);
     EXPECT_FALSE(first.reset || second.reset || third.reset);
@@ -75,13 +78,15 @@
     }
     run_until([&] {
         std::size_t answered = 0;
-        for (auto& client : flood) client->look(), answered += client->text.rfind("HTTP/1.1 503", 0) == 0;
+        for (auto& client : flood)
+            client->read_available(), answered += client->text.rfind("HTTP/1.1 503", 0) == 0;
         return answered == flood.size();
     });
     flood.clear();
     answer_exchanges();
     answer_exchanges();
-    run_until([&] { return one.look(), two.look(), !one.text.empty() && !two.text.empty(); });
+    run_until(
+        [&] { return one.read_available(), two.read_available(), !one.text.empty() && !two.text.empty(); });
 }
 
 }  // namespace
--- a/tests/support/blocking_client.h
+++ b/tests/support/blocking_client.h
@@ -36,7 +36,7 @@
         fd_ = -1;
     }
     // Reads what is available: updates the received text, and whether and how the connection ended.
-    void look() {
+    void read_available() {
         char buffer[4096];
         for (;;) {
             const ssize_t received = ::recv(fd_, buffer, sizeof buffer, 0);
