--- a/src/net/socket_error.cpp
+++ b/src/net/socket_error.cpp
@@ -23,7 +23,7 @@
 
 ErrorClass classify_listen_error(int code) {
     if (code == 0) return ErrorClass::none;
-    if (code == UV_EADDRINUSE) return ErrorClass::address_held;
+    if (code == UV_EADDRINUSE) return ErrorClass::address_in_use;
     return is_resource_shortage(code) ? ErrorClass::host_resources : ErrorClass::other;
 }
 
--- a/src/net/socket_error.h
+++ b/src/net/socket_error.h
@@ -11,7 +11,7 @@
     retry_later,     // nothing is pending yet
     host_resources,  // this host lacks descriptors, memory, ports or routes: retry soon, do not blame the
                      // peer
-    address_held,    // another process listens there, perhaps a predecessor that has yet to exit
+    address_in_use,  // another process listens there, perhaps a predecessor that has yet to exit
     peer,            // the peer or the network path to it: refused, unreachable, no response
     other,           // a fault of the caller or of the configuration
 };
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -192,7 +192,7 @@
 bool Node::is_listen_retried(int error) const {
     const net::ErrorClass error_class = net::classify_listen_error(error);
     if (error_class == net::ErrorClass::host_resources) return true;
-    return error_class == net::ErrorClass::address_held &&
+    return error_class == net::ErrorClass::address_in_use &&
            net::now() - started_at_ < kFirstListTimeout + kAddressInUseTimeout;
 }
 
