--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -177,7 +177,7 @@
     listening_ = true;
     listen_timer_.stop();
     const int error = client_connections_.listen();
-    if (is_listen_retried(error)) {
+    if (is_listen_retryable(error)) {
         listening_ = false;
         if (!std::exchange(listen_failure_logged_, true))
             log("warn", "listen_failed", net::error_text(error) + "; will retry");
@@ -189,7 +189,7 @@
 
 // Guards against exiting because of a temporary resource shortage on this host, or because the previous
 // process still uses the address. The cost is that an address in permanent use is reported 5 s late.
-bool Node::is_listen_retried(int error) const {
+bool Node::is_listen_retryable(int error) const {
     const net::ErrorClass error_class = net::classify_listen_error(error);
     if (error_class == net::ErrorClass::host_resources) return true;
     return error_class == net::ErrorClass::address_in_use &&
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -65,7 +65,7 @@
 
     // ---- listener ----
     void listen();
-    bool is_listen_retried(int error) const;
+    bool is_listen_retryable(int error) const;
 
     // ---- drain ----
     Millis earliest_kill() const;
