--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -140,7 +140,7 @@
     std::optional<std::vector<settings::Engine>> engines;
     if (!settings::read_file(program_.fleet_file, text, reason)) {
         // Guards against missing this version for good: the file does not change when it becomes readable.
-        if (fleet_watcher_) fleet_watcher_->report_again();
+        if (fleet_watcher_) fleet_watcher_->force_report();
         if (std::exchange(fleet_file_unreadable_, true)) return;
         faults.push_back({0, "", reason + "; will retry"});
     } else {
--- a/src/net/file_watcher.cpp
+++ b/src/net/file_watcher.cpp
@@ -26,7 +26,7 @@
     timer_.fire_after(0);
 }
 
-void FileWatcher::report_again() { last_version_.clear(); }
+void FileWatcher::force_report() { last_version_.clear(); }
 
 void FileWatcher::check_now() {
     const std::string version = file_version(file_);
--- a/src/net/file_watcher.h
+++ b/src/net/file_watcher.h
@@ -18,7 +18,7 @@
     // Checks the file at once; the next check follows after the interval.
     void check_now();
     // Makes the next check report the file, if it exists, as changed.
-    void report_again();
+    void force_report();
 
 private:
     std::string file_;
