--- a/bench/cost.cpp
+++ b/bench/cost.cpp
@@ -255,7 +255,7 @@
     Load loads[2] = {{loop, setup.relay, request("/v1/chat/completions"), "\"content\":"},
                      {loop, setup.gate, request("/v1/messages"), "text_delta"}};
     std::vector<Round> rounds[2];
-    loop.on_slow_turn = [&](Millis took, const net::EventLoop::Activities&) {
+    loop.on_slow_iteration = [&](Millis took, const net::EventLoop::Activities&) {
         ++own.count;
         own.longest = std::max(own.longest, took);
     };
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -36,7 +36,7 @@
         bench::BenchEngine engine(integer("--events", "30"), integer("--pace", "10"));
         if (engine.listener.listen(at, 8192) != 0) return 4;
         std::cout << "ready" << std::endl;
-        engine.loop.on_slow_turn = [](net::Millis length, const net::EventLoop::Activities&) {
+        engine.loop.on_slow_iteration = [](net::Millis length, const net::EventLoop::Activities&) {
             std::fprintf(stderr, "slow_turn %.2f\n", length);
         };
         engine.loop.run();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -47,8 +47,8 @@
                                             program_.limits.engine_idle_ms, program_.limits.engine_idle});
     lifecycle_ = std::make_unique<RequestLifecycle>(program_, seed, *this, api::messages::error_body);
     lifecycle_->on_wake = [this] { wakeup_timer_.wake(); };
-    loop_.on_slow_turn = [this](Millis length, const net::EventLoop::Activities& activities) {
-        on_slow_turn(length, activities);
+    loop_.on_slow_iteration = [this](Millis length, const net::EventLoop::Activities& activities) {
+        on_slow_iteration(length, activities);
     };
     loop_.before_poll = [this](Millis due) { lifecycle_->before_poll(due); };
     loop_.after_poll = [this] { lifecycle_->after_poll(loop_.last_poll()); };
@@ -64,7 +64,7 @@
 Gateway::~Gateway() {
     loop_.before_poll = nullptr;
     loop_.after_poll = nullptr;
-    loop_.on_slow_turn = nullptr;
+    loop_.on_slow_iteration = nullptr;
     if (lifecycle_) lifecycle_->on_wake = nullptr;
     server_.reset();
     lifecycle_.reset();
@@ -186,7 +186,7 @@
 }
 
 // Logs at most once a second: a process that lacks CPU time must not spend more of it on logging that.
-void Gateway::on_slow_turn(Millis length, const net::EventLoop::Activities& activities) {
+void Gateway::on_slow_iteration(Millis length, const net::EventLoop::Activities& activities) {
     ++unlogged_slow_turns_;
     if (net::now() < slow_turn_logged_at_ + kSlowTurnLogInterval) return;
     slow_turn_logged_at_ = net::now();
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -55,7 +55,7 @@
     void load_initial_endpoint_list();
     void reload_fleet();
     void save_endpoint_list(std::string text);
-    void on_slow_turn(Millis length, const net::EventLoop::Activities& activities);
+    void on_slow_iteration(Millis length, const net::EventLoop::Activities& activities);
     void continue_drain();
 
     net::EventLoop& loop_;
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -46,9 +46,9 @@
 void EventLoop::on_before_poll() {
     // Without this, the time that timer callbacks took would be added to the wait.
     uv_update_time(&loop_);
-    if (on_slow_turn && last_poll_ > 0) {
-        if (const Millis duration = now() - last_poll_; duration >= slow_turn)
-            on_slow_turn(duration, activities_);
+    if (on_slow_iteration && last_poll_ > 0) {
+        if (const Millis duration = now() - last_poll_; duration >= slow_iteration_threshold)
+            on_slow_iteration(duration, activities_);
     }
     activities_.clear();
     const int wait_ms = uv_backend_timeout(&loop_);
@@ -114,7 +114,7 @@
 }
 
 ActivityScope::ActivityScope(EventLoop& loop, const char* name) : name_(name) {
-    if (loop.in_activity_ || !loop.on_slow_turn) return;
+    if (loop.in_activity_ || !loop.on_slow_iteration) return;
     loop_ = &loop;
     loop.in_activity_ = true;
     started_at_ = now();
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -42,12 +42,12 @@
     std::function<void(Millis until)> before_poll;
     // Called after the poll, once all input that had arrived by last_poll() has been delivered.
     std::function<void()> after_poll;
-    // Called for each loop iteration that took `slow_turn` ms or longer from the end of one poll to the start
-    // of the next: its duration, and the time in it that each activity marked by an ActivityScope took, in
-    // ms. The remainder is time in the system, or time without a CPU core.
+    // Called for each loop iteration that took `slow_iteration_threshold` ms or longer from the end of one
+    // poll to the start of the next: its duration, and the time in it that each activity marked by an
+    // ActivityScope took, in ms. The remainder is time in the system, or time without a CPU core.
     using Activities = std::vector<std::pair<const char*, Millis>>;
-    std::function<void(Millis duration, const Activities& activities)> on_slow_turn;
-    Millis slow_turn = 5;
+    std::function<void(Millis duration, const Activities& activities)> on_slow_iteration;
+    Millis slow_iteration_threshold = 5;
     // libuv's type names of the handles that are neither closed nor closing, e.g. "tcp", "timer", "process".
     std::vector<std::string> open_handles() const;
 
@@ -68,7 +68,7 @@
 };
 
 // Attributes the time of the loop's thread during this object's lifetime to the activity `name`, for
-// on_slow_turn. `name` must be a string literal. A nested scope counts as part of the outer one.
+// on_slow_iteration. `name` must be a string literal. A nested scope counts as part of the outer one.
 class ActivityScope {
 public:
     ActivityScope(EventLoop& loop, const char* name);
@@ -77,7 +77,7 @@
     ActivityScope& operator=(const ActivityScope&) = delete;
 
 private:
-    EventLoop* loop_ = nullptr;  // null: a nested scope, or on_slow_turn is not set
+    EventLoop* loop_ = nullptr;  // null: a nested scope, or on_slow_iteration is not set
     const char* name_;
     Millis started_at_ = 0;
 };
