--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -209,7 +209,7 @@
     if (const auto* answer = std::get_if<Reply>(&intake_result)) return reply(*answer);
     auto& accepted = std::get<NewRequest>(intake_result);
     accepted.client = this;
-    accepted.age = stream_->age();
+    accepted.age = stream_->time_since_last_receive();
     if (owner_.is_draining()) return reply(overloaded_reply());
     state_ = State::in_lifecycle;
     if (lifecycle_.on_request(std::move(accepted))) return;
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -170,7 +170,7 @@
 bool TcpStream::peer_closed() const { return poll_now(POLLRDHUP, false); }
 bool TcpStream::has_unread_input() const { return poll_now(POLLIN | POLLRDHUP, true); }
 
-Millis TcpStream::age() const {
+Millis TcpStream::time_since_last_receive() const {
     uv_os_fd_t fd = -1;
     if (!handle_ || uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) != 0) return 0;
     tcp_info info{};
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -48,7 +48,7 @@
     // Whether bytes, an end of stream or an error wait to be read; true once the stream has ended.
     bool has_unread_input() const;
     // Milliseconds since the kernel last received bytes from the peer; 0 if unknown.
-    Millis age() const;
+    Millis time_since_last_receive() const;
     // The peer's numeric address without the port; empty if unknown.
     std::string peer() const;
 
--- a/src/platform/client_connection.cpp
+++ b/src/platform/client_connection.cpp
@@ -106,7 +106,7 @@
 void ClientConnection::record_request_start() {
     const bool request = parser_.begun() || parser_.complete() || parser_.fault() != http::Fault::none;
     if (!request_began_at_ && request)
-        request_began_at_ = std::max(kEarliestStart, net::now() - stream_->age());
+        request_began_at_ = std::max(kEarliestStart, net::now() - stream_->time_since_last_receive());
 }
 
 void ClientConnection::reject_malformed() {
