--- a/src/fault_scenario/plan.cpp
+++ b/src/fault_scenario/plan.cpp
@@ -44,8 +44,8 @@
     EnginePool pool;
     pool.kind = index_of(element, "kind", program_.kinds);
     pool.zone = index_of(element, "zone", program_.zones);
-    pool.count = element.whole("count");
-    pool.cell = element.large("cell");
+    pool.count = element.integer("count");
+    pool.cell = element.unsigned_integer("cell");
     if (!program_.fake_engines.count(pool.kind))
         add_error(element, "the settings say nothing of stand-ins of this kind");
     return pool;
@@ -60,16 +60,16 @@
     load.model = program_.models.front();
     load.per_s = element.number("per-s");
     load.impatient = element.number("impatient");
-    load.prompt_tokens = element.whole("prompt-tokens");
-    load.prefix_tokens = element.whole("prefix-tokens");
-    load.prefixes = element.whole("prefixes");
-    load.max_tokens = element.whole("max-tokens");
-    load.turns = element.whole("turns");
-    load.retries = element.whole("retries");
+    load.prompt_tokens = element.integer("prompt-tokens");
+    load.prefix_tokens = element.integer("prefix-tokens");
+    load.prefixes = element.integer("prefixes");
+    load.max_tokens = element.integer("max-tokens");
+    load.turns = element.integer("turns");
+    load.retries = element.integer("retries");
     load.think = element.number("think-ms");
     load.patience = element.number("patience-ms");
-    load.stream = element.yes("stream");
-    load.keyed = element.yes("keyed");
+    load.stream = element.boolean("stream");
+    load.keyed = element.boolean("keyed");
     load.from = element.number("from-ms");
     load.until = element.number("until-ms");
     if (load.from >= plan_.length || (load.until > 0 && load.until <= load.from))
@@ -104,7 +104,7 @@
     fault.notice = element.number("notice-ms");
     if (element.has("kind")) fault.engine_kind = index_of(element, "kind", program_.kinds);
     if (element.has("zone")) fault.zone = index_of(element, "zone", program_.zones);
-    if (element.has("cell")) fault.cell = element.large("cell");
+    if (element.has("cell")) fault.cell = element.unsigned_integer("cell");
     if (element.has("class"))
         fault.cls = program_.classes[static_cast<std::size_t>(index_of(element, "class", program_.classes))];
     if (fault.kind == FaultKind::cut_zone && !fault.zone) add_error(element, "a cut needs its zone");
@@ -126,14 +126,14 @@
     plan.name = root.text("name");
     plan.settings_file = (std::filesystem::path(file).parent_path() / root.text("settings")).string();
     plan.length = root.number("length-ms");
-    plan.seed = root.large("seed");
+    plan.seed = root.unsigned_integer("seed");
     auto program = settings::load(plan.settings_file, found);
     if (!program) {
         errors = settings::render(plan.settings_file, found);
         return std::nullopt;
     }
     plan.program = std::move(*program);
-    plan.gateways = root.child("gateways").whole("count");
+    plan.gateways = root.child("gateways").integer("count");
     PlanReader reader(plan, found);
     for (const auto& element : root.children("engines")) plan.pools.push_back(reader.read_pool(element));
     for (const auto& element : root.children("load")) plan.loads.push_back(reader.read_load(element));
--- a/src/settings/fleet_file.cpp
+++ b/src/settings/fleet_file.cpp
@@ -25,10 +25,10 @@
 
 Engine read_engine(SectionReader& reader, const Element& element) {
     Engine engine;
-    engine.endpoint.id = static_cast<EndpointId>(element.large("id"));
+    engine.endpoint.id = static_cast<EndpointId>(element.unsigned_integer("id"));
     engine.endpoint.kind = reader.index_of(element, "kind", reader.program().kinds);
     engine.endpoint.zone = reader.index_of(element, "zone", reader.program().zones);
-    engine.endpoint.cell = element.large("cell");
+    engine.endpoint.cell = element.unsigned_integer("cell");
     engine.endpoint.weight = element.number("weight");
     engine.endpoint.started_at = element.number("started");
     engine.endpoint.status = to_one_of(element.text("mode"), kModes).value_or(EndpointStatus::healthy);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -209,16 +209,16 @@
     if (!element) return;
     Program& program = reader.program();
     Settings& settings = program.router;
-    settings.gateways = element.whole("gateways");
-    settings.max_attempts = element.whole("max-attempts");
-    settings.cancellation = element.yes("cancel");
-    settings.local_prefill = element.yes("local-read");
-    settings.retry_after = element.yes("retry-after");
+    settings.gateways = element.integer("gateways");
+    settings.max_attempts = element.integer("max-attempts");
+    settings.cancellation = element.boolean("cancel");
+    settings.local_prefill = element.boolean("local-read");
+    settings.retry_after = element.boolean("retry-after");
     settings.max_retry_after = element.number("max-retry-after-ms");
     settings.connect_timeout = element.number("dial-timeout-ms");
     settings.over_quota_weight = element.number("over-share-worth");
     program.source = element.text("source");
-    if (element.has("seed")) program.seed = element.large("seed");
+    if (element.has("seed")) program.seed = element.unsigned_integer("seed");
     const bool reaches_deadline =
         std::any_of(settings.classes.begin(), settings.classes.end(),
                     [&](const ClassSettings& cls) { return settings.connect_timeout >= cls.deadline; });
@@ -260,15 +260,15 @@
 
 FakeEngineSettings read_fake_engine(const Element& element) {
     FakeEngineSettings settings;
-    settings.slots = element.whole("slots");
-    settings.queue = element.whole("queue");
+    settings.slots = element.integer("slots");
+    settings.queue = element.integer("queue");
     settings.read_per_s = element.number("read-tokens-per-s");
     settings.fetch_per_s = element.number("fetch-tokens-per-s");
     settings.step = element.number("step-ms");
     settings.per_stream = element.number("per-stream-ms");
-    settings.answer_tokens = element.whole("answer-tokens");
+    settings.answer_tokens = element.integer("answer-tokens");
     settings.kept_tokens = element.number("kept-tokens");
-    settings.cancels = element.yes("cancels");
+    settings.cancels = element.boolean("cancels");
     settings.lease = element.number("lease-ms");
     return settings;
 }
--- a/src/settings/xml.cpp
+++ b/src/settings/xml.cpp
@@ -100,11 +100,11 @@
     return number;
 }
 
-std::uint64_t Element::large(const char* attribute) const {
+std::uint64_t Element::unsigned_integer(const char* attribute) const {
     return std::strtoull(text(attribute).c_str(), nullptr, 10);
 }
 
-bool Element::yes(const char* attribute) const {
+bool Element::boolean(const char* attribute) const {
     const std::string value = text(attribute);
     return value == "true" || value == "1";
 }
--- a/src/settings/xml.h
+++ b/src/settings/xml.h
@@ -32,9 +32,9 @@
     // The attribute's value, or the schema's default; empty if absent.
     std::string text(const char* attribute) const;
     double number(const char* attribute) const;  // validated by the schema; 0 if absent
-    int whole(const char* attribute) const { return static_cast<int>(number(attribute)); }
-    std::uint64_t large(const char* attribute) const;
-    bool yes(const char* attribute) const;
+    int integer(const char* attribute) const { return static_cast<int>(number(attribute)); }
+    std::uint64_t unsigned_integer(const char* attribute) const;
+    bool boolean(const char* attribute) const;
     Element child(const char* name) const;
     std::vector<Element> children(const char* name = nullptr) const;  // all, or those with this name
 
