--- a/src/cli/fake_engine_command.cpp
+++ b/src/cli/fake_engine_command.cpp
@@ -21,7 +21,7 @@
 
 // Fills in the engine's options from the settings. Returns false and reports the fault on standard error if
 // the settings define no fake engine of the kind.
-bool apply_settings(const settings::Program& program, const std::string& kind_name,
+bool apply_settings(const settings::ProgramSettings& program, const std::string& kind_name,
                     fake_engine::EngineOptions& options) {
     const auto it = std::find(program.kinds.begin(), program.kinds.end(), kind_name);
     const int kind = static_cast<int>(it - program.kinds.begin());
--- a/src/cli/gateway_overrides.cpp
+++ b/src/cli/gateway_overrides.cpp
@@ -5,7 +5,7 @@
 
 namespace gorsenotch::cli {
 
-bool GatewayOverrides::apply_to(settings::Program& program) const {
+bool GatewayOverrides::apply_to(settings::ProgramSettings& program) const {
     if (!listen.empty()) program.listen = listen;
     if (!source_address.empty()) program.source = source_address;
     if (!fleet_file.empty()) program.fleet_file = fleet_file;
--- a/src/cli/gateway_overrides.h
+++ b/src/cli/gateway_overrides.h
@@ -20,7 +20,7 @@
     std::optional<std::uint64_t> seed;
 
     // Returns false and reports the fault on standard error if the settings do not define the zone.
-    bool apply_to(settings::Program& program) const;
+    bool apply_to(settings::ProgramSettings& program) const;
 };
 
 // Adds the options that influence the Router's decisions. `overrides` must outlive the parsing of the command
--- a/src/cli/gateway_process.cpp
+++ b/src/cli/gateway_process.cpp
@@ -14,7 +14,7 @@
 
 LogThread::~LogThread() { log::close(); }
 
-GatewayProcess::GatewayProcess(net::EventLoop& loop, settings::Program program,
+GatewayProcess::GatewayProcess(net::EventLoop& loop, settings::ProgramSettings program,
                                const gateway::ServeOptions& options)
     : loop_(loop), listen_(program.listen), gateway_(loop, std::move(program), options) {}
 
--- a/src/cli/gateway_process.h
+++ b/src/cli/gateway_process.h
@@ -25,7 +25,8 @@
 // Runs a gateway and stops the loop once it has drained. The loop must outlive this object.
 class GatewayProcess {
 public:
-    GatewayProcess(net::EventLoop& loop, settings::Program program, const gateway::ServeOptions& options);
+    GatewayProcess(net::EventLoop& loop, settings::ProgramSettings program,
+                   const gateway::ServeOptions& options);
     // Prints `ready http://ADDRESS` once the gateway listens. Returns false and reports the error on standard
     // error if it cannot listen.
     bool start();
--- a/src/cli/settings_file.cpp
+++ b/src/cli/settings_file.cpp
@@ -6,7 +6,7 @@
 
 namespace gorsenotch::cli {
 
-std::optional<settings::Program> load_settings(const std::string& file) {
+std::optional<settings::ProgramSettings> load_settings(const std::string& file) {
     std::vector<settings::FileFault> faults;
     auto program = settings::load(file, faults);
     if (!program) std::cerr << settings::render(file, faults);
--- a/src/cli/settings_file.h
+++ b/src/cli/settings_file.h
@@ -9,7 +9,7 @@
 namespace gorsenotch::cli {
 
 // Loads the settings. If they are invalid, writes every fault to standard error and returns no value.
-std::optional<settings::Program> load_settings(const std::string& file);
+std::optional<settings::ProgramSettings> load_settings(const std::string& file);
 
 // Path of this program's executable, used to start further processes of it.
 std::string own_executable();
--- a/src/cli/up_command.cpp
+++ b/src/cli/up_command.cpp
@@ -20,7 +20,7 @@
 // listen.
 class LocalDeployment {
 public:
-    LocalDeployment(settings::Program program, std::string settings_file)
+    LocalDeployment(settings::ProgramSettings program, std::string settings_file)
         : program_(std::move(program)), settings_file_(std::move(settings_file)) {}
 
     int run() {
@@ -91,7 +91,7 @@
         loop_.stop();
     }
 
-    const settings::Program program_;
+    const settings::ProgramSettings program_;
     const std::string settings_file_;
     int exit_code_ = kExitSuccess;
     std::size_t listening_engines_ = 0;
--- a/src/fault_scenario/plan.cpp
+++ b/src/fault_scenario/plan.cpp
@@ -27,7 +27,7 @@
     }
 
     const ScenarioPlan& plan_;
-    const settings::Program& program_;
+    const settings::ProgramSettings& program_;
     std::vector<settings::FileFault>& errors_;
 };
 
--- a/src/fault_scenario/plan.h
+++ b/src/fault_scenario/plan.h
@@ -51,7 +51,7 @@
 struct ScenarioPlan {
     std::string name;
     std::string settings_file;
-    settings::Program program;
+    settings::ProgramSettings program;
     Millis length = 10000;  // of the traffic
     std::uint64_t seed = 1;
     int gateways = 2;
--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-ClientConnection::ClientConnection(net::EventLoop& loop, const settings::Program& program,
+ClientConnection::ClientConnection(net::EventLoop& loop, const settings::ProgramSettings& program,
                                    RequestLifecycle& lifecycle, ConnectionOwner& owner,
                                    std::unique_ptr<net::TcpStream> stream)
     : loop_(loop),
--- a/src/gateway/client_connection.h
+++ b/src/gateway/client_connection.h
@@ -41,8 +41,9 @@
 class ClientConnection : public Client {
 public:
     // Starts reading. All references must outlive the connection.
-    ClientConnection(net::EventLoop& loop, const settings::Program& program, RequestLifecycle& lifecycle,
-                     ConnectionOwner& owner, std::unique_ptr<net::TcpStream> stream);
+    ClientConnection(net::EventLoop& loop, const settings::ProgramSettings& program,
+                     RequestLifecycle& lifecycle, ConnectionOwner& owner,
+                     std::unique_ptr<net::TcpStream> stream);
 
     // Answers with 529 and closes, because there are too many connections.
     void reject_overloaded();
@@ -92,7 +93,7 @@
     void close();
 
     net::EventLoop& loop_;
-    const settings::Program& program_;
+    const settings::ProgramSettings& program_;
     RequestLifecycle& lifecycle_;
     ConnectionOwner& owner_;
     std::unique_ptr<net::TcpStream> stream_;  // null once closed
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-Gateway::Gateway(net::EventLoop& loop, settings::Program program, const ServeOptions& options)
+Gateway::Gateway(net::EventLoop& loop, settings::ProgramSettings program, const ServeOptions& options)
     : loop_(loop),
       program_(std::move(program)),
       options_(options),
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -28,7 +28,7 @@
 // loop.
 class Gateway : public Environment {
 public:
-    Gateway(net::EventLoop& loop, settings::Program program, const ServeOptions& options);
+    Gateway(net::EventLoop& loop, settings::ProgramSettings program, const ServeOptions& options);
     ~Gateway() override;
 
     // Starts to serve clients. Returns 0, or the libuv error code if listening failed.
@@ -59,7 +59,7 @@
     void continue_drain();
 
     net::EventLoop& loop_;
-    const settings::Program program_;
+    const settings::ProgramSettings program_;
     const ServeOptions options_;
     std::unique_ptr<state::DecisionObserver> journal_;
     std::shared_ptr<state::SnapshotStore> snapshot_store_;  // shared with the thread pool
--- a/src/gateway/http_server.cpp
+++ b/src/gateway/http_server.cpp
@@ -27,8 +27,8 @@
 
 }  // namespace
 
-HttpServer::HttpServer(net::EventLoop& loop, const settings::Program& program, RequestLifecycle& lifecycle,
-                       Environment& environment, std::uint64_t instance)
+HttpServer::HttpServer(net::EventLoop& loop, const settings::ProgramSettings& program,
+                       RequestLifecycle& lifecycle, Environment& environment, std::uint64_t instance)
     : loop_(loop),
       program_(program),
       lifecycle_(lifecycle),
--- a/src/gateway/http_server.h
+++ b/src/gateway/http_server.h
@@ -21,7 +21,7 @@
 class HttpServer : private ConnectionOwner {
 public:
     // `instance` makes request ids unique across all gateways and their restarts.
-    HttpServer(net::EventLoop& loop, const settings::Program& program, RequestLifecycle& lifecycle,
+    HttpServer(net::EventLoop& loop, const settings::ProgramSettings& program, RequestLifecycle& lifecycle,
                Environment& environment, std::uint64_t instance);
     ~HttpServer() override;
 
@@ -50,7 +50,7 @@
     void flush_all();
 
     net::EventLoop& loop_;
-    const settings::Program& program_;
+    const settings::ProgramSettings& program_;
     RequestLifecycle& lifecycle_;
     Environment& environment_;
     const std::uint64_t instance_;
--- a/src/gateway/request_intake.cpp
+++ b/src/gateway/request_intake.cpp
@@ -43,7 +43,8 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-int select_class(const settings::Program& program, const NewRequest& request, const http::Headers& headers) {
+int select_class(const settings::ProgramSettings& program, const NewRequest& request,
+                 const http::Headers& headers) {
     for (const auto& route : program.routes) {
         if (!route.model.empty() && route.model != request.chat.model) continue;
         if (route.tenant >= 0 && route.tenant != request.tenant) continue;
@@ -66,7 +67,7 @@
     return reply;
 }
 
-std::optional<Reply> precheck(const settings::Program& program, const HttpRequest& request,
+std::optional<Reply> precheck(const settings::ProgramSettings& program, const HttpRequest& request,
                               const std::string& id) {
     const bool is_post = request.path == kMessagesPath || request.path == kCountTokensPath;
     const bool is_get =
@@ -93,12 +94,12 @@
 
 namespace {
 
-bool tenant_may_use(const settings::Program& program, int tenant, const std::string& model) {
+bool tenant_may_use(const settings::ProgramSettings& program, int tenant, const std::string& model) {
     const auto& allowed = program.tenant_models[static_cast<std::size_t>(tenant)];
     return allowed.empty() || contains(allowed, model);
 }
 
-Reply models_reply(const settings::Program& program, int tenant, const HttpRequest& request,
+Reply models_reply(const settings::ProgramSettings& program, int tenant, const HttpRequest& request,
                    const std::string& id) {
     if (request.path == kModelsPath) {
         std::vector<std::string> models;
@@ -125,7 +126,7 @@
     if (seconds > 0) accepted.patience = std::min(seconds, kMaxPatienceSeconds) * kMillisPerSecond;
 }
 
-std::unique_ptr<api::ResponseWriter> make_response_writer(const settings::Program& program,
+std::unique_ptr<api::ResponseWriter> make_response_writer(const settings::ProgramSettings& program,
                                                           const api::ChatRequest& chat,
                                                           const std::string& id) {
     const std::string message = "msg_" + id.substr(id.find('_') + 1);
@@ -137,8 +138,8 @@
 
 }  // namespace
 
-std::variant<Reply, NewRequest> accept_request(const settings::Program& program, const HttpRequest& request,
-                                               const std::string& id) {
+std::variant<Reply, NewRequest> accept_request(const settings::ProgramSettings& program,
+                                               const HttpRequest& request, const std::string& id) {
     NewRequest accepted;
     accepted.id = id;
     accepted.tenant = settings::tenant_of(program, api_key(request.headers));
--- a/src/gateway/request_intake.h
+++ b/src/gateway/request_intake.h
@@ -29,13 +29,13 @@
 
 // Checks what does not need the body: path, method, API key and API version. Returns an error reply, or no
 // value if the body is to be read and accept_request() called.
-std::optional<Reply> precheck(const settings::Program& program, const HttpRequest& request,
+std::optional<Reply> precheck(const settings::ProgramSettings& program, const HttpRequest& request,
                               const std::string& id);
 
 // Handles a request that has passed precheck(): returns an immediate reply, or the request for an engine.
 // `id` has the form "req_...". The caller sets NewRequest::client and NewRequest::age.
-std::variant<Reply, NewRequest> accept_request(const settings::Program& program, const HttpRequest& request,
-                                               const std::string& id);
+std::variant<Reply, NewRequest> accept_request(const settings::ProgramSettings& program,
+                                               const HttpRequest& request, const std::string& id);
 
 // An error reply in the format of the Messages API.
 Reply error_reply(int status, const char* type, const std::string& message, const std::string& id);
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-RequestLifecycle::RequestLifecycle(const settings::Program& program, std::uint64_t seed,
+RequestLifecycle::RequestLifecycle(const settings::ProgramSettings& program, std::uint64_t seed,
                                    Environment& environment, ErrorBody error_body)
     : program_(program),
       environment_(environment),
--- a/src/gateway/request_lifecycle.h
+++ b/src/gateway/request_lifecycle.h
@@ -31,7 +31,7 @@
     // Renders an error in the format of the front end's API: (error, request id).
     using ErrorBody = std::function<std::string(const api::ApiError&, const std::string&)>;
     // `program` and `environment` must outlive the object.
-    RequestLifecycle(const settings::Program& program, std::uint64_t seed, Environment& environment,
+    RequestLifecycle(const settings::ProgramSettings& program, std::uint64_t seed, Environment& environment,
                      ErrorBody error_body);
     ~RequestLifecycle();
 
@@ -107,7 +107,7 @@
     void on_complete_answer_timeout(OpenRequest& request);
     void on_keepalive(OpenRequest& request);
 
-    const settings::Program& program_;
+    const settings::ProgramSettings& program_;
     Environment& environment_;
     ErrorBody error_body_;
     std::unique_ptr<engine::Dialect> dialect_;
--- a/src/settings/fleet_file.cpp
+++ b/src/settings/fleet_file.cpp
@@ -54,18 +54,18 @@
     return engines;
 }
 
-std::optional<std::vector<Engine>> parse_fleet(std::string_view text, const Program& program,
+std::optional<std::vector<Engine>> parse_fleet(std::string_view text, const ProgramSettings& program,
                                                std::vector<FileFault>& faults) {
     const auto document = Document::parse(text, "fleet", faults);
     if (!document) return std::nullopt;
-    Program known_names = program;
+    ProgramSettings known_names = program;
     SectionReader reader(known_names, faults);
     auto engines = read_engines(reader, document->root());
     if (!faults.empty()) return std::nullopt;
     return engines;
 }
 
-std::string write_fleet(const std::vector<Engine>& engines, const Program& program) {
+std::string write_fleet(const std::vector<Engine>& engines, const ProgramSettings& program) {
     std::ostringstream out;
     out << "<fleet xmlns=\"urn:gorsenotch:1\">\n";
     for (const auto& engine : engines) {
--- a/src/settings/fleet_file.h
+++ b/src/settings/fleet_file.h
@@ -9,7 +9,8 @@
 
 namespace gorsenotch::settings {
 
-// The engines of a <fleet> element. Kinds and zones are resolved by the names in the reader's Program.
+// The engines of a <fleet> element. Kinds and zones are resolved by the names in the reader's
+// ProgramSettings.
 std::vector<Engine> read_engines(SectionReader& reader, const Element& list);
 
 }  // namespace gorsenotch::settings
--- a/src/settings/section_reader.h
+++ b/src/settings/section_reader.h
@@ -1,5 +1,5 @@
-// Shared by the readers of the settings file's sections, which fill in a Program and collect all faults, each
-// with its element, instead of stopping at the first.
+// Shared by the readers of the settings file's sections, which fill in a ProgramSettings and collect all
+// faults, each with its element, instead of stopping at the first.
 #pragma once
 
 #include <string>
@@ -10,12 +10,13 @@
 
 namespace gorsenotch::settings {
 
-// Refers to the Program and the faults, which the caller owns.
+// Refers to the ProgramSettings and the faults, which the caller owns.
 class SectionReader {
 public:
-    SectionReader(Program& program, std::vector<FileFault>& faults) : program_(program), faults_(faults) {}
+    SectionReader(ProgramSettings& program, std::vector<FileFault>& faults)
+        : program_(program), faults_(faults) {}
 
-    Program& program() { return program_; }
+    ProgramSettings& program() { return program_; }
     const std::vector<FileFault>& faults() const { return faults_; }
 
     void add_fault(const Element& element, const std::string& reason) {
@@ -27,7 +28,7 @@
     void read_names(const Element& list, const char* child, std::vector<std::string>& names);
 
 private:
-    Program& program_;
+    ProgramSettings& program_;
     std::vector<FileFault>& faults_;
 };
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -66,7 +66,7 @@
 }
 
 void read_tenants(SectionReader& reader, const Element& list) {
-    Program& program = reader.program();
+    ProgramSettings& program = reader.program();
     reader.read_names(list, "tenant", program.tenants);
     int tenant = 0;
     std::set<std::string> digests;
@@ -112,7 +112,7 @@
 }
 
 // Without a key an engine cannot detect a duplicate: such a request counts as unsafe, in a class of its own.
-void add_unkeyed_classes(Program& program) {
+void add_unkeyed_classes(ProgramSettings& program) {
     const std::size_t count = program.router.classes.size();
     for (std::size_t i = 0; i < count; ++i) {
         ClassSettings unkeyed = program.router.classes[i];
@@ -126,7 +126,7 @@
 }
 
 void read_classes(SectionReader& reader, const Element& list) {
-    Program& program = reader.program();
+    ProgramSettings& program = reader.program();
     reader.read_names(list, "class", program.classes);
     for (const auto& element : list.children("class")) {
         const ClassSettings cls = read_class(element);
@@ -139,7 +139,7 @@
 // ---- <kinds> ----
 
 void read_kinds(SectionReader& reader, const Element& list) {
-    Program& program = reader.program();
+    ProgramSettings& program = reader.program();
     reader.read_names(list, "kind", program.kinds);
     for (const auto& element : list.children("kind")) {
         const Role role = to_one_of(element.text("role"), kRoleWords).value_or(Role::mixed);
@@ -160,7 +160,7 @@
 }
 
 Route read_route(SectionReader& reader, const Element& element) {
-    const Program& program = reader.program();
+    const ProgramSettings& program = reader.program();
     Route route;
     route.cls = reader.index_of(element, "class", program.classes);
     route.model = element.text("model");
@@ -207,7 +207,7 @@
 
 void read_routing(SectionReader& reader, const Element& element) {
     if (!element) return;
-    Program& program = reader.program();
+    ProgramSettings& program = reader.program();
     Settings& settings = program.router;
     settings.gateways = element.integer("gateways");
     settings.max_attempts = element.integer("max-attempts");
@@ -247,7 +247,7 @@
 
 // `file`: the settings file; a relative path of the fleet file is resolved against its directory.
 void read_fleet(SectionReader& reader, const Element& element, const std::string& file) {
-    Program& program = reader.program();
+    ProgramSettings& program = reader.program();
     program.engines = read_engines(reader, element);
     program.fleet_file = element.text("file");
     if (program.fleet_file.empty() && program.engines.empty())
@@ -275,7 +275,7 @@
 
 void read_fake_engines(SectionReader& reader, const Element& list) {
     if (!list) return;
-    Program& program = reader.program();
+    ProgramSettings& program = reader.program();
     for (const auto& element : list.children("standin")) {
         const int kind = reader.index_of(element, "kind", program.kinds);
         if (!program.fake_engines.emplace(kind, read_fake_engine(element)).second)
@@ -286,7 +286,7 @@
 // ---- all sections, in an order in which names are defined before they are referred to ----
 
 void read_all(SectionReader& reader, const Element& root, const std::string& file) {
-    Program& program = reader.program();
+    ProgramSettings& program = reader.program();
     program.listen = root.child("listen").text("address");
     if (const Element log = root.child("log")) program.log_level = log.text("level");
     read_limits(reader, root.child("limits"));
@@ -306,7 +306,7 @@
 }
 
 // Adds a fault for settings that the Router itself rejects.
-void check_with_router(const Program& program, const Element& root, std::vector<FileFault>& faults) {
+void check_with_router(const ProgramSettings& program, const Element& root, std::vector<FileFault>& faults) {
     try {
         const Router router(program.router, 1);
     } catch (const std::invalid_argument& error) {
@@ -316,10 +316,11 @@
 
 }  // namespace
 
-std::optional<Program> parse(std::string_view text, const std::string& file, std::vector<FileFault>& faults) {
+std::optional<ProgramSettings> parse(std::string_view text, const std::string& file,
+                                     std::vector<FileFault>& faults) {
     const auto document = Document::parse(text, "gorsenotch", faults);
     if (!document) return std::nullopt;
-    Program program;
+    ProgramSettings program;
     SectionReader reader(program, faults);
     read_all(reader, document->root(), file);
     if (faults.empty()) check_with_router(program, document->root(), faults);
@@ -327,7 +328,7 @@
     return program;
 }
 
-std::optional<Program> load(const std::string& file, std::vector<FileFault>& faults) {
+std::optional<ProgramSettings> load(const std::string& file, std::vector<FileFault>& faults) {
     std::string text;
     std::string error;
     if (!read_file(file, text, error)) {
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -52,7 +52,7 @@
 using Digest = std::array<unsigned char, 32>;
 
 // The contents of a valid settings file.
-struct Program {
+struct ProgramSettings {
     std::string listen, log_level = "info", fleet_file, source;
     Limits limits;
     std::vector<std::string> models, tenants, classes, zones, kinds;  // names, by index
@@ -69,18 +69,19 @@
 
 Digest sha256(std::string_view text);
 // The tenant that the key belongs to; -1 if none. Takes the same time whichever key matches.
-int tenant_of(const Program& program, std::string_view key);
+int tenant_of(const ProgramSettings& program, std::string_view key);
 
 // Nothing, with faults added, if the settings are invalid. `file`: the settings file, to whose directory the
 // fleet file's path is relative.
-std::optional<Program> parse(std::string_view text, const std::string& file, std::vector<FileFault>& faults);
-std::optional<Program> load(const std::string& file, std::vector<FileFault>& faults);
+std::optional<ProgramSettings> parse(std::string_view text, const std::string& file,
+                                     std::vector<FileFault>& faults);
+std::optional<ProgramSettings> load(const std::string& file, std::vector<FileFault>& faults);
 
 // The engines of a fleet file, whose kinds and zones are resolved by the names in `program`. Nothing, with
 // faults added, if the text is invalid.
-std::optional<std::vector<Engine>> parse_fleet(std::string_view text, const Program& program,
+std::optional<std::vector<Engine>> parse_fleet(std::string_view text, const ProgramSettings& program,
                                                std::vector<FileFault>& faults);
 // The text of a fleet file with these engines.
-std::string write_fleet(const std::vector<Engine>& engines, const Program& program);
+std::string write_fleet(const std::vector<Engine>& engines, const ProgramSettings& program);
 
 }  // namespace gorsenotch::settings
--- a/src/settings/tenant_keys.cpp
+++ b/src/settings/tenant_keys.cpp
@@ -11,7 +11,7 @@
     return digest;
 }
 
-int tenant_of(const Program& program, std::string_view key) {
+int tenant_of(const ProgramSettings& program, std::string_view key) {
     const Digest digest = sha256(key);
     int found = -1;
     // Guards against timing attacks on keys: every stored digest is compared completely.
--- a/tests/api/messages_test.cpp
+++ b/tests/api/messages_test.cpp
@@ -141,7 +141,7 @@
 }
 
 TEST(Intake, ChecksKeysVersionsPathsAndModels) {
-    settings::Program program;
+    settings::ProgramSettings program;
     program.models = {"m", "n"}, program.tenants = {"t", "u"}, program.tenant_models = {{}, {"n"}};
     program.classes = {"chat", "keyed", "keyed"}, program.router.classes.resize(3),
     program.unkeyed_class = {{1, 2}};
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -123,8 +123,8 @@
 
 // Settings with one tenant and model, and with a class for each rule of idempotency: chat (idempotent), once
 // (unsafe) and keyed (with an idempotency key).
-inline settings::Program test_program() {
-    settings::Program settings;
+inline settings::ProgramSettings test_program() {
+    settings::ProgramSettings settings;
     settings.models = {"m"};
     settings.tenants = {"t"};
     settings.tenant_models = {{}};
@@ -168,7 +168,7 @@
 
 // A RequestLifecycle with two prefill and two decode engines.
 struct CoreBench {
-    settings::Program p = test_program();
+    settings::ProgramSettings p = test_program();
     FakeWorld world;
     std::unique_ptr<RequestLifecycle> core;
     std::vector<settings::Engine> engines = {engine(1, 0), engine(2, 0), engine(11, 1), engine(12, 1)};
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -109,7 +109,7 @@
     net::EventLoop loop;
     RawEngine prefill_engine{loop};
     RawEngine decode_engine{loop};
-    settings::Program program = test_program();
+    settings::ProgramSettings program = test_program();
     std::unique_ptr<gateway::Gateway> gateway_under_test;
 
     GatewayTest() {
--- a/tests/state/stored_data_test.cpp
+++ b/tests/state/stored_data_test.cpp
@@ -17,11 +17,11 @@
 
 const std::string kStoredFolder = GORSENOTCH_ROOT "/tests/stored";
 
-settings::Program load_program() {
+settings::ProgramSettings load_program() {
     std::vector<settings::FileFault> faults;
     auto program = settings::load(GORSENOTCH_ROOT "/days/settings.xml", faults);
     EXPECT_TRUE(program) << settings::render("settings", faults);
-    return program ? *program : settings::Program{};
+    return program ? *program : settings::ProgramSettings{};
 }
 
 // A copy of the stored endpoint list's two generations, without the file `omitted_file`.
