--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -107,7 +107,7 @@
 void ClientConnection::schedule_output() {
     if (!stream_) return;
     // Bounds the memory for output in one long loop turn, in which an engine may send a lot.
-    if (output_.size() > program_.limits.stream_buffer) return flush();
+    if (output_.size() > program_.limits.stream_buffer_bytes) return flush();
     if (flush_scheduled_) return;
     flush_scheduled_ = true;
     owner_.schedule_flush(*this);
@@ -121,7 +121,7 @@
     if (state_ == State::closing && stream_->queued() == 0) return stream_->shutdown_write();
     // Back-pressure: the engine's socket is not read while this client lags behind.
     const bool streaming = stream_begun_ && state_ == State::in_lifecycle;
-    if (streaming && !congested_ && stream_->queued() > program_.limits.stream_buffer) {
+    if (streaming && !congested_ && stream_->queued() > program_.limits.stream_buffer_bytes) {
         congested_ = true;
         timer_.fire_after_poll(program_.limits.stream_idle_ms);
         lifecycle_.on_client_congested(id_, true);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -44,7 +44,8 @@
     const std::uint64_t seed = program_.seed.value_or(random());
     connection_pool_ = std::make_unique<proxy::ConnectionPool>(
         loop, proxy::ConnectionPool::Config{program_.source, program_.router.connect_timeout,
-                                            program_.limits.engine_idle_ms, program_.limits.engine_idle});
+                                            program_.limits.engine_idle_ms,
+                                            program_.limits.max_idle_engine_connections});
     lifecycle_ = std::make_unique<RequestLifecycle>(program_, seed, *this, api::messages::error_body);
     lifecycle_->on_wake = [this] { wakeup_timer_.wake(); };
     loop_.on_slow_iteration = [this](Millis length, const net::EventLoop::Activities& activities) {
--- a/src/gateway/request_attempts.cpp
+++ b/src/gateway/request_attempts.cpp
@@ -157,7 +157,7 @@
     attempt->last_data_at = now;
     request->last_sent_at = now;
     std::string bytes = request->request.answer->text(piece);
-    if (request->request.answer->ended()) {  // a complete answer longer than limits.whole_answer
+    if (request->request.answer->ended()) {  // a complete answer longer than limits.complete_answer_bytes
         Client* client = std::exchange(request->request.client, nullptr);
         close_request(*request, 500, EndReason::too_long);
         if (client) client->send_complete(500, std::move(bytes), kNoRetryAfter, false);
--- a/src/gateway/request_intake.cpp
+++ b/src/gateway/request_intake.cpp
@@ -133,7 +133,7 @@
     if (chat.stream)
         return api::messages::streamed_response(message, chat.model, static_cast<long>(chat.prompt_tokens),
                                                 id);
-    return api::messages::complete_response(message, chat.model, id, program.limits.whole_answer);
+    return api::messages::complete_response(message, chat.model, id, program.limits.complete_answer_bytes);
 }
 
 }  // namespace
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -88,7 +88,7 @@
     if (!opened.request.chat.stream) {
         // The Router's deadline covers the time to the first token only. A client that does not stream gets
         // nothing before the complete answer, so that has a timeout of its own.
-        const Millis limit = program_.limits.whole_answer_ms;
+        const Millis limit = program_.limits.complete_answer_timeout_ms;
         const Millis patience = opened.request.patience;
         const Millis timeout = patience > 0 ? std::min(patience, limit) : limit;
         set_timer(TimerKind::complete_answer, received_at + timeout - program_.router.event_interval,
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -29,8 +29,8 @@
     limits.headers = size("headers");
     limits.body_bytes = size("body-bytes");
     limits.open_requests = size("open-requests");
-    limits.stream_buffer = size("stream-buffer-bytes");
-    limits.whole_answer = size("whole-answer-bytes");
+    limits.stream_buffer_bytes = size("stream-buffer-bytes");
+    limits.complete_answer_bytes = size("whole-answer-bytes");
     limits.event_bytes = size("event-bytes");
     limits.header_ms = element.number("header-ms");
     limits.body_ms = element.number("body-ms");
@@ -38,9 +38,9 @@
     limits.stream_idle_ms = element.number("stream-idle-ms");
     limits.ping_ms = element.number("ping-ms");
     limits.drain_ms = element.number("drain-ms");
-    limits.whole_answer_ms = element.number("whole-answer-ms");
+    limits.complete_answer_timeout_ms = element.number("whole-answer-ms");
     limits.engine_idle_ms = element.number("engine-idle-ms");
-    limits.engine_idle = size("engine-idle-connections");
+    limits.max_idle_engine_connections = size("engine-idle-connections");
 }
 
 // ---- <tenants> ----
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -34,10 +34,10 @@
 // Limits of a gateway: sizes in bytes, times in ms, and counts.
 struct Limits {
     std::size_t header_bytes = 16384, headers = 100, body_bytes = 4194304, open_requests = 20000;
-    std::size_t stream_buffer = 32768, whole_answer = 4194304, event_bytes = 1048576;
+    std::size_t stream_buffer_bytes = 32768, complete_answer_bytes = 4194304, event_bytes = 1048576;
     Millis header_ms = 10000, body_ms = 30000, idle_ms = 75000, stream_idle_ms = 20000, ping_ms = 10000;
-    Millis drain_ms = 30000, whole_answer_ms = 600000, engine_idle_ms = 15000;
-    std::size_t engine_idle = 64;
+    Millis drain_ms = 30000, complete_answer_timeout_ms = 600000, engine_idle_ms = 15000;
+    std::size_t max_idle_engine_connections = 64;
 };
 
 // Capacity and speed of the fake engines of one kind. Times are ms, rates are tokens per second.
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -334,7 +334,7 @@
     RawClient slow(loop, address(), post_request(true, "", "flood"), false);
     ASSERT_TRUE(run_until([&] { return flooding_connection != nullptr; }));
     ASSERT_TRUE(run_until([&] {
-        return gateway_under_test->peak_queued_bytes() > program.limits.stream_buffer;
+        return gateway_under_test->peak_queued_bytes() > program.limits.stream_buffer_bytes;
     })) << offered_bytes;
     run_for(300);
     const std::size_t offered_while_paused = offered_bytes;
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -43,7 +43,7 @@
     EXPECT_EQ(program->engines.size(), 10u);
     EXPECT_EQ(program->router.classes[0].deadline, 5000);
     EXPECT_EQ(program->router.connect_timeout, 250);
-    EXPECT_EQ(program->limits.stream_buffer, 32768u);  // defaults of the schema
+    EXPECT_EQ(program->limits.stream_buffer_bytes, 32768u);  // defaults of the schema
     EXPECT_EQ(tenant_of(*program, "local-key"), 0);
     EXPECT_EQ(tenant_of(*program, "local-kez"), -1);
     EXPECT_EQ(tenant_of(*program, ""), -1);
