--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -394,7 +394,7 @@
 void Engine::read_done(const std::string& id, double kept) {
     const auto it = active_requests_.find(id);
     const double all = it == active_requests_.end() ? kept : it->second.job.prompt;
-    record("held", {{"id", id}, {"did", (all - kept) / options_.config.pace.read_per_s}});
+    record("held", {{"id", id}, {"did", (all - kept) / options_.config.pace.prefill_tokens_per_s}});
     if (it == active_requests_.end())
         return;  // its client has gone and the kind does not cancel: the state stays
     if (it->second.muted && it->second.link) return;  // unanswered until its client closes
--- a/src/fake_engine/model.cpp
+++ b/src/fake_engine/model.cpp
@@ -45,7 +45,7 @@
 }
 
 double Model::work(const Job& job, bool read) const {
-    if (read) return job.prompt / config_.pace.read_per_s;
+    if (read) return job.prompt / config_.pace.prefill_tokens_per_s;
     const Millis step = config_.pace.step + config_.pace.per_stream * config_.pace.slots;
     const int made = std::min(job.max_tokens, config_.pace.answer_tokens);
     return made * step / 1000 / config_.pace.slots;
@@ -78,7 +78,7 @@
         known_[hash] = lru_.begin();
         known_tokens_ += own;
     }
-    while (known_tokens_ > config_.pace.kept_tokens && !lru_.empty()) {
+    while (known_tokens_ > config_.pace.cache_tokens && !lru_.empty()) {
         known_tokens_ -= lru_.back().second;
         known_.erase(lru_.back().first);
         lru_.pop_back();
@@ -114,7 +114,7 @@
     memory_ += job_.prompt;
     read_kept_ = kept(job_);
     const double fresh = std::max(1.0, job_.prompt - read_kept_);
-    read_until_ = now + 1000 * fresh / (config_.pace.read_per_s * speed(now));
+    read_until_ = now + 1000 * fresh / (config_.pace.prefill_tokens_per_s * speed(now));
 }
 
 void Model::begin_writes(Millis now) {
@@ -130,7 +130,8 @@
         const std::string id = running.job.id;
         const bool fetches = running.job.has_state;
         if (!fetches)
-            running.reads_until = now + 1000 * running.job.prompt / (config_.pace.read_per_s * speed(now));
+            running.reads_until =
+                now + 1000 * running.job.prompt / (config_.pace.prefill_tokens_per_s * speed(now));
         running_.push_back(std::move(running));
         if (fetches) events_.fetch(id);
     }
@@ -145,7 +146,7 @@
     for (auto it = running_.begin(); it != running_.end(); ++it) {
         if (it->job.id != id) continue;
         if (ok) {
-            it->reads_until = now + 1000 * it->job.prompt / config_.pace.fetch_per_s;
+            it->reads_until = now + 1000 * it->job.prompt / config_.pace.fetch_tokens_per_s;
         } else {
             memory_ -= it->job.prompt;
             running_.erase(it);
@@ -254,7 +255,7 @@
         if (newest.ready) {
             newest.ready = false;
             const double again = newest.job.prompt + newest.made;
-            newest.reads_until = now + 1000 * again / (config_.pace.read_per_s * speed(now));
+            newest.reads_until = now + 1000 * again / (config_.pace.prefill_tokens_per_s * speed(now));
         }
     }
     begin_writes(now);
--- a/src/fake_engine/model.h
+++ b/src/fake_engine/model.h
@@ -3,9 +3,10 @@
 // It stands in for a real engine in tests and scenarios on loopback; its figures say nothing about real
 // engines.
 //
-// A prefill engine works first come first, one prompt at a time at read_per_s, from where its cached prefix
-// ends; the KV state then uses memory until it is fetched, aborted, or its lease ends. A decode engine uses a
-// slot and memory while it fetches a state and generates; each step gives every running answer one token.
+// A prefill engine works first come first, one prompt at a time at prefill_tokens_per_s, from where its
+// cached prefix ends; the KV state then uses memory until it is fetched, aborted, or its lease ends. A decode
+// engine uses a slot and memory while it fetches a state and generates; each step gives every running answer
+// one token.
 #pragma once
 
 #include <deque>
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -262,12 +262,12 @@
     FakeEngineSettings settings;
     settings.slots = element.integer("slots");
     settings.queue = element.integer("queue");
-    settings.read_per_s = element.number("read-tokens-per-s");
-    settings.fetch_per_s = element.number("fetch-tokens-per-s");
+    settings.prefill_tokens_per_s = element.number("read-tokens-per-s");
+    settings.fetch_tokens_per_s = element.number("fetch-tokens-per-s");
     settings.step = element.number("step-ms");
     settings.per_stream = element.number("per-stream-ms");
     settings.answer_tokens = element.integer("answer-tokens");
-    settings.kept_tokens = element.number("kept-tokens");
+    settings.cache_tokens = element.number("kept-tokens");
     settings.cancels = element.boolean("cancels");
     settings.lease = element.number("lease-ms");
     return settings;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -43,7 +43,7 @@
 // Capacity and speed of the fake engines of one kind. Times are ms, rates are tokens per second.
 struct FakeEngineSettings {
     int slots = 16, queue = 64, answer_tokens = 60;
-    double read_per_s = 20000, fetch_per_s = 300000, kept_tokens = 50000;
+    double prefill_tokens_per_s = 20000, fetch_tokens_per_s = 300000, cache_tokens = 50000;
     Millis step = 10, per_stream = 0.1, lease = 5000;
     bool cancels = true;
 };
