--- a/src/gateway/upstream_exchange.cpp
+++ b/src/gateway/upstream_exchange.cpp
@@ -5,7 +5,8 @@
 namespace gorsenotch::gateway {
 namespace {
 
-constexpr http::Limits kResponseLimits{.header_bytes = std::size_t{16} * 1024, .headers = 100, .body = 0};
+constexpr http::Limits kResponseLimits{
+    .header_bytes = std::size_t{16} * 1024, .headers = 100, .body_bytes = 0};
 
 }  // namespace
 
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -98,8 +98,8 @@
         self.fault_ = Fault::malformed;
         return -1;
     }
-    const bool limited = self.limits_.body > 0 && lengths > 0 && has_length;
-    if (limited && parser->content_length > self.limits_.body) {
+    const bool limited = self.limits_.body_bytes > 0 && lengths > 0 && has_length;
+    if (limited && parser->content_length > self.limits_.body_bytes) {
         self.fault_ = Fault::body_too_large;
         return -1;
     }
@@ -110,7 +110,7 @@
 int Parser::on_body_bytes(http_parser* parser, const char* at, std::size_t n) {
     Parser& self = Parser::from(parser);
     self.body_bytes_ += n;
-    if (self.limits_.body > 0 && self.body_bytes_ > self.limits_.body) {
+    if (self.limits_.body_bytes > 0 && self.body_bytes_ > self.limits_.body_bytes) {
         self.fault_ = Fault::body_too_large;
         return 1;
     }
@@ -126,7 +126,7 @@
 // Guards against a chunk whose announced size is so large that its data never ends.
 int Parser::on_chunk_header(http_parser* parser) {
     Parser& self = Parser::from(parser);
-    if (self.limits_.chunk == 0 || parser->content_length <= self.limits_.chunk) return 0;
+    if (self.limits_.chunk_bytes == 0 || parser->content_length <= self.limits_.chunk_bytes) return 0;
     self.fault_ = Fault::body_too_large;
     return 1;
 }
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -24,8 +24,8 @@
 struct Limits {
     std::size_t header_bytes = std::size_t{16} * 1024;  // names, values and start line
     std::size_t headers = 100;
-    std::size_t body = std::size_t{4} * 1024 * 1024;  // bytes; 0: no limit (a body that is streamed)
-    std::uint64_t chunk = 0;                          // bytes of one chunk; 0: no limit
+    std::size_t body_bytes = std::size_t{4} * 1024 * 1024;  // 0: no limit (a body that is streamed)
+    std::uint64_t chunk_bytes = 0;                          // of one chunk; 0: no limit
 };
 
 // Why a message was rejected.
