--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -38,7 +38,8 @@
 }
 
 bool ClientConnection::is_idle() const {
-    return !is_answering() && !parser_.begun() && stream_ && stream_->queued() == 0 && output_.empty();
+    return !is_answering() && !parser_.has_partial_message() && stream_ && stream_->queued() == 0 &&
+           output_.empty();
 }
 
 void ClientConnection::reject_overloaded() {
@@ -174,7 +175,7 @@
 void ClientConnection::parse(std::string_view bytes) {
     std::string remaining;  // backs `bytes` after the first request
     while (!bytes.empty() && stream_ && state_ != State::closing) {
-        if (!parser_.begun()) timer_.fire_after_poll(program_.limits.header_ms);
+        if (!parser_.has_partial_message()) timer_.fire_after_poll(program_.limits.header_ms);
         const std::size_t consumed = parser_.feed(bytes);
         bytes.remove_prefix(std::min(consumed, bytes.size()));
         if (parser_.fault() != http::Fault::none) return reject_malformed();
@@ -255,7 +256,7 @@
         const std::string next_request = std::exchange(buffered_input_, {});
         return parse(next_request);
     }
-    if (state_ == State::reading && parser_.begun()) {
+    if (state_ == State::reading && parser_.has_partial_message()) {
         if (id_.empty()) id_ = owner_.next_request_id();
         keep_alive_ = false;
         state_ = State::replying;
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -60,8 +60,8 @@
     bool finish();
 
     Fault fault() const { return fault_; }
-    bool complete() const { return complete_; }  // the current message has ended
-    bool begun() const { return begun_; }        // bytes of an incomplete message have been parsed
+    bool complete() const { return complete_; }          // the current message has ended
+    bool has_partial_message() const { return begun_; }  // bytes of an incomplete message have been parsed
 
 private:
     static Parser& from(http_parser* parser);
--- a/src/platform/client_connection.cpp
+++ b/src/platform/client_connection.cpp
@@ -104,7 +104,8 @@
 
 // Records when a request started. Empty lines before a request are not part of it (RFC 9112, 2.2).
 void ClientConnection::record_request_start() {
-    const bool request = parser_.begun() || parser_.complete() || parser_.fault() != http::Fault::none;
+    const bool request =
+        parser_.has_partial_message() || parser_.complete() || parser_.fault() != http::Fault::none;
     if (!request_began_at_ && request)
         request_began_at_ = std::max(kEarliestStart, net::now() - stream_->time_since_last_receive());
 }
