--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -89,7 +89,7 @@
     self.minor = parser->http_minor;
     self.keep_alive = http_should_keep_alive(parser) != 0;
     const bool has_length = parser->content_length != ULLONG_MAX;
-    self.framed = (parser->flags & F_CHUNKED) != 0 || has_length;
+    self.has_explicit_length = (parser->flags & F_CHUNKED) != 0 || has_length;
     // Guards against request smuggling, where two parsers find different ends of a message: rejects repeated
     // lengths and a length together with a transfer coding.
     const auto lengths = count_headers(self.headers, "content-length");
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -45,7 +45,7 @@
     int minor = 1;       // HTTP/1.x
     Headers headers;
     bool keep_alive = false;
-    bool framed = false;  // it ends by its length or its last chunk, not with the connection
+    bool has_explicit_length = false;  // it ends by its length or its last chunk, not with the connection
 
     std::function<void()> on_headers;
     std::function<void(std::string_view)> on_body;
--- a/src/platform/upstream_exchange.cpp
+++ b/src/platform/upstream_exchange.cpp
@@ -85,7 +85,7 @@
         if (parser_.status == 101 || ++interim_responses_ > kMaxInterimResponses) on_malformed_response();
         return;
     }
-    if (!parser_.framed && status_ != 204 && status_ != 304) return on_malformed_response();
+    if (!parser_.has_explicit_length && status_ != 204 && status_ != 304) return on_malformed_response();
     response_complete_ = true;
     if (!parser_.keep_alive) connection_unusable_ = true;
     if (over_) return;
