--- a/src/gateway/client_connection.h
+++ b/src/gateway/client_connection.h
@@ -73,7 +73,7 @@
 
     bool is_answering() const { return state_ == State::replying || state_ == State::in_lifecycle; }
     bool is_idle() const;
-    bool is_chunked() const { return parser_.minor >= 1; }
+    bool is_chunked() const { return parser_.http_minor >= 1; }
     http::Headers common_headers();
     Reply overloaded_reply() const;
     Reply fault_reply() const;
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -86,7 +86,7 @@
     Parser& self = Parser::from(parser);
     self.status = static_cast<int>(parser->status_code);
     self.method = http_method_str(static_cast<http_method>(parser->method));
-    self.minor = parser->http_minor;
+    self.http_minor = parser->http_minor;
     self.keep_alive = http_should_keep_alive(parser) != 0;
     const bool has_length = parser->content_length != ULLONG_MAX;
     self.has_explicit_length = (parser->flags & F_CHUNKED) != 0 || has_length;
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -42,7 +42,7 @@
     std::string method;  // requests
     std::string target;  // requests
     int status = 0;      // responses
-    int minor = 1;       // HTTP/1.x
+    int http_minor = 1;  // HTTP/1.x
     Headers headers;
     bool keep_alive = false;
     bool has_explicit_length = false;  // it ends by its length or its last chunk, not with the connection
