--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -224,7 +224,7 @@
 
 std::string response_head(int status, const Headers& headers) {
     std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
-    head.append(reason(status)).append("\r\n");
+    head.append(reason_phrase(status)).append("\r\n");
     append_headers(head, headers);
     return head;
 }
@@ -242,7 +242,7 @@
     return rendered;
 }
 
-std::string_view reason(int status) {
+std::string_view reason_phrase(int status) {
     switch (status) {
         case 200:
             return "OK";
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -101,6 +101,6 @@
 std::string chunk(std::string_view bytes);
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 // The reason phrase of a status; "Status" for a status that this program does not send.
-std::string_view reason(int status);
+std::string_view reason_phrase(int status);
 
 }  // namespace gorsenotch::http
