--- a/src/gateway/upstream_exchange.h
+++ b/src/gateway/upstream_exchange.h
@@ -53,7 +53,7 @@
     void cancel();
     void on_stream_stalled();  // no data within the idle timeout of a begun stream
 
-    bool is_over() const override { return over_; }
+    bool has_outcome() const override { return over_; }
     bool begun() const { return progress_ != StreamProgress::waiting; }
     bool is_reusable() const override { return over_ && connection_ == ConnectionUse::reusable; }
     bool is_lingering() const override {
--- a/src/platform/health_checker.cpp
+++ b/src/platform/health_checker.cpp
@@ -66,7 +66,7 @@
 
 void HealthChecker::close_check(EndpointHealth& health) {
     const auto check = std::exchange(health.check, nullptr);
-    if (!check || check->is_over()) return;
+    if (!check || check->has_outcome()) return;
     check->on_ended = nullptr;
     environment_.close(*check);
 }
--- a/src/platform/lease_keeper.cpp
+++ b/src/platform/lease_keeper.cpp
@@ -94,14 +94,14 @@
 }
 
 void LeaseManager::on_reservation_timeout(const RequestState& request) {
-    if (!request.reservation || request.reservation->is_over()) return;
+    if (!request.reservation || request.reservation->has_outcome()) return;
     const std::shared_ptr<UpstreamExchange> call = request.reservation;
     context_.environment.close(*call);
     call->abort(AttemptResult::timed_out);
 }
 
 void LeaseManager::abandon_reservation(const RequestState& request) {
-    if (!request.reservation || request.reservation->is_over()) return;
+    if (!request.reservation || request.reservation->has_outcome()) return;
     const std::shared_ptr<UpstreamExchange> call = request.reservation;
     call->on_ended = nullptr;
     context_.environment.close(*call);
--- a/src/platform/lease_releaser.cpp
+++ b/src/platform/lease_releaser.cpp
@@ -155,11 +155,11 @@
     for (Call& call : release.calls) {
         if (call.started_at <= before) end_call(call, true);
     }
-    std::erase_if(release.calls, [](const Call& call) { return call.exchange->is_over(); });
+    std::erase_if(release.calls, [](const Call& call) { return call.exchange->has_outcome(); });
 }
 
 void LeaseReleaser::end_call(Call& call, bool endpoint_failed) {
-    if (call.exchange->is_over()) return;
+    if (call.exchange->has_outcome()) return;
     DiscoveredEndpoint* endpoint = endpoint_failed ? endpoints_.find(call.endpoint) : nullptr;
     if (endpoint) endpoint->last_failure = environment_.now();
     call.exchange->on_ended = nullptr;
@@ -175,7 +175,7 @@
     Call* oldest = nullptr;
     for (auto& [id, release] : releases_) {
         for (Call& call : release.calls) {
-            if (!call.exchange->is_over() && (!oldest || call.started_at < oldest->started_at))
+            if (!call.exchange->has_outcome() && (!oldest || call.started_at < oldest->started_at))
                 oldest = &call;
         }
     }
--- a/src/platform/upstream_exchange.h
+++ b/src/platform/upstream_exchange.h
@@ -62,7 +62,7 @@
     void on_connection_closed() override;
     void on_connect_failed() override;
     void on_not_sent() override;
-    bool is_over() const override { return over_; }
+    bool has_outcome() const override { return over_; }
     bool is_reusable() const override { return over_ && response_complete_ && !connection_unusable_; }
     bool is_lingering() const override { return false; }
 
--- a/src/proxy/upstream_call.h
+++ b/src/proxy/upstream_call.h
@@ -33,11 +33,11 @@
     // The request could not be sent for a reason local to this host, or may_start() returned false.
     virtual void on_not_sent() = 0;
     // Whether the outcome has been reported to the call's owner.
-    virtual bool is_over() const = 0;
+    virtual bool has_outcome() const = 0;
     // Whether the connection may carry another request: the response ended cleanly, with no byte after its
     // end.
     virtual bool is_reusable() const = 0;
-    // Whether is_over(), but the end of the HTTP message has not arrived on the connection yet.
+    // Whether it has an outcome, but the end of the HTTP message has not arrived on the connection yet.
     virtual bool is_lingering() const = 0;
 };
 
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -141,7 +141,7 @@
         return true;
     });
     exchange.on_connection_closed();
-    need(ends == 1 && exchange.is_over(), "an end whatever came");
+    need(ends == 1 && exchange.has_outcome(), "an end whatever came");
     need(!exchange.is_reusable(), "a connection that is gone carries nothing");
     exchange.time_out(), exchange.cancel(), exchange.on_stream_stalled(), exchange.on_data("x");
     return text + "|" + std::to_string(result);
@@ -261,7 +261,7 @@
         return true;
     });
     exchange.on_connection_closed();
-    need(ends == 1 && exchange.is_over() && !exchange.is_reusable(),
+    need(ends == 1 && exchange.has_outcome() && !exchange.is_reusable(),
          "an end whatever came, and the connection carries nothing");
     exchange.abort(AttemptResult::timed_out, ""), exchange.on_data("x"), exchange.on_not_sent();
     return text + "|" + std::to_string(result);
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -401,7 +401,7 @@
     // The attempt's engine fails in the way `step` says, or sends the next part of its response.
     void advance_engine(SentAttempt& sent, int step) {
         const auto exchange = sent.exchange;
-        if (exchange->is_over() || sent.closed) return;
+        if (exchange->has_outcome() || sent.closed) return;
         int& parts_sent = parts_sent_[sent.id()];
         if (step == 0)
             return parts_sent == 0 ? exchange->on_connect_failed() : exchange->on_connection_closed();
@@ -443,7 +443,7 @@
         std::map<std::string, int> in_flight;
         for (const auto& sent : bench_.world.sent) {
             const auto request = request_of(sent);
-            if (!sent.exchange->is_over() && ++in_flight[request] > 1)
+            if (!sent.exchange->has_outcome() && ++in_flight[request] > 1)
                 FAIL() << "two attempts in flight for " << request;
         }
     }
--- a/tests/platform/attempt_runner_test.cpp
+++ b/tests/platform/attempt_runner_test.cpp
@@ -88,7 +88,7 @@
     decode->on_first_byte_sent();  // its last byte is not written when the gateway stops
     lifecycle.shutdown();
     EXPECT_EQ(client.answers_ended, 1);
-    EXPECT_TRUE(decode->is_over()) << "cancelled";
+    EXPECT_TRUE(decode->has_outcome()) << "cancelled";
     EXPECT_EQ(lifecycle.counters().results[static_cast<int>(AttemptResult::not_sent)], 1u);
     EXPECT_EQ(lifecycle.counters().results[static_cast<int>(AttemptResult::cancelled)], 0u);
     answer_all_releases();
--- a/tests/platform/client_connection_test.cpp
+++ b/tests/platform/client_connection_test.cpp
@@ -123,7 +123,7 @@
     const auto prefill = environment.exchanges.back().exchange;
     for (int i = 0; i < 10; ++i) peer.send(post_request("flood" + std::to_string(i), std::string(2000, 'x')));
     run_until([&] { return peer.read_available(), peer.ended; });
-    EXPECT_TRUE(prefill->is_over());
+    EXPECT_TRUE(prefill->has_outcome());
     EXPECT_EQ(times_sent("flood0"), 0u);
     EXPECT_FALSE(peer.reset);
     answer_exchanges();
--- a/tests/platform/client_connections_fixture.h
+++ b/tests/platform/client_connections_fixture.h
@@ -60,7 +60,7 @@
     void answer_exchanges() {
         for (std::size_t i = 0; i < environment.exchanges.size(); ++i) {
             const auto started = environment.exchanges[i];
-            if (started.exchange->is_over() || started.closed) continue;
+            if (started.exchange->has_outcome() || started.closed) continue;
             if (started.request.rfind("DELETE", 0) == 0) {
                 started.exchange->on_data("HTTP/1.1 204 No Content\r\n\r\n");
             } else if (started.address == "10.0.0.3:1") {
--- a/tests/platform/lease_keeper_test.cpp
+++ b/tests/platform/lease_keeper_test.cpp
@@ -52,7 +52,7 @@
         EXPECT_EQ(release_calls_within(500), 0u) << "the decode may still be confirmed";
         const auto decode = last_exchange().exchange;
         EXPECT_GE(release_calls_within(kDecodeReleaseLimit), 1u);
-        EXPECT_FALSE(decode->is_over()) << "the release must not end a decode that is only slow";
+        EXPECT_FALSE(decode->has_outcome()) << "the release must not end a decode that is only slow";
         shut_down();
     }
     {
@@ -79,7 +79,7 @@
         last_exchange().exchange->on_connection_closed();  // the prefill may have completed
         mark_acquired();
         ASSERT_NE(last_exchange().address, "10.0.0.3:1");
-        ASSERT_FALSE(last_exchange().exchange->is_over())
+        ASSERT_FALSE(last_exchange().exchange->has_outcome())
             << "the second prefill is in flight and not answered";
         EXPECT_GE(release_calls_within(kPrefillReleaseLimit), 1u);
         shut_down();
--- a/tests/platform/lease_releaser_test.cpp
+++ b/tests/platform/lease_releaser_test.cpp
@@ -111,7 +111,7 @@
     EXPECT_LE(release_calls(), 50u * 13);
     const auto in_flight =
         std::count_if(environment.exchanges.begin(), environment.exchanges.end(), [](const auto& call) {
-            return call.request.rfind("DELETE", 0) == 0 && !call.closed && !call.exchange->is_over();
+            return call.request.rfind("DELETE", 0) == 0 && !call.closed && !call.exchange->has_outcome();
         });
     EXPECT_LE(in_flight, 33);
     const std::size_t calls_in_time = release_calls();
--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -157,7 +157,7 @@
         for (int round = 0; round < 2; ++round) {
             for (std::size_t index = 0; index < environment.exchanges.size(); ++index) {
                 auto& started = environment.exchanges[index];
-                if (started.request.rfind("DELETE", 0) == 0 && !started.exchange->is_over())
+                if (started.request.rfind("DELETE", 0) == 0 && !started.exchange->has_outcome())
                     started.exchange->on_data("HTTP/1.1 204 No Content\r\n\r\n");
             }
             advance(400);
--- a/tests/platform/request_completion_test.cpp
+++ b/tests/platform/request_completion_test.cpp
@@ -10,7 +10,7 @@
     EXPECT_EQ(client.answers_ended, 1);
     EXPECT_EQ(client.status, 503);
     for (auto& started : environment.exchanges) {
-        if (started.request.rfind("DELETE", 0) == 0 && !started.exchange->is_over())
+        if (started.request.rfind("DELETE", 0) == 0 && !started.exchange->has_outcome())
             started.exchange->on_data("HTTP/1.1 204 No Content\r\n\r\n");
     }
     advance(3000);
--- a/tests/platform/request_lifecycle_test.cpp
+++ b/tests/platform/request_lifecycle_test.cpp
@@ -91,7 +91,8 @@
                 for (std::size_t i = 0; i < checked; ++i) {
                     const auto& earlier = environment.exchanges[i];
                     EXPECT_FALSE(!earlier.request.empty() && !is_release(earlier) &&
-                                 txn(earlier) == txn(sent) && !earlier.closed && !earlier.exchange->is_over())
+                                 txn(earlier) == txn(sent) && !earlier.closed &&
+                                 !earlier.exchange->has_outcome())
                         << "two attempts of " << txn(sent);
                 }
             }
@@ -101,7 +102,7 @@
             std::vector<std::size_t> in_flight;
             for (std::size_t i = 0; i < environment.exchanges.size(); ++i) {
                 if (!environment.exchanges[i].request.empty() && !environment.exchanges[i].closed &&
-                    !environment.exchanges[i].exchange->is_over())
+                    !environment.exchanges[i].exchange->has_outcome())
                     in_flight.push_back(i);
             }
             if (in_flight.empty()) return false;
