--- a/src/gateway/upstream_exchange.h
+++ b/src/gateway/upstream_exchange.h
@@ -56,7 +56,7 @@
     bool has_outcome() const override { return over_; }
     bool begun() const { return progress_ != StreamProgress::waiting; }
     bool is_reusable() const override { return over_ && connection_ == ConnectionUse::reusable; }
-    bool is_lingering() const override {
+    bool awaits_message_end() const override {
         return over_ && connection_ == ConnectionUse::message_open && awaits_message_end_;
     }
 
--- a/src/platform/upstream_exchange.h
+++ b/src/platform/upstream_exchange.h
@@ -64,7 +64,7 @@
     void on_not_sent() override;
     bool has_outcome() const override { return over_; }
     bool is_reusable() const override { return over_ && response_complete_ && !connection_unusable_; }
-    bool is_lingering() const override { return false; }
+    bool awaits_message_end() const override { return false; }
 
     // ---- for the owner ----
     // The last byte of the request was passed to the kernel.
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -228,7 +228,7 @@
 void ConnectionPool::keep_or_close(Connection& connection) {
     const auto& call = connection.call;
     if (!call || !call->has_outcome()) return;
-    if (call->is_lingering()) return;
+    if (call->awaits_message_end()) return;
     const bool has_room = idle_by_address_[connection.address].size() < config_.max_idle_per_address;
     if (!call->is_reusable() || !has_room) return erase_connection(connection, ConnectionEnd::not_reusable);
     by_call_.erase(call.get());
--- a/src/proxy/upstream_call.h
+++ b/src/proxy/upstream_call.h
@@ -38,7 +38,7 @@
     // end.
     virtual bool is_reusable() const = 0;
     // Whether it has an outcome, but the end of the HTTP message has not arrived on the connection yet.
-    virtual bool is_lingering() const = 0;
+    virtual bool awaits_message_end() const = 0;
 };
 
 }  // namespace gorsenotch::proxy
--- a/tests/gateway/upstream_exchange_test.cpp
+++ b/tests/gateway/upstream_exchange_test.cpp
@@ -43,7 +43,7 @@
     if (after == AfterResponse::connection_closes) exchange.on_connection_closed();
     if (after == AfterResponse::attempt_times_out) exchange.time_out();
     observed.reusable = exchange.is_reusable();
-    observed.lingering = exchange.is_lingering();
+    observed.lingering = exchange.awaits_message_end();
     return observed;
 }
 
