--- a/src/gateway/request_attempts.cpp
+++ b/src/gateway/request_attempts.cpp
@@ -122,7 +122,7 @@
 }
 
 void RequestLifecycle::on_stream_begun(const std::string& id, int number) {
-    driver_.catch_up();
+    driver_.handle_stalls();
     OpenRequest* request = find(id);
     AttemptState* attempt = find_attempt(request, number);
     if (!attempt || !attempt->in_flight()) return;
@@ -169,7 +169,7 @@
 }
 
 void RequestLifecycle::on_attempt_ended(const std::string& id, int number, const AttemptOutcome& outcome) {
-    driver_.catch_up();
+    driver_.handle_stalls();
     OpenRequest* request = find(id);
     AttemptState* attempt = find_attempt(request, number);
     if (!attempt || !attempt->in_flight()) return;
--- a/src/gateway/request_lifecycle.cpp
+++ b/src/gateway/request_lifecycle.cpp
@@ -75,7 +75,7 @@
 
 bool RequestLifecycle::on_request(NewRequest request) {
     if (requests_.size() >= program_.limits.open_requests) return false;
-    driver_.catch_up();
+    driver_.handle_stalls();
     const Millis now = environment_.now();
     const Millis received_at = now - request.age;  // the client's waiting time counts from here
     Arrival arrival = make_arrival(request, received_at);
@@ -116,7 +116,7 @@
 }
 
 void RequestLifecycle::on_client_disconnected(const std::string& id) {
-    driver_.catch_up();
+    driver_.handle_stalls();
     OpenRequest* request = find(id);
     if (!request || request->closed) return;
     request->request.client = nullptr;
--- a/src/platform/attempt_runner.cpp
+++ b/src/platform/attempt_runner.cpp
@@ -173,7 +173,7 @@
 // ---- end ------------------------------------------------------------------------------------------------
 
 void AttemptRunner::on_ended(AttemptKey key, const AttemptOutcome& outcome) {
-    context_.driver.catch_up();
+    context_.driver.handle_stalls();
     RequestState* request = context_.requests.find(key.handle);
     AttemptState* attempt = context_.requests.find_attempt(key.handle, key.index);
     if (!attempt || !attempt->in_flight()) return;
--- a/src/platform/request_lifecycle.cpp
+++ b/src/platform/request_lifecycle.cpp
@@ -57,7 +57,7 @@
 }
 
 std::uint64_t RequestLifecycle::on_request(Inbound inbound, Millis age, Client* client) {
-    context_.driver.catch_up();
+    context_.driver.handle_stalls();
     if (is_open(inbound.txn)) return 0;
     const Millis arrived = context_.environment.now() - age;
     RequestState& request = context_.requests.add(std::move(inbound));
@@ -75,7 +75,7 @@
 }
 
 void RequestLifecycle::on_client_disconnected(std::uint64_t handle) {
-    context_.driver.catch_up();
+    context_.driver.handle_stalls();
     RequestState* request = context_.requests.find(handle);
     if (!request || request->closed) return;
     completion_.record_client_disconnect(*request);
--- a/src/platform/stream_forwarder.cpp
+++ b/src/platform/stream_forwarder.cpp
@@ -23,7 +23,7 @@
     : context_(context), lease_keeper_(lease_keeper), completion_(completion) {}
 
 void StreamForwarder::on_first_event(std::uint64_t handle, int attempt_index, std::string_view events) {
-    context_.driver.catch_up();
+    context_.driver.handle_stalls();
     RequestState* request = context_.requests.find(handle);
     AttemptState* attempt = context_.requests.find_attempt(handle, attempt_index);
     if (!attempt || !attempt->in_flight()) return;
--- a/src/proxy/router_driver.h
+++ b/src/proxy/router_driver.h
@@ -76,7 +76,7 @@
     // Checks for a stall since the last call. Guards against decisions on state from before the stall:
     // on_stall lets the owner check its endpoint list, and timers that fell due during the stall fire before
     // the events that wait in the sockets.
-    void catch_up() {
+    void handle_stalls() {
         if (catching_up_ || handling_events_) return;
         const Millis at = now();
         stall_detector_.on_activity(at);
@@ -91,7 +91,7 @@
 
     // Fires the due timers; returns the time at which it is to be called next.
     Millis tick() {
-        catch_up();
+        handle_stalls();
         const Millis at = now();
         // Only timers set before this call: a timer set while another fires waits for the next tick.
         const std::uint64_t last_timer = timers_.last_order();
@@ -108,7 +108,7 @@
     }
     // To be called after the event loop has polled, and delivered all input that had arrived by `at`.
     void after_poll(Millis at) {
-        catch_up();
+        handle_stalls();
         stall_detector_.after_poll(at);
     }
 
@@ -118,7 +118,7 @@
         return {now(), timeout, deadline, stall_detector_.stalled_for(), stall_detector_.stalled_for()};
     }
     // To be called when the attempt's bytes have been handed to the kernel. A stall in which its connection
-    // was opened is counted now, but on_stall is deferred to the next catch_up(): it must not close the
+    // was opened is counted now, but on_stall is deferred to the next handle_stalls(): it must not close the
     // connection that the caller is using.
     void on_request_written(control::AttemptClock& clock) {
         stall_detector_.on_activity(now());
@@ -186,7 +186,7 @@
     std::deque<Event> events_;
     bool handling_events_ = false;
     bool catching_up_ = false;
-    Millis handled_stall_ = 0;  // the part of stalled_for() that catch_up() has handled
+    Millis handled_stall_ = 0;  // the part of stalled_for() that handle_stalls() has handled
     Queue timers_;
     Queue timeouts_;
     control::StallDetector stall_detector_;
--- a/tests/proxy/router_driver_test.cpp
+++ b/tests/proxy/router_driver_test.cpp
@@ -113,9 +113,9 @@
     set(1200, 1);
     set(1200, 2, true);
     clock = 1510;
-    driver.catch_up();
+    driver.handle_stalls();
     EXPECT_EQ(calls, (Calls{"stall 500", "timer 1"}));  // the timeout waits for a poll
-    driver.catch_up();
+    driver.handle_stalls();
     EXPECT_EQ(calls.size(), 2u);
     EXPECT_EQ(driver.stalled_for(), 500);
 }
