--- a/src/platform/status_reporter.cpp
+++ b/src/platform/status_reporter.cpp
@@ -121,8 +121,8 @@
     fields["close_blocks"] = counts_by_name(control::kCloseBlockReasonNames, clients.close_blocks);
     fields["client_connection_ends"] = counts_by_name(kEndReasonNames, clients.ended);
     fields["upstream_connection_ends"] = counts_by_name(proxy::kConnectionEndNames, upstream.ended_by_cause);
-    fields["new_connections"] = {upstream.new_connections, upstream.new_broken};
-    fields["reused_connections"] = {upstream.reused, upstream.reused_broken};
+    fields["new_connections"] = {upstream.new_connections, upstream.new_failed};
+    fields["reused_connections"] = {upstream.reused, upstream.reused_failed};
     fields["accepted"] = clients.accepted;
     fields["connections_rejected"] = clients.of(EndReason::at_capacity);
     fields["evicted"] = clients.of(EndReason::evicted);
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -202,7 +202,7 @@
     reuse_policy_.on_request_ended(connection.idle_before_use.value_or(kNewConnectionIdleTime), failed);
     const bool reused = connection.idle_before_use.has_value();
     ++(reused ? counters_.reused : counters_.new_connections);
-    if (failed) ++(reused ? counters_.reused_broken : counters_.new_broken);
+    if (failed) ++(reused ? counters_.reused_failed : counters_.new_failed);
 }
 
 void ConnectionPool::on_data(Connection& connection, std::string_view bytes) {
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -76,9 +76,9 @@
     // and connections that ended, indexed by ConnectionEnd.
     struct Counters {
         std::uint64_t new_connections = 0;
-        std::uint64_t new_broken = 0;
+        std::uint64_t new_failed = 0;
         std::uint64_t reused = 0;
-        std::uint64_t reused_broken = 0;
+        std::uint64_t reused_failed = 0;
         std::array<std::uint64_t, kConnectionEndNames.size()> ended_by_cause{};
     };
     const Counters& counters() const { return counters_; }
