--- a/src/cli/scenario_command.cpp
+++ b/src/cli/scenario_command.cpp
@@ -26,7 +26,7 @@
         return result.interrupted ? kExitInterrupted : kExitSystemError;
     }
     std::printf("scenario %s, seed %llu, %.1f s, records in %s\n%s", plan.name.c_str(),
-                static_cast<unsigned long long>(*options.seed), result.seconds, options.out.c_str(),
+                static_cast<unsigned long long>(*options.seed), result.seconds, options.output_folder.c_str(),
                 invariants::format_verdict(result.verdict).c_str());
     const bool completed = result.error.empty();
     if (!completed) std::printf("not completed: %s\n", result.error.c_str());
@@ -45,12 +45,13 @@
         return kExitInvalidInput;
     }
     fault_scenario::ScenarioOptions options = arguments.options;
-    options.self = own_executable();
+    options.executable = own_executable();
     const std::uint64_t first_seed = options.seed.value_or(plan->seed);
     int exit_code = kExitSuccess;
     for (int i = 0; i < arguments.seeds; ++i) {
         options.seed = first_seed + static_cast<std::uint64_t>(i);
-        if (arguments.seeds > 1) options.out = arguments.options.out + "/" + std::to_string(*options.seed);
+        if (arguments.seeds > 1)
+            options.output_folder = arguments.options.output_folder + "/" + std::to_string(*options.seed);
         const int code = report(*plan, options, fault_scenario::Scenario(*plan, options).run());
         if (code == kExitInterrupted || code == kExitSystemError) return code;
         if (code != kExitSuccess) exit_code = code;
@@ -62,7 +63,7 @@
 
 Command add_scenario_command(CLI::App& app) {
     const auto arguments = std::make_shared<ScenarioArguments>();
-    arguments->options.out = (std::filesystem::temp_directory_path() / "gorsenotch-day").string();
+    arguments->options.output_folder = (std::filesystem::temp_directory_path() / "gorsenotch-day").string();
     CLI::App* command =
         app.add_subcommand("scenario", "run a fault scenario on loopback and check the invariants");
     command->alias("day");
@@ -70,7 +71,7 @@
     command->add_option("--seed", arguments->options.seed, "random seed, overrides the scenario's");
     command->add_option("--seeds", arguments->seeds, "number of runs, with consecutive seeds")
         ->check(CLI::Range(1, 1000));
-    command->add_option("--out", arguments->options.out,
+    command->add_option("--out", arguments->options.output_folder,
                         "folder for records and logs; its content is deleted first");
     return {command, [arguments] { return run_scenario(*arguments); }};
 }
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -48,7 +48,7 @@
         result.error = error_;
         return result;
     }
-    recorder_ = std::make_unique<invariants::Recorder>(options_.out + "/records/runner.ndjson");
+    recorder_ = std::make_unique<invariants::Recorder>(options_.output_folder + "/records/runner.ndjson");
     start_engines();
     start_gateways();
     const auto interrupt = [this] { on_interrupt(); };
@@ -71,10 +71,10 @@
 
 bool Scenario::make_folders() {
     std::error_code error;
-    std::filesystem::remove_all(options_.out, error);
-    std::filesystem::create_directories(options_.out + "/records", error);
-    std::filesystem::create_directories(options_.out + "/keys", error);
-    if (error) error_ = options_.out + ": " + error.message();
+    std::filesystem::remove_all(options_.output_folder, error);
+    std::filesystem::create_directories(options_.output_folder + "/records", error);
+    std::filesystem::create_directories(options_.output_folder + "/keys", error);
+    if (error) error_ = options_.output_folder + ": " + error.message();
     return !error;
 }
 
@@ -102,8 +102,8 @@
         gateway->zone = i % zones;
         gateway->source = loopback_address(100 + gateway->zone, i + 1);
         gateway->address = free_addresses(gateway->source, 1).front();
-        gateway->fleet_file = options_.out + "/fleet-" + std::to_string(i) + ".xml";
-        gateway->state_folder = options_.out + "/state-" + std::to_string(i);
+        gateway->fleet_file = options_.output_folder + "/fleet-" + std::to_string(i) + ".xml";
+        gateway->state_folder = options_.output_folder + "/state-" + std::to_string(i);
         std::error_code error;
         std::filesystem::create_directories(gateway->state_folder, error);
         write_list(*gateway);
@@ -157,7 +157,7 @@
 
 void Scenario::on_start_timeout() {
     if (playing_ || ended_) return;
-    fail_system("not all processes came up in time; see the logs in " + options_.out);
+    fail_system("not all processes came up in time; see the logs in " + options_.output_folder);
 }
 
 // The scenario can't be played on this system: there will be no verdict.
@@ -176,7 +176,7 @@
 
 void Scenario::check_records(ScenarioResult& result) const {
     std::vector<std::string> files;
-    for (const auto& file : std::filesystem::directory_iterator(options_.out + "/records"))
+    for (const auto& file : std::filesystem::directory_iterator(options_.output_folder + "/records"))
         files.push_back(file.path().string());
     std::sort(files.begin(), files.end());
     const Settings& router = plan_.program.router;
--- a/src/fault_scenario/scenario.h
+++ b/src/fault_scenario/scenario.h
@@ -26,8 +26,8 @@
 
 // How a scenario is run.
 struct ScenarioOptions {
-    std::string self;  // this program's own file
-    std::string out;   // folder for records and logs; made anew
+    std::string executable;     // this program's own file
+    std::string output_folder;  // folder for records and logs; made anew
     std::optional<std::uint64_t> seed;
 };
 
--- a/src/fault_scenario/scenario_processes.cpp
+++ b/src/fault_scenario/scenario_processes.cpp
@@ -60,7 +60,7 @@
         if (class_settings.dedup_scope != DedupScope::cell)
             scope = std::min(scope, class_settings.dedup_scope);
     }
-    const std::string keys = options_.out + "/keys/";
+    const std::string keys = options_.output_folder + "/keys/";
     if (scope == DedupScope::zone) return keys + "zone-" + std::to_string(endpoint.zone);
     if (scope == DedupScope::cell) return keys + "cell-" + std::to_string(endpoint.cell);
     return keys + "all";
@@ -72,7 +72,7 @@
     const std::string keys = dedup_folder(endpoint);
     std::error_code error;
     std::filesystem::create_directories(keys, error);
-    std::vector<std::string> arguments = {options_.self,
+    std::vector<std::string> arguments = {options_.executable,
                                           "fake-engine",
                                           plan_.settings_file,
                                           "--server",
@@ -84,12 +84,12 @@
                                           "--control",
                                           engine.control_address,
                                           "--record",
-                                          options_.out + "/records/engine-" + id + ".ndjson",
+                                          options_.output_folder + "/records/engine-" + id + ".ndjson",
                                           "--keys",
                                           keys};
     if (cold) arguments.emplace_back("--cold");
     engine.running = true;
-    const std::string log = options_.out + "/engine-" + id + ".log";
+    const std::string log = options_.output_folder + "/engine-" + id + ".log";
     const auto on_exit = [this, &engine, id, log](int status, int signal) {
         recorder_->write(net::now(), "down", {{"server", engine.engine.endpoint.id}});
         engine.running = false;
@@ -106,7 +106,7 @@
 void Scenario::start_gateway(GatewayProcess& gateway) {
     const auto number = std::to_string(gateway.number);
     const std::uint64_t seed = seed_ * 1000 + static_cast<std::uint64_t>(gateway.number);
-    const std::vector<std::string> arguments = {options_.self,
+    const std::vector<std::string> arguments = {options_.executable,
                                                 "serve",
                                                 plan_.settings_file,
                                                 "--listen",
@@ -122,11 +122,11 @@
                                                 "--state",
                                                 gateway.state_folder,
                                                 "--journal",
-                                                options_.out + "/journal-" + number + ".ndjson",
+                                                options_.output_folder + "/journal-" + number + ".ndjson",
                                                 "--seed",
                                                 std::to_string(seed)};
     gateway.exit_expected = false;
-    const std::string log = options_.out + "/gateway-" + number + ".log";
+    const std::string log = options_.output_folder + "/gateway-" + number + ".log";
     const auto on_exit = [this, &gateway, log](int status, int signal) {
         on_gateway_exit(gateway, log, status, signal);
     };
@@ -178,7 +178,7 @@
         if (--running_clients_ == 0) on_clients_done();
     }));
     ++running_clients_;
-    const std::string log = options_.out + "/client-" + std::to_string(index) + ".log";
+    const std::string log = options_.output_folder + "/client-" + std::to_string(index) + ".log";
     if (const int code = clients_.back()->spawn(client_arguments(index, gateways), log))
         error_ = "client: " + net::error_text(code);
 }
@@ -188,27 +188,48 @@
     const Millis until = load.until > 0 ? std::min(load.until, plan_.length) : plan_.length;
     const Millis overdue = plan_.program.router.answer_slack + kOverdueMargin;
     std::vector<std::string> arguments = {
-        options_.self,     "client",
-        "--gateways",      gateways,
-        "--key",           load.key,
-        "--class",         load.cls,
-        "--model",         load.model,
-        "--per-s",         std::to_string(load.per_s),
-        "--impatient",     std::to_string(load.impatient),
-        "--prompt-tokens", std::to_string(load.prompt_tokens),
-        "--prefix-tokens", std::to_string(load.prefix_tokens),
-        "--prefixes",      std::to_string(load.prefixes),
-        "--max-tokens",    std::to_string(load.max_tokens),
-        "--turns",         std::to_string(load.turns),
-        "--retries",       std::to_string(load.retries),
-        "--think-ms",      std::to_string(load.think),
-        "--patience-ms",   std::to_string(load.patience),
-        "--usual-answer",  std::to_string(load.usual_answer),
-        "--seed",          std::to_string(seed_ * 100 + index),
-        "--length-ms",     std::to_string(until),
-        "--from-ms",       std::to_string(load.from),
-        "--overdue-ms",    std::to_string(overdue),
-        "--record",        options_.out + "/records/client-" + std::to_string(index) + ".ndjson"};
+        options_.executable,
+        "client",
+        "--gateways",
+        gateways,
+        "--key",
+        load.key,
+        "--class",
+        load.cls,
+        "--model",
+        load.model,
+        "--per-s",
+        std::to_string(load.per_s),
+        "--impatient",
+        std::to_string(load.impatient),
+        "--prompt-tokens",
+        std::to_string(load.prompt_tokens),
+        "--prefix-tokens",
+        std::to_string(load.prefix_tokens),
+        "--prefixes",
+        std::to_string(load.prefixes),
+        "--max-tokens",
+        std::to_string(load.max_tokens),
+        "--turns",
+        std::to_string(load.turns),
+        "--retries",
+        std::to_string(load.retries),
+        "--think-ms",
+        std::to_string(load.think),
+        "--patience-ms",
+        std::to_string(load.patience),
+        "--usual-answer",
+        std::to_string(load.usual_answer),
+        "--seed",
+        std::to_string(seed_ * 100 + index),
+        "--length-ms",
+        std::to_string(until),
+        "--from-ms",
+        std::to_string(load.from),
+        "--overdue-ms",
+        std::to_string(overdue),
+        "--record",
+        options_.output_folder + "/records/client-" + std::to_string(index) + ".ndjson"};
     if (!load.stream) arguments.emplace_back("--whole");
     if (load.keyed) arguments.emplace_back("--keyed");
     return arguments;
