--- a/src/cli/fake_engine_command.cpp
+++ b/src/cli/fake_engine_command.cpp
@@ -65,16 +65,16 @@
 Command add_fake_engine_command(CLI::App& app, std::vector<std::string> arguments) {
     const auto parsed = std::make_shared<FakeEngineArguments>();
     fake_engine::EngineOptions& options = parsed->options;
-    options.args = std::move(arguments);
+    options.command_line = std::move(arguments);
     CLI::App* command = app.add_subcommand("fake-engine", "run one fake engine");
     command->alias("standin");
     command->add_option("settings", parsed->settings_file)->required();
     command->add_option("--kind", parsed->kind, "kind, as named in the settings")->required();
     command->add_option("--address", options.address)->required();
     command->add_option("--control", options.control, "address of the control port");
-    command->add_option("--server", options.server, "endpoint id of the engine");
+    command->add_option("--server", options.endpoint_id, "endpoint id of the engine");
     command->add_option("--record", options.record, "file to record the traffic of its sockets in");
-    command->add_option("--keys", options.keys,
+    command->add_option("--keys", options.dedup_folder,
                         "folder shared by engines that deduplicate requests together");
     command->add_flag("--cold", options.cold, "start with a slow start");
     return {command, [parsed] { return run_fake_engine(*parsed); }};
--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -196,7 +196,7 @@
 }
 
 void Engine::record(const char* event, Json fields) {
-    fields["server"] = options_.server;
+    fields["server"] = options_.endpoint_id;
     recorder_.write(net::now(), event, std::move(fields));
 }
 
@@ -330,7 +330,7 @@
     const Json json = Json::parse(body, nullptr, false);
     const std::string word = json.is_object() ? json.value("order", "") : "";
     if (word == "crash") _exit(kCrashStatus);
-    if (word == "restart" && !options_.args.empty()) restart();
+    if (word == "restart" && !options_.command_line.empty()) restart();
     const bool is_known = apply_order(word, json);
     if (is_known) record("order", json);
     link.answer(is_known ? 200 : 400, {{"ok", is_known}}, "");
@@ -341,11 +341,12 @@
 // crash.
 void Engine::restart() {
     record("down", Json::object());
-    if (std::find(options_.args.begin(), options_.args.end(), "--cold") == options_.args.end())
-        options_.args.emplace_back("--cold");
+    if (std::find(options_.command_line.begin(), options_.command_line.end(), "--cold") ==
+        options_.command_line.end())
+        options_.command_line.emplace_back("--cold");
     std::vector<char*> arguments;
-    arguments.reserve(options_.args.size() + 1);
-    for (auto& argument : options_.args) arguments.push_back(argument.data());
+    arguments.reserve(options_.command_line.size() + 1);
+    for (auto& argument : options_.command_line) arguments.push_back(argument.data());
     arguments.push_back(nullptr);
     execv("/proc/self/exe", arguments.data());
     _exit(kCrashStatus);
@@ -417,7 +418,7 @@
                   {"kv_transfer_params",
                    {{"do_remote_prefill", true},
                     {"do_remote_decode", false},
-                    {"remote_engine_id", std::to_string(options_.server)},
+                    {"remote_engine_id", std::to_string(options_.endpoint_id)},
                     {"remote_block_ids", Json::array({1})},
                     {"remote_request_id", id},
                     {"cached_tokens", static_cast<long>(kept)},
@@ -482,8 +483,8 @@
 // others are duplicates.
 bool Engine::first_effect(const std::string& key) {
     if (key.empty()) return true;
-    if (options_.keys.empty()) return own_keys_.insert(key).second;
-    const std::string file = options_.keys + "/" + std::to_string(api::hash(key));
+    if (options_.dedup_folder.empty()) return own_keys_.insert(key).second;
+    const std::string file = options_.dedup_folder + "/" + std::to_string(api::hash(key));
     const int fd = ::open(file.c_str(), O_CREAT | O_EXCL | O_WRONLY | O_CLOEXEC, 0644);
     if (fd >= 0) ::close(fd);
     return fd >= 0;
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -32,12 +32,13 @@
 struct EngineOptions {
     std::string address, control;  // control may be empty
     std::string record;            // file; empty: none
-    std::string keys;  // folder shared by the engines that drop each other's duplicates; empty: own memory
-    EndpointId server = 0;
+    // Folder shared by the engines that drop each other's duplicates; empty: own memory.
+    std::string dedup_folder;
+    EndpointId endpoint_id = 0;
     std::string model_name = "local-model";
     EngineConfig config;
     bool cold = false;
-    std::vector<std::string> args;  // of this process, to start it anew
+    std::vector<std::string> command_line;  // of this process, to start it anew
 };
 
 // The process: sockets, orders and records around a Model. Owns its connections; threading: the loop's
