--- a/src/cli/scenario_command.cpp
+++ b/src/cli/scenario_command.cpp
@@ -30,10 +30,10 @@
                 invariants::format_verdict(result.verdict).c_str());
     const bool completed = result.error.empty();
     if (!completed) std::printf("not completed: %s\n", result.error.c_str());
-    const char* summary = result.verdict.kept() ? "all invariants kept" : "INVARIANT VIOLATED";
+    const char* summary = result.verdict.all_hold() ? "all invariants kept" : "INVARIANT VIOLATED";
     std::printf("%s\n", completed ? summary : "NOT COMPLETED");
     std::fflush(stdout);
-    return completed && result.verdict.kept() ? kExitSuccess : kExitViolation;
+    return completed && result.verdict.all_hold() ? kExitSuccess : kExitViolation;
 }
 
 // Runs the scenario with consecutive seeds. An interrupt or a system error ends the series immediately.
--- a/src/invariants/record_checker.cpp
+++ b/src/invariants/record_checker.cpp
@@ -65,7 +65,7 @@
     return record->source + ":" + std::to_string(record->line) + " at " + time.data();
 }
 
-bool Verdict::kept() const {
+bool Verdict::all_hold() const {
     return std::all_of(findings.begin(), findings.end(),
                        [](const Finding& finding) { return finding.broken == 0; });
 }
--- a/src/invariants/record_checker.h
+++ b/src/invariants/record_checker.h
@@ -57,7 +57,7 @@
     std::vector<Finding> findings;
     Service service;
     // Whether no invariant is broken.
-    bool kept() const;
+    bool all_hold() const;
 };
 
 Verdict check_records(const std::vector<Record>& records, const CheckerSettings& terms);
--- a/tests/invariants/record_checker_test.cpp
+++ b/tests/invariants/record_checker_test.cpp
@@ -109,7 +109,7 @@
     EXPECT_EQ(verdict.service.answered, 1);
     EXPECT_DOUBLE_EQ(verdict.service.value, 1);
     EXPECT_DOUBLE_EQ(verdict.service.p50, 40);
-    EXPECT_TRUE(verdict.kept());
+    EXPECT_TRUE(verdict.all_hold());
     EXPECT_NE(format_verdict(verdict).find("each ask has one final answer"), std::string::npos);
 }
 
@@ -298,16 +298,16 @@
         return check_records(story.records, terms());
     };
     const auto good = late(4200);
-    EXPECT_TRUE(good.kept()) << format_verdict(good);
+    EXPECT_TRUE(good.all_hold()) << format_verdict(good);
     EXPECT_EQ(good.findings[0].excused, 1);
-    EXPECT_FALSE(late(5300).kept());  // more than a second to be as before
+    EXPECT_FALSE(late(5300).all_hold());  // more than a second to be as before
     // Another's standstill excuses nothing.
     Story story;
     story.ask().read().at(1, 1100, "let_go", 0);
     story.add("runner", 1100, "stop_gateway", {{"gateway", "other"}, {"until", 4100}});
     story.add("client-0", 4200, "answer",
               {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
-    EXPECT_FALSE(check_records(story.records, terms()).kept());
+    EXPECT_FALSE(check_records(story.records, terms()).all_hold());
 }
 
 TEST(Standstills, SendsPastTheDeadlineAreBreachesAfterThemToo) {
@@ -316,7 +316,7 @@
     story.add("client-0", 4200, "answer",
               {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
     const auto verdict = check_records(story.records, terms());
-    ASSERT_FALSE(verdict.kept());
+    ASSERT_FALSE(verdict.all_hold());
     EXPECT_EQ(verdict.findings[1].broken, 1);
     EXPECT_NE(verdict.findings[1].example.find("its client left"), std::string::npos);
 }
--- a/tests/state/stored_data_test.cpp
+++ b/tests/state/stored_data_test.cpp
@@ -95,7 +95,7 @@
     checker_settings.overload_factor = program.router.overload_factor;
     checker_settings.overload_window = program.router.overload_window;
     const auto verdict = invariants::check_records(records, checker_settings);
-    EXPECT_TRUE(verdict.kept());
+    EXPECT_TRUE(verdict.all_hold());
     const std::vector<long> cases = {399, 811, 394, 109, 398, 42, 2, 400};
     ASSERT_EQ(verdict.findings.size(), cases.size());
     for (std::size_t i = 0; i < cases.size(); ++i)
