--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -53,7 +53,7 @@
     EXPECT_TRUE(detector.may_evaluate_timeout(101));
 }
 
-struct StallTest : ::testing::Test, CoreBench {
+struct StallTest : ::testing::Test, LifecycleHarness {
     FakeClient client;
     StallTest() {
         for (auto& class_settings : p.router.classes) class_settings.deadline = 20000;
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -167,7 +167,7 @@
 }
 
 // A RequestLifecycle with two prefill and two decode engines.
-struct CoreBench {
+struct LifecycleHarness {
     settings::ProgramSettings p = test_program();
     FakeWorld world;
     std::unique_ptr<RequestLifecycle> core;
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -7,7 +7,7 @@
 namespace gorsenotch::test {
 namespace {
 
-struct RequestLifecycleTest : ::testing::Test, CoreBench {
+struct RequestLifecycleTest : ::testing::Test, LifecycleHarness {
     RequestLifecycleTest() { begin(); }
     FakeClient client;
     // Expects that no request is open, that `sends` attempts were sent in all, and that no more follow.
@@ -327,8 +327,8 @@
 class RandomRun {
 public:
     explicit RandomRun(std::uint64_t seed) : random_(seed) {
-        bench_.p.router.cancellation = draw(4) > 0;
-        bench_.begin(seed);
+        harness_.p.router.cancellation = draw(4) > 0;
+        harness_.begin(seed);
     }
 
     // Stops at the first failed expectation.
@@ -339,9 +339,9 @@
             expect_answers_in_time();
             if (::testing::Test::HasFailure()) return;
         }
-        bench_.core->end_all();
-        bench_.advance(6000);
-        EXPECT_EQ(bench_.core->open(), 0u);
+        harness_.core->end_all();
+        harness_.advance(6000);
+        EXPECT_EQ(harness_.core->open(), 0u);
         for (const auto& known : requests_)
             EXPECT_EQ(known.client->finals + (known.client->disconnected ? 1 : 0), 1) << known.id;
         expect_kv_caches_fetched_or_released();
@@ -371,19 +371,19 @@
         const int event = draw(20);
         if (event < 4 && requests_.size() < kMaxRequests) {
             send_request();
-        } else if (event < 13 && !bench_.world.sent.empty()) {
-            SentAttempt sent = bench_.world.sent[draw_index(bench_.world.sent.size())];
+        } else if (event < 13 && !harness_.world.sent.empty()) {
+            SentAttempt sent = harness_.world.sent[draw_index(harness_.world.sent.size())];
             advance_engine(sent, 4 + draw(3) - (draw(6) ? 0 : 4 + draw(3)));
         } else if (event == 13 && !requests_.empty()) {
             auto& known = requests_[draw_index(requests_.size())];
             if (known.client->finals == 0) known.client->disconnected = true;
-            bench_.core->on_client_disconnected(known.id);
+            harness_.core->on_client_disconnected(known.id);
         } else if (event == 14) {
             send_endpoint_list();
         } else if (event == 15 && !requests_.empty()) {
-            bench_.core->on_client_congested(requests_[draw_index(requests_.size())].id, draw(2));
+            harness_.core->on_client_congested(requests_[draw_index(requests_.size())].id, draw(2));
         } else {
-            bench_.advance(draw(4) ? draw(30) : draw(600));
+            harness_.advance(draw(4) ? draw(30) : draw(600));
         }
     }
 
@@ -394,8 +394,8 @@
         const Millis patience = draw(3) ? 0 : 200 + draw(2000);
         known.has_timeout = patience > 0;
         known.deadline =
-            bench_.world.clock + (patience > 0 ? std::min(patience, kClassDeadline) : kClassDeadline);
-        known.id = bench_.arrive(*known.client, cls, known.stream, patience);
+            harness_.world.clock + (patience > 0 ? std::min(patience, kClassDeadline) : kClassDeadline);
+        known.id = harness_.arrive(*known.client, cls, known.stream, patience);
     }
 
     // The attempt's engine fails in the way `step` says, or sends the next part of its response.
@@ -431,17 +431,17 @@
     }
 
     void send_endpoint_list() {
-        auto engines = bench_.engines;
+        auto engines = harness_.engines;
         for (auto& engine : engines) {
             if (draw(3) == 0)
                 engine.endpoint.status = draw(2) ? EndpointStatus::removed : EndpointStatus::draining;
         }
-        bench_.core->on_endpoint_list(engines, draw(2));
+        harness_.core->on_endpoint_list(engines, draw(2));
     }
 
     void expect_one_attempt_in_flight() const {
         std::map<std::string, int> in_flight;
-        for (const auto& sent : bench_.world.sent) {
+        for (const auto& sent : harness_.world.sent) {
             const auto request = request_of(sent);
             if (!sent.exchange->has_outcome() && ++in_flight[request] > 1)
                 FAIL() << "two attempts in flight for " << request;
@@ -454,7 +454,7 @@
             const bool is_answered = known.client->finals > 0 || known.client->begun > 0 ||
                                      known.client->disconnected || is_decoding_without_timeout(known);
             if (!is_answered) {
-                EXPECT_LE(bench_.world.clock, known.deadline + bench_.p.router.answer_slack)
+                EXPECT_LE(harness_.world.clock, known.deadline + harness_.p.router.answer_slack)
                     << known.id << " unanswered";
             }
         }
@@ -464,13 +464,14 @@
     // has not stated for how long it does.
     bool is_decoding_without_timeout(const KnownRequest& known) const {
         return !known.stream && !known.has_timeout &&
-               std::any_of(bench_.world.sent.begin(), bench_.world.sent.end(), [&](const SentAttempt& sent) {
-                   return sent.id().rfind(known.id + ".", 0) == 0 && sent.exchange->begun();
-               });
+               std::any_of(harness_.world.sent.begin(), harness_.world.sent.end(),
+                           [&](const SentAttempt& sent) {
+                               return sent.id().rfind(known.id + ".", 0) == 0 && sent.exchange->begun();
+                           });
     }
 
     void expect_kv_caches_fetched_or_released() {
-        for (const auto& sent : bench_.world.sent) {
+        for (const auto& sent : harness_.world.sent) {
             if (!sent.read() || parts_sent_[sent.id()] == 0) continue;  // no response, so no KV cache
             EXPECT_TRUE(is_released(sent) || is_fetched(sent))
                 << sent.id() << " may have leaked its KV cache";
@@ -478,7 +479,7 @@
     }
 
     bool is_released(const SentAttempt& prefill) const {
-        const auto& releases = bench_.world.let_go;
+        const auto& releases = harness_.world.let_go;
         return std::any_of(releases.begin(), releases.end(), [&](const auto& release) {
             return release.second == prefill.id() && release.first == prefill.address;
         });
@@ -486,7 +487,7 @@
 
     // Whether the stream of a decode attempt that was given this KV cache has begun.
     bool is_fetched(const SentAttempt& prefill) {
-        const auto& sent = bench_.world.sent;
+        const auto& sent = harness_.world.sent;
         return std::any_of(sent.begin(), sent.end(), [&](const SentAttempt& decode) {
             return request_of(decode) == request_of(prefill) && !decode.read() &&
                    decode.request.body.find("\"" + prefill.id() + "\"") != std::string::npos &&
@@ -499,7 +500,7 @@
     }
 
     std::mt19937_64 random_;
-    CoreBench bench_;
+    LifecycleHarness harness_;
     std::vector<KnownRequest> requests_;
     std::map<std::string, int> parts_sent_;  // by attempt id
 };
