--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -182,30 +182,30 @@
     struct StallObserver : FakeWorld {
         std::function<void()> reload_list;
         void on_stall(Millis) override { reload_list(); }
-    } environment;
-    environment.reload_list = [&] {
+    } observer;
+    observer.reload_list = [&] {
         auto drained = engines;
         for (auto& engine : drained) {
             if (engine.endpoint.id == 11) engine.endpoint.status = EndpointStatus::draining;
         }
         core->on_endpoint_list(drained, false);
     };
-    core = std::make_unique<RequestLifecycle>(p, 1, environment, api::messages::error_body);
+    core = std::make_unique<RequestLifecycle>(p, 1, observer, api::messages::error_body);
     core->on_endpoint_list(engines, false);
     std::vector<std::unique_ptr<FakeClient>> clients;
     for (int i = 0; i < 8; ++i) arrive(*clients.emplace_back(std::make_unique<FakeClient>()));
-    core->after_poll(environment.clock);
+    core->after_poll(observer.clock);
     core->before_poll(core->tick());
-    environment.clock += 700;
-    const auto prefill_count = environment.sent.size();
+    observer.clock += 700;
+    const auto prefill_count = observer.sent.size();
     for (std::size_t i = 0; i < prefill_count; ++i) {
-        const auto exchange = environment.sent[i].exchange;
+        const auto exchange = observer.sent[i].exchange;
         exchange->on_first_byte_sent();
-        exchange->on_data(read_answer(environment.sent[i].id()));
+        exchange->on_data(read_answer(observer.sent[i].id()));
     }
-    ASSERT_GT(environment.sent.size(), prefill_count);
-    for (std::size_t i = prefill_count; i < environment.sent.size(); ++i)
-        EXPECT_NE(environment.sent[i].address, "10.0.0.11:80");
+    ASSERT_GT(observer.sent.size(), prefill_count);
+    for (std::size_t i = prefill_count; i < observer.sent.size(); ++i)
+        EXPECT_NE(observer.sent[i].address, "10.0.0.11:80");
 }
 
 TEST_F(StallTest, TheTimeThatARequestWaitedInTheSocketCountsTowardsItsTimeOut) {
