--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -179,7 +179,7 @@
 }
 
 TEST_F(StallTest, TheEndpointListIsReadAfterAStallBeforeAnyDecision) {
-    struct StallObserver : FakeWorld {
+    struct StallObserver : FakeGatewayEnvironment {
         std::function<void()> reload_list;
         void on_stall(Millis) override { reload_list(); }
     } observer;
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -59,7 +59,7 @@
 };
 
 // Records what the RequestLifecycle does. Time advances only when the test sets `clock`.
-struct FakeWorld : gateway::Environment {
+struct FakeGatewayEnvironment : gateway::Environment {
     Millis clock = 1000;
     std::vector<SentAttempt> sent;
     std::vector<std::pair<std::string, std::string>> let_go;  // releases: address, id of the prefill attempt
@@ -169,7 +169,7 @@
 // A RequestLifecycle with two prefill and two decode engines.
 struct LifecycleHarness {
     settings::ProgramSettings p = test_program();
-    FakeWorld world;
+    FakeGatewayEnvironment world;
     std::unique_ptr<RequestLifecycle> core;
     std::vector<settings::Engine> engines = {engine(1, 0), engine(2, 0), engine(11, 1), engine(12, 1)};
     int count = 0;  // requests so far, for their ids
