--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -61,24 +61,24 @@
     }
     // The loop polls until its next timer, is stalled, and continues `ms` later.
     void stall_for(Millis ms) {
-        core->before_poll(core->tick());
+        lifecycle->before_poll(lifecycle->tick());
         world.clock += ms;
     }
     // Completes a poll, whose events the test has delivered before, and then runs the timers.
     void finish_poll() {
-        core->after_poll(world.clock);
+        lifecycle->after_poll(world.clock);
         world.clock += 0.1;
-        core->tick();
+        lifecycle->tick();
     }
 };
 
 TEST_F(StallTest, AnAnswerReceivedDuringAStallIsHandledBeforeTheTimeOut) {
     arrive(client);
-    core->after_poll(world.clock);
+    lifecycle->after_poll(world.clock);
     const auto prefill = last().exchange;
     prefill->on_first_byte_sent();
     stall_for(5000);
-    core->tick();  // the timers run before the sockets are polled
+    lifecycle->tick();  // the timers run before the sockets are polled
     EXPECT_FALSE(last().closed);
     prefill->on_data(read_answer(last().id()));
     finish_poll();
@@ -89,11 +89,11 @@
 
 TEST_F(StallTest, AnEngineThatDidNotAnswerDuringAStallTimesOut) {
     arrive(client);
-    core->after_poll(world.clock);
+    lifecycle->after_poll(world.clock);
     const std::string first_address = last().address;
     last().exchange->on_first_byte_sent();
     stall_for(5000);
-    core->tick();
+    lifecycle->tick();
     EXPECT_EQ(world.sent.size(), 1u);
     finish_poll();
     EXPECT_TRUE(world.sent[0].closed);
@@ -103,9 +103,9 @@
 
 TEST_F(StallTest, ARequestNotYetWrittenGetsItsFullTimeOut) {
     arrive(client);
-    core->after_poll(world.clock);
+    lifecycle->after_poll(world.clock);
     stall_for(5000);  // the connection opened during the stall, and no byte was sent
-    core->tick();
+    lifecycle->tick();
     finish_poll();
     EXPECT_FALSE(last().closed);
     last().exchange->on_first_byte_sent();
@@ -122,7 +122,7 @@
 
 TEST_F(StallTest, AStallIsDetectedByTheFirstWriteOnAConnectionThatOpenedDuringIt) {
     arrive(client);
-    core->after_poll(world.clock);
+    lifecycle->after_poll(world.clock);
     stall_for(5000);
     last().exchange->on_first_byte_sent();  // the first call that can detect the stall
     finish_poll();
@@ -132,7 +132,7 @@
 
 TEST_F(StallTest, ADeadlineThatPassedDuringAStallPrecedesAReceivedAnswer) {
     arrive(client);
-    core->after_poll(world.clock);
+    lifecycle->after_poll(world.clock);
     const auto prefill = last().exchange;
     prefill->on_first_byte_sent();
     stall_for(30000);
@@ -142,14 +142,14 @@
     EXPECT_EQ(client.status, 529);
     EXPECT_EQ(world.sent.size(), 1u) << "a decode was sent after the deadline";
     EXPECT_EQ(world.let_go.size(), 1u);
-    EXPECT_EQ(core->open(), 0u);
+    EXPECT_EQ(lifecycle->open(), 0u);
 }
 
 TEST_F(StallTest, AFirstTokenHandledAfterTheDeadlineBeginsNoStream) {
     arrive(client);
-    core->after_poll(world.clock);
+    lifecycle->after_poll(world.clock);
     read_done();
-    core->after_poll(world.clock);
+    lifecycle->after_poll(world.clock);
     const auto decode = last().exchange;
     decode->on_first_byte_sent();
     stall_for(30000);
@@ -158,18 +158,18 @@
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.begun, 0);
     EXPECT_TRUE(last().closed);
-    EXPECT_EQ(core->open(), 0u);
+    EXPECT_EQ(lifecycle->open(), 0u);
 }
 
 TEST_F(StallTest, AStreamThatSentBytesDuringAStallIsNotIdle) {
     arrive(client);
-    core->after_poll(world.clock);
+    lifecycle->after_poll(world.clock);
     read_done();
     answer(last(), stream_head() + delta("a"));
-    core->after_poll(world.clock);
+    lifecycle->after_poll(world.clock);
     const auto decode = last().exchange;
     stall_for(p.limits.stream_idle_ms + 5000);
-    core->tick();
+    lifecycle->tick();
     EXPECT_FALSE(last().closed);
     decode->on_data(delta("b"));
     finish_poll();
@@ -188,14 +188,14 @@
         for (auto& engine : drained) {
             if (engine.endpoint.id == 11) engine.endpoint.status = EndpointStatus::draining;
         }
-        core->on_endpoint_list(drained, false);
+        lifecycle->on_endpoint_list(drained, false);
     };
-    core = std::make_unique<RequestLifecycle>(p, 1, observer, api::messages::error_body);
-    core->on_endpoint_list(engines, false);
+    lifecycle = std::make_unique<RequestLifecycle>(p, 1, observer, api::messages::error_body);
+    lifecycle->on_endpoint_list(engines, false);
     std::vector<std::unique_ptr<FakeClient>> clients;
     for (int i = 0; i < 8; ++i) arrive(*clients.emplace_back(std::make_unique<FakeClient>()));
-    core->after_poll(observer.clock);
-    core->before_poll(core->tick());
+    lifecycle->after_poll(observer.clock);
+    lifecycle->before_poll(lifecycle->tick());
     observer.clock += 700;
     const auto prefill_count = observer.sent.size();
     for (std::size_t i = 0; i < prefill_count; ++i) {
@@ -222,7 +222,7 @@
         request.patience = patience;
         request.age = age;
         request.answer = api::messages::streamed_response("msg_1", "m", 100, request.id);
-        EXPECT_TRUE(core->on_request(std::move(request)));
+        EXPECT_TRUE(lifecycle->on_request(std::move(request)));
     };
     send_request(3000, 2000);  // its time-out has already passed
     EXPECT_EQ(client.status, 529);
@@ -237,7 +237,7 @@
 }
 
 TEST_F(StallTest, TimersOfEndedRequestsAreRemoved) {
-    const auto timers_before = core->pending_timers();
+    const auto timers_before = lifecycle->pending_timers();
     for (int i = 0; i < 50; ++i) {
         FakeClient short_lived_client;
         arrive(short_lived_client);
@@ -246,9 +246,9 @@
         EXPECT_EQ(short_lived_client.finals, 1);
     }
     // The Router's own timers remain: one per request until its deadline.
-    EXPECT_LE(core->pending_timers(), timers_before + 50);
+    EXPECT_LE(lifecycle->pending_timers(), timers_before + 50);
     advance(21000);
-    EXPECT_LE(core->pending_timers(), timers_before);
+    EXPECT_LE(lifecycle->pending_timers(), timers_before);
 }
 
 }  // namespace
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -170,13 +170,13 @@
 struct LifecycleHarness {
     settings::ProgramSettings p = test_program();
     FakeGatewayEnvironment world;
-    std::unique_ptr<RequestLifecycle> core;
+    std::unique_ptr<RequestLifecycle> lifecycle;
     std::vector<settings::Engine> engines = {engine(1, 0), engine(2, 0), engine(11, 1), engine(12, 1)};
     int count = 0;  // requests so far, for their ids
 
     void begin(std::uint64_t seed = 1) {
-        core = std::make_unique<RequestLifecycle>(p, seed, world, api::messages::error_body);
-        core->on_endpoint_list(engines, false);
+        lifecycle = std::make_unique<RequestLifecycle>(p, seed, world, api::messages::error_body);
+        lifecycle->on_endpoint_list(engines, false);
     }
     // Sends a request of the class and returns its id.
     std::string arrive(FakeClient& client, int cls = 0, bool stream = true, Millis patience = 0) {
@@ -195,7 +195,7 @@
         request.answer = stream ? api::messages::streamed_response("msg_1", "m", 100, request.id)
                                 : api::messages::complete_response("msg_1", "m", request.id, 4096);
         std::string id = request.id;
-        EXPECT_TRUE(core->on_request(std::move(request)));
+        EXPECT_TRUE(lifecycle->on_request(std::move(request)));
         return id;
     }
     SentAttempt& last() { return world.sent.back(); }
@@ -211,12 +211,12 @@
     void advance(Millis ms) {
         const Millis until = world.clock + ms;
         for (;;) {
-            const Millis next = core->tick();
+            const Millis next = lifecycle->tick();
             if (next > until) break;
             world.clock = std::max(world.clock + 0.01, next);
         }
         world.clock = until;
-        core->tick();
+        lifecycle->tick();
     }
 };
 
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -12,7 +12,7 @@
     FakeClient client;
     // Expects that no request is open, that `sends` attempts were sent in all, and that no more follow.
     void expect_no_more_attempts(std::size_t sends) {
-        EXPECT_EQ(core->open(), 0u);
+        EXPECT_EQ(lifecycle->open(), 0u);
         const auto before = world.sent.size();
         advance(10000);
         EXPECT_EQ(world.sent.size(), before);
@@ -53,7 +53,7 @@
 TEST_F(RequestLifecycleTest, ClientDisconnectsDuringPrefill) {
     const auto id = arrive(client);
     client.disconnected = true;
-    core->on_client_disconnected(id);
+    lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
     ASSERT_EQ(world.let_go.size(), 1u);
     EXPECT_EQ(world.let_go[0].second, id + ".0");
@@ -65,7 +65,7 @@
     const auto id = arrive(client);
     read_done();
     client.disconnected = true;
-    core->on_client_disconnected(id);
+    lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
     ASSERT_EQ(world.let_go.size(), 1u);
     EXPECT_EQ(world.let_go[0].second, id + ".0");
@@ -77,7 +77,7 @@
     read_done();
     answer(last(), stream_head() + delta("a"));
     client.disconnected = true;
-    core->on_client_disconnected(id);
+    lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
     EXPECT_TRUE(world.let_go.empty());  // the decode engine had fetched the KV cache
     answer(last(), delta("b"));
@@ -90,7 +90,7 @@
     answer(last(), stream_head() + delta("a") + stop_event() + done_event());
     EXPECT_EQ(client.finals, 1);
     client.disconnected = true;
-    core->on_client_disconnected(id);
+    lifecycle->on_client_disconnected(id);
     expect_no_more_attempts(2);
 }
 
@@ -169,7 +169,7 @@
 
 TEST_F(RequestLifecycleTest, RejectionHasARetryAfter) {
     engines = {engine(1, 0), engine(11, 1, EndpointStatus::draining)};
-    core->on_endpoint_list(engines, false);
+    lifecycle->on_endpoint_list(engines, false);
     arrive(client);
     EXPECT_EQ(client.status, 529);
     EXPECT_EQ(client.should_retry, true);
@@ -220,7 +220,7 @@
     // The timeout is due, but the response is read first; then the timer fires in the same turn.
     world.clock += 2500;
     answer(prefill, read_answer(prefill.id()));
-    core->tick();
+    lifecycle->tick();
     EXPECT_EQ(world.sent.size(), 2u);
     EXPECT_FALSE(last().read());
 }
@@ -229,7 +229,7 @@
     arrive(client);
     const std::string prefill_address = last().address;
     engines = {engine(prefill_address == "10.0.0.1:80" ? 1 : 2, 0)};  // both decode engines are removed
-    core->on_endpoint_list(engines, false);
+    lifecycle->on_endpoint_list(engines, false);
     read_done();
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 529);
@@ -275,11 +275,11 @@
     const auto id = arrive(client);
     read_done();
     answer(last(), stream_head() + delta("a"));
-    core->on_client_congested(id, true);
+    lifecycle->on_client_congested(id, true);
     EXPECT_TRUE(last().paused);
     advance(3000);
     EXPECT_EQ(client.finals, 0);
-    core->on_client_congested(id, false);
+    lifecycle->on_client_congested(id, false);
     EXPECT_FALSE(last().paused);
     answer(last(), stop_event() + done_event());
     EXPECT_EQ(client.finals, 1);
@@ -292,7 +292,7 @@
     request.id = "req_more";
     request.chat.messages = {{"user", "x"}};
     request.client = &client;
-    EXPECT_FALSE(core->on_request(std::move(request)));
+    EXPECT_FALSE(lifecycle->on_request(std::move(request)));
     EXPECT_EQ(client.finals, 0);
 }
 
@@ -310,14 +310,14 @@
     read_done();
     last().exchange->on_first_byte_sent();
     arrive(prefilling);
-    core->end_all();
+    lifecycle->end_all();
     for (auto* each : {&prefilling, &waiting_for_decode, &streaming, &unsafe}) EXPECT_EQ(each->finals, 1);
     EXPECT_EQ(prefilling.status, 529);
     EXPECT_EQ(unsafe.status, 500);
     EXPECT_EQ(unsafe.should_retry, false);
     EXPECT_NE(streaming.stream.find("event: error"), std::string::npos);
     EXPECT_EQ(world.let_go.size(), 3u);
-    EXPECT_EQ(core->open(), 0u);
+    EXPECT_EQ(lifecycle->open(), 0u);
 }
 
 // Applies random events to a RequestLifecycle: requests, responses and faults of engines, disconnecting and
@@ -339,9 +339,9 @@
             expect_answers_in_time();
             if (::testing::Test::HasFailure()) return;
         }
-        harness_.core->end_all();
+        harness_.lifecycle->end_all();
         harness_.advance(6000);
-        EXPECT_EQ(harness_.core->open(), 0u);
+        EXPECT_EQ(harness_.lifecycle->open(), 0u);
         for (const auto& known : requests_)
             EXPECT_EQ(known.client->finals + (known.client->disconnected ? 1 : 0), 1) << known.id;
         expect_kv_caches_fetched_or_released();
@@ -377,11 +377,11 @@
         } else if (event == 13 && !requests_.empty()) {
             auto& known = requests_[draw_index(requests_.size())];
             if (known.client->finals == 0) known.client->disconnected = true;
-            harness_.core->on_client_disconnected(known.id);
+            harness_.lifecycle->on_client_disconnected(known.id);
         } else if (event == 14) {
             send_endpoint_list();
         } else if (event == 15 && !requests_.empty()) {
-            harness_.core->on_client_congested(requests_[draw_index(requests_.size())].id, draw(2));
+            harness_.lifecycle->on_client_congested(requests_[draw_index(requests_.size())].id, draw(2));
         } else {
             harness_.advance(draw(4) ? draw(30) : draw(600));
         }
@@ -436,7 +436,7 @@
             if (draw(3) == 0)
                 engine.endpoint.status = draw(2) ? EndpointStatus::removed : EndpointStatus::draining;
         }
-        harness_.core->on_endpoint_list(engines, draw(2));
+        harness_.lifecycle->on_endpoint_list(engines, draw(2));
     }
 
     void expect_one_attempt_in_flight() const {
