--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -62,19 +62,19 @@
     // The loop polls until its next timer, is stalled, and continues `ms` later.
     void stall_for(Millis ms) {
         lifecycle->before_poll(lifecycle->tick());
-        world.clock += ms;
+        environment.clock += ms;
     }
     // Completes a poll, whose events the test has delivered before, and then runs the timers.
     void finish_poll() {
-        lifecycle->after_poll(world.clock);
-        world.clock += 0.1;
+        lifecycle->after_poll(environment.clock);
+        environment.clock += 0.1;
         lifecycle->tick();
     }
 };
 
 TEST_F(StallTest, AnAnswerReceivedDuringAStallIsHandledBeforeTheTimeOut) {
     arrive(client);
-    lifecycle->after_poll(world.clock);
+    lifecycle->after_poll(environment.clock);
     const auto prefill = last().exchange;
     prefill->on_first_byte_sent();
     stall_for(5000);
@@ -82,57 +82,57 @@
     EXPECT_FALSE(last().closed);
     prefill->on_data(read_answer(last().id()));
     finish_poll();
-    ASSERT_EQ(world.sent.size(), 2u);
+    ASSERT_EQ(environment.sent.size(), 2u);
     EXPECT_FALSE(last().read());
     EXPECT_EQ(client.finals, 0);
 }
 
 TEST_F(StallTest, AnEngineThatDidNotAnswerDuringAStallTimesOut) {
     arrive(client);
-    lifecycle->after_poll(world.clock);
+    lifecycle->after_poll(environment.clock);
     const std::string first_address = last().address;
     last().exchange->on_first_byte_sent();
     stall_for(5000);
     lifecycle->tick();
-    EXPECT_EQ(world.sent.size(), 1u);
+    EXPECT_EQ(environment.sent.size(), 1u);
     finish_poll();
-    EXPECT_TRUE(world.sent[0].closed);
-    ASSERT_EQ(world.sent.size(), 2u);
+    EXPECT_TRUE(environment.sent[0].closed);
+    ASSERT_EQ(environment.sent.size(), 2u);
     EXPECT_NE(last().address, first_address);
 }
 
 TEST_F(StallTest, ARequestNotYetWrittenGetsItsFullTimeOut) {
     arrive(client);
-    lifecycle->after_poll(world.clock);
+    lifecycle->after_poll(environment.clock);
     stall_for(5000);  // the connection opened during the stall, and no byte was sent
     lifecycle->tick();
     finish_poll();
     EXPECT_FALSE(last().closed);
     last().exchange->on_first_byte_sent();
-    world.clock += 100;
+    environment.clock += 100;
     finish_poll();
     EXPECT_FALSE(last().closed);
-    EXPECT_EQ(world.sent.size(), 1u);
-    for (int i = 0; i < 200 && !world.sent[0].closed; ++i) {
-        world.clock += 20;
+    EXPECT_EQ(environment.sent.size(), 1u);
+    for (int i = 0; i < 200 && !environment.sent[0].closed; ++i) {
+        environment.clock += 20;
         finish_poll();
     }
-    EXPECT_TRUE(world.sent[0].closed);  // no more than the full time-out
+    EXPECT_TRUE(environment.sent[0].closed);  // no more than the full time-out
 }
 
 TEST_F(StallTest, AStallIsDetectedByTheFirstWriteOnAConnectionThatOpenedDuringIt) {
     arrive(client);
-    lifecycle->after_poll(world.clock);
+    lifecycle->after_poll(environment.clock);
     stall_for(5000);
     last().exchange->on_first_byte_sent();  // the first call that can detect the stall
     finish_poll();
     EXPECT_FALSE(last().closed);
-    EXPECT_EQ(world.sent.size(), 1u);
+    EXPECT_EQ(environment.sent.size(), 1u);
 }
 
 TEST_F(StallTest, ADeadlineThatPassedDuringAStallPrecedesAReceivedAnswer) {
     arrive(client);
-    lifecycle->after_poll(world.clock);
+    lifecycle->after_poll(environment.clock);
     const auto prefill = last().exchange;
     prefill->on_first_byte_sent();
     stall_for(30000);
@@ -140,16 +140,16 @@
     finish_poll();
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 529);
-    EXPECT_EQ(world.sent.size(), 1u) << "a decode was sent after the deadline";
-    EXPECT_EQ(world.let_go.size(), 1u);
+    EXPECT_EQ(environment.sent.size(), 1u) << "a decode was sent after the deadline";
+    EXPECT_EQ(environment.let_go.size(), 1u);
     EXPECT_EQ(lifecycle->open(), 0u);
 }
 
 TEST_F(StallTest, AFirstTokenHandledAfterTheDeadlineBeginsNoStream) {
     arrive(client);
-    lifecycle->after_poll(world.clock);
+    lifecycle->after_poll(environment.clock);
     read_done();
-    lifecycle->after_poll(world.clock);
+    lifecycle->after_poll(environment.clock);
     const auto decode = last().exchange;
     decode->on_first_byte_sent();
     stall_for(30000);
@@ -163,10 +163,10 @@
 
 TEST_F(StallTest, AStreamThatSentBytesDuringAStallIsNotIdle) {
     arrive(client);
-    lifecycle->after_poll(world.clock);
+    lifecycle->after_poll(environment.clock);
     read_done();
     answer(last(), stream_head() + delta("a"));
-    lifecycle->after_poll(world.clock);
+    lifecycle->after_poll(environment.clock);
     const auto decode = last().exchange;
     stall_for(p.limits.stream_idle_ms + 5000);
     lifecycle->tick();
@@ -226,10 +226,10 @@
     };
     send_request(3000, 2000);  // its time-out has already passed
     EXPECT_EQ(client.status, 529);
-    EXPECT_TRUE(world.sent.empty());
+    EXPECT_TRUE(environment.sent.empty());
     client.status = 0;
     send_request(1500, 2000);
-    EXPECT_EQ(world.sent.size(), 1u);
+    EXPECT_EQ(environment.sent.size(), 1u);
     advance(450);
     EXPECT_EQ(client.status, 0);
     advance(60);
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -169,13 +169,13 @@
 // A RequestLifecycle with two prefill and two decode engines.
 struct LifecycleHarness {
     settings::ProgramSettings p = test_program();
-    FakeGatewayEnvironment world;
+    FakeGatewayEnvironment environment;
     std::unique_ptr<RequestLifecycle> lifecycle;
     std::vector<settings::Engine> engines = {engine(1, 0), engine(2, 0), engine(11, 1), engine(12, 1)};
     int count = 0;  // requests so far, for their ids
 
     void begin(std::uint64_t seed = 1) {
-        lifecycle = std::make_unique<RequestLifecycle>(p, seed, world, api::messages::error_body);
+        lifecycle = std::make_unique<RequestLifecycle>(p, seed, environment, api::messages::error_body);
         lifecycle->on_endpoint_list(engines, false);
     }
     // Sends a request of the class and returns its id.
@@ -198,10 +198,11 @@
         EXPECT_TRUE(lifecycle->on_request(std::move(request)));
         return id;
     }
-    SentAttempt& last() { return world.sent.back(); }
+    SentAttempt& last() { return environment.sent.back(); }
     // The attempt's engine answers with `bytes`.
     void answer(SentAttempt& sent, const std::string& bytes) {
-        const auto exchange = sent.exchange;  // a copy: on_data() may send attempts and reallocate world.sent
+        // A copy: on_data() may send attempts and reallocate environment.sent.
+        const auto exchange = sent.exchange;
         exchange->on_first_byte_sent();
         exchange->on_data(bytes);
     }
@@ -209,13 +210,13 @@
     void read_done() { answer(last(), read_answer(last().id())); }
     // Advances the clock by `ms` and handles each timer at its time.
     void advance(Millis ms) {
-        const Millis until = world.clock + ms;
+        const Millis until = environment.clock + ms;
         for (;;) {
             const Millis next = lifecycle->tick();
             if (next > until) break;
-            world.clock = std::max(world.clock + 0.01, next);
+            environment.clock = std::max(environment.clock + 0.01, next);
         }
-        world.clock = until;
+        environment.clock = until;
         lifecycle->tick();
     }
 };
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -13,19 +13,19 @@
     // Expects that no request is open, that `sends` attempts were sent in all, and that no more follow.
     void expect_no_more_attempts(std::size_t sends) {
         EXPECT_EQ(lifecycle->open(), 0u);
-        const auto before = world.sent.size();
+        const auto before = environment.sent.size();
         advance(10000);
-        EXPECT_EQ(world.sent.size(), before);
-        EXPECT_EQ(world.sent.size(), sends);
+        EXPECT_EQ(environment.sent.size(), before);
+        EXPECT_EQ(environment.sent.size(), sends);
     }
 };
 
 TEST_F(RequestLifecycleTest, StreamedRequestIsPrefilledThenDecoded) {
     arrive(client);
-    ASSERT_EQ(world.sent.size(), 1u);
+    ASSERT_EQ(environment.sent.size(), 1u);
     EXPECT_TRUE(last().read());
     read_done();
-    ASSERT_EQ(world.sent.size(), 2u);
+    ASSERT_EQ(environment.sent.size(), 2u);
     EXPECT_FALSE(last().read());
     EXPECT_NE(last().request.body.find("remote_request_id"), std::string::npos);
     answer(last(), stream_head() + delta("a") + delta("b") + stop_event() + usage_event(2) + done_event());
@@ -34,7 +34,7 @@
     EXPECT_NE(client.stream.find("message_stop"), std::string::npos);
     EXPECT_NE(client.stream.find("\"output_tokens\":2"), std::string::npos);
     EXPECT_TRUE(last().exchange->is_reusable());
-    EXPECT_TRUE(world.let_go.empty());
+    EXPECT_TRUE(environment.let_go.empty());
     expect_no_more_attempts(2);
 }
 
@@ -55,8 +55,8 @@
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
-    ASSERT_EQ(world.let_go.size(), 1u);
-    EXPECT_EQ(world.let_go[0].second, id + ".0");
+    ASSERT_EQ(environment.let_go.size(), 1u);
+    EXPECT_EQ(environment.let_go[0].second, id + ".0");
     last().exchange->on_data(read_answer(last().id()));  // the response arrives after the cancellation
     expect_no_more_attempts(1);
 }
@@ -67,8 +67,8 @@
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
-    ASSERT_EQ(world.let_go.size(), 1u);
-    EXPECT_EQ(world.let_go[0].second, id + ".0");
+    ASSERT_EQ(environment.let_go.size(), 1u);
+    EXPECT_EQ(environment.let_go[0].second, id + ".0");
     expect_no_more_attempts(2);
 }
 
@@ -79,7 +79,7 @@
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
-    EXPECT_TRUE(world.let_go.empty());  // the decode engine had fetched the KV cache
+    EXPECT_TRUE(environment.let_go.empty());  // the decode engine had fetched the KV cache
     answer(last(), delta("b"));
     expect_no_more_attempts(2);
 }
@@ -98,17 +98,17 @@
     arrive(client);
     const auto first = last().id();
     answer(last(), http_response(200, "application/json", "{\"choices\":[]}"));
-    ASSERT_EQ(world.sent.size(), 2u);
+    ASSERT_EQ(environment.sent.size(), 2u);
     EXPECT_TRUE(last().read());
-    ASSERT_EQ(world.let_go.size(), 1u);  // it may still have left a KV cache
-    EXPECT_EQ(world.let_go[0].second, first);
+    ASSERT_EQ(environment.let_go.size(), 1u);  // it may still have left a KV cache
+    EXPECT_EQ(environment.let_go[0].second, first);
 }
 
 TEST_F(RequestLifecycleTest, MissingKvCacheLeadsToAnotherPrefill) {
     arrive(client);
     read_done();
     answer(last(), http_response(424, "application/json", "{\"error\":{\"type\":\"kv_transfer_error\"}}"));
-    ASSERT_EQ(world.sent.size(), 3u);
+    ASSERT_EQ(environment.sent.size(), 3u);
     EXPECT_TRUE(last().read());
 }
 
@@ -117,11 +117,11 @@
     read_done();
     const std::string first = last().address;
     answer(last(), http_response(429, "application/json", "{}"));
-    ASSERT_EQ(world.sent.size(), 3u);
+    ASSERT_EQ(environment.sent.size(), 3u);
     EXPECT_FALSE(last().read());
     EXPECT_NE(last().address, first);
     EXPECT_NE(last().request.body.find("remote_request_id"), std::string::npos);
-    EXPECT_TRUE(world.let_go.empty());
+    EXPECT_TRUE(environment.let_go.empty());
 }
 
 TEST_F(RequestLifecycleTest, BrokenStreamEndsOnceAndIsNotRetried) {
@@ -154,8 +154,8 @@
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 500);
     EXPECT_EQ(client.should_retry, false);
-    EXPECT_EQ(world.sent.size(), 2u);
-    EXPECT_EQ(world.let_go.size(), 1u);
+    EXPECT_EQ(environment.sent.size(), 2u);
+    EXPECT_EQ(environment.let_go.size(), 1u);
     expect_no_more_attempts(2);
 }
 
@@ -163,7 +163,7 @@
     arrive(client, 1);
     read_done();
     last().exchange->on_connect_failed();
-    ASSERT_EQ(world.sent.size(), 3u);
+    ASSERT_EQ(environment.sent.size(), 3u);
     EXPECT_FALSE(last().read());
 }
 
@@ -174,41 +174,41 @@
     EXPECT_EQ(client.status, 529);
     EXPECT_EQ(client.should_retry, true);
     EXPECT_GE(client.retry_after, 0);
-    EXPECT_TRUE(world.sent.empty());
+    EXPECT_TRUE(environment.sent.empty());
     expect_no_more_attempts(0);
 }
 
 TEST_F(RequestLifecycleTest, UnresponsiveEnginesLeadToOneAnswerWithinTheDeadline) {
-    const Millis started_at = world.clock;
+    const Millis started_at = environment.clock;
     arrive(client);
     for (int i = 0; i < 4000 && client.finals == 0; ++i) {
-        for (auto& sent : world.sent) sent.exchange->on_first_byte_sent();
+        for (auto& sent : environment.sent) sent.exchange->on_first_byte_sent();
         advance(1);
     }
     EXPECT_EQ(client.finals, 1);
-    EXPECT_LE(world.clock - started_at, p.router.classes[0].deadline + p.router.answer_slack);
-    EXPECT_GE(world.sent.size(), 2u);
+    EXPECT_LE(environment.clock - started_at, p.router.classes[0].deadline + p.router.answer_slack);
+    EXPECT_GE(environment.sent.size(), 2u);
     std::size_t prefills = 0;
-    for (const auto& sent : world.sent) prefills += sent.read();
-    EXPECT_EQ(world.let_go.size(), prefills);
-    expect_no_more_attempts(world.sent.size());
+    for (const auto& sent : environment.sent) prefills += sent.read();
+    EXPECT_EQ(environment.let_go.size(), prefills);
+    expect_no_more_attempts(environment.sent.size());
 }
 
 TEST_F(RequestLifecycleTest, ClientTimeoutShorterThanTheDeadlineApplies) {
-    const Millis started_at = world.clock;
+    const Millis started_at = environment.clock;
     arrive(client, 0, true, 300);
     while (client.finals == 0) advance(1);
-    EXPECT_LE(world.clock - started_at, 300 + p.router.answer_slack);
+    EXPECT_LE(environment.clock - started_at, 300 + p.router.answer_slack);
     EXPECT_EQ(client.status, 529);
 }
 
 TEST_F(RequestLifecycleTest, CompleteResponseBeyondTheClientTimeoutFailsInTime) {
-    const Millis started_at = world.clock;
+    const Millis started_at = environment.clock;
     arrive(client, 0, false, 1000);
     read_done();
     answer(last(), stream_head() + delta("a"));
     while (client.finals == 0) advance(1);
-    EXPECT_LE(world.clock - started_at, 1000);
+    EXPECT_LE(environment.clock - started_at, 1000);
     EXPECT_EQ(client.status, 504);
     EXPECT_TRUE(last().closed);
     expect_no_more_attempts(2);
@@ -218,10 +218,10 @@
     arrive(client);
     SentAttempt prefill = last();
     // The timeout is due, but the response is read first; then the timer fires in the same turn.
-    world.clock += 2500;
+    environment.clock += 2500;
     answer(prefill, read_answer(prefill.id()));
     lifecycle->tick();
-    EXPECT_EQ(world.sent.size(), 2u);
+    EXPECT_EQ(environment.sent.size(), 2u);
     EXPECT_FALSE(last().read());
 }
 
@@ -233,7 +233,7 @@
     read_done();
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 529);
-    EXPECT_EQ(world.let_go.size(), 1u);
+    EXPECT_EQ(environment.let_go.size(), 1u);
     expect_no_more_attempts(1);
 }
 
@@ -316,7 +316,7 @@
     EXPECT_EQ(unsafe.status, 500);
     EXPECT_EQ(unsafe.should_retry, false);
     EXPECT_NE(streaming.stream.find("event: error"), std::string::npos);
-    EXPECT_EQ(world.let_go.size(), 3u);
+    EXPECT_EQ(environment.let_go.size(), 3u);
     EXPECT_EQ(lifecycle->open(), 0u);
 }
 
@@ -371,8 +371,8 @@
         const int event = draw(20);
         if (event < 4 && requests_.size() < kMaxRequests) {
             send_request();
-        } else if (event < 13 && !harness_.world.sent.empty()) {
-            SentAttempt sent = harness_.world.sent[draw_index(harness_.world.sent.size())];
+        } else if (event < 13 && !harness_.environment.sent.empty()) {
+            SentAttempt sent = harness_.environment.sent[draw_index(harness_.environment.sent.size())];
             advance_engine(sent, 4 + draw(3) - (draw(6) ? 0 : 4 + draw(3)));
         } else if (event == 13 && !requests_.empty()) {
             auto& known = requests_[draw_index(requests_.size())];
@@ -394,7 +394,7 @@
         const Millis patience = draw(3) ? 0 : 200 + draw(2000);
         known.has_timeout = patience > 0;
         known.deadline =
-            harness_.world.clock + (patience > 0 ? std::min(patience, kClassDeadline) : kClassDeadline);
+            harness_.environment.clock + (patience > 0 ? std::min(patience, kClassDeadline) : kClassDeadline);
         known.id = harness_.arrive(*known.client, cls, known.stream, patience);
     }
 
@@ -441,7 +441,7 @@
 
     void expect_one_attempt_in_flight() const {
         std::map<std::string, int> in_flight;
-        for (const auto& sent : harness_.world.sent) {
+        for (const auto& sent : harness_.environment.sent) {
             const auto request = request_of(sent);
             if (!sent.exchange->has_outcome() && ++in_flight[request] > 1)
                 FAIL() << "two attempts in flight for " << request;
@@ -454,7 +454,7 @@
             const bool is_answered = known.client->finals > 0 || known.client->begun > 0 ||
                                      known.client->disconnected || is_decoding_without_timeout(known);
             if (!is_answered) {
-                EXPECT_LE(harness_.world.clock, known.deadline + harness_.p.router.answer_slack)
+                EXPECT_LE(harness_.environment.clock, known.deadline + harness_.p.router.answer_slack)
                     << known.id << " unanswered";
             }
         }
@@ -464,14 +464,14 @@
     // has not stated for how long it does.
     bool is_decoding_without_timeout(const KnownRequest& known) const {
         return !known.stream && !known.has_timeout &&
-               std::any_of(harness_.world.sent.begin(), harness_.world.sent.end(),
+               std::any_of(harness_.environment.sent.begin(), harness_.environment.sent.end(),
                            [&](const SentAttempt& sent) {
                                return sent.id().rfind(known.id + ".", 0) == 0 && sent.exchange->begun();
                            });
     }
 
     void expect_kv_caches_fetched_or_released() {
-        for (const auto& sent : harness_.world.sent) {
+        for (const auto& sent : harness_.environment.sent) {
             if (!sent.read() || parts_sent_[sent.id()] == 0) continue;  // no response, so no KV cache
             EXPECT_TRUE(is_released(sent) || is_fetched(sent))
                 << sent.id() << " may have leaked its KV cache";
@@ -479,7 +479,7 @@
     }
 
     bool is_released(const SentAttempt& prefill) const {
-        const auto& releases = harness_.world.let_go;
+        const auto& releases = harness_.environment.let_go;
         return std::any_of(releases.begin(), releases.end(), [&](const auto& release) {
             return release.second == prefill.id() && release.first == prefill.address;
         });
@@ -487,7 +487,7 @@
 
     // Whether the stream of a decode attempt that was given this KV cache has begun.
     bool is_fetched(const SentAttempt& prefill) {
-        const auto& sent = harness_.world.sent;
+        const auto& sent = harness_.environment.sent;
         return std::any_of(sent.begin(), sent.end(), [&](const SentAttempt& decode) {
             return request_of(decode) == request_of(prefill) && !decode.read() &&
                    decode.request.body.find("\"" + prefill.id() + "\"") != std::string::npos &&
