--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -56,7 +56,7 @@
 struct StallTest : ::testing::Test, LifecycleHarness {
     FakeClient client;
     StallTest() {
-        for (auto& class_settings : p.router.classes) class_settings.deadline = 20000;
+        for (auto& class_settings : program.router.classes) class_settings.deadline = 20000;
         begin();
     }
     // The loop polls until its next timer, is stalled, and continues `ms` later.
@@ -168,7 +168,7 @@
     answer(last(), stream_head() + delta("a"));
     lifecycle->after_poll(environment.clock);
     const auto decode = last().exchange;
-    stall_for(p.limits.stream_idle_ms + 5000);
+    stall_for(program.limits.stream_idle_ms + 5000);
     lifecycle->tick();
     EXPECT_FALSE(last().closed);
     decode->on_data(delta("b"));
@@ -190,7 +190,7 @@
         }
         lifecycle->on_endpoint_list(drained, false);
     };
-    lifecycle = std::make_unique<RequestLifecycle>(p, 1, observer, api::messages::error_body);
+    lifecycle = std::make_unique<RequestLifecycle>(program, 1, observer, api::messages::error_body);
     lifecycle->on_endpoint_list(engines, false);
     std::vector<std::unique_ptr<FakeClient>> clients;
     for (int i = 0; i < 8; ++i) arrive(*clients.emplace_back(std::make_unique<FakeClient>()));
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -168,14 +168,14 @@
 
 // A RequestLifecycle with two prefill and two decode engines.
 struct LifecycleHarness {
-    settings::ProgramSettings p = test_program();
+    settings::ProgramSettings program = test_program();
     FakeGatewayEnvironment environment;
     std::unique_ptr<RequestLifecycle> lifecycle;
     std::vector<settings::Engine> engines = {engine(1, 0), engine(2, 0), engine(11, 1), engine(12, 1)};
     int count = 0;  // requests so far, for their ids
 
     void begin(std::uint64_t seed = 1) {
-        lifecycle = std::make_unique<RequestLifecycle>(p, seed, environment, api::messages::error_body);
+        lifecycle = std::make_unique<RequestLifecycle>(program, seed, environment, api::messages::error_body);
         lifecycle->on_endpoint_list(engines, false);
     }
     // Sends a request of the class and returns its id.
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -186,7 +186,8 @@
         advance(1);
     }
     EXPECT_EQ(client.finals, 1);
-    EXPECT_LE(environment.clock - started_at, p.router.classes[0].deadline + p.router.answer_slack);
+    EXPECT_LE(environment.clock - started_at,
+              program.router.classes[0].deadline + program.router.answer_slack);
     EXPECT_GE(environment.sent.size(), 2u);
     std::size_t prefills = 0;
     for (const auto& sent : environment.sent) prefills += sent.read();
@@ -198,7 +199,7 @@
     const Millis started_at = environment.clock;
     arrive(client, 0, true, 300);
     while (client.finals == 0) advance(1);
-    EXPECT_LE(environment.clock - started_at, 300 + p.router.answer_slack);
+    EXPECT_LE(environment.clock - started_at, 300 + program.router.answer_slack);
     EXPECT_EQ(client.status, 529);
 }
 
@@ -238,7 +239,7 @@
 }
 
 TEST_F(RequestLifecycleTest, StreamWithoutDataTimesOut) {
-    p.limits.stream_idle_ms = 1000;
+    program.limits.stream_idle_ms = 1000;
     arrive(client);
     read_done();
     answer(last(), stream_head() + delta("a"));
@@ -254,8 +255,8 @@
 }
 
 TEST_F(RequestLifecycleTest, IdleStreamGetsKeepalivePings) {
-    p.limits.ping_ms = 300;
-    p.limits.stream_idle_ms = 5000;
+    program.limits.ping_ms = 300;
+    program.limits.stream_idle_ms = 5000;
     arrive(client);
     read_done();
     answer(last(), stream_head() + delta("a"));
@@ -271,7 +272,7 @@
 }
 
 TEST_F(RequestLifecycleTest, SlowClientPausesItsEngineWithoutStreamTimeout) {
-    p.limits.stream_idle_ms = 1000;
+    program.limits.stream_idle_ms = 1000;
     const auto id = arrive(client);
     read_done();
     answer(last(), stream_head() + delta("a"));
@@ -286,7 +287,7 @@
 }
 
 TEST_F(RequestLifecycleTest, RequestBeyondTheLimitOfOpenRequestsIsNotAccepted) {
-    p.limits.open_requests = 1;
+    program.limits.open_requests = 1;
     arrive(client);
     gateway::NewRequest request;
     request.id = "req_more";
@@ -327,7 +328,7 @@
 class RandomRun {
 public:
     explicit RandomRun(std::uint64_t seed) : random_(seed) {
-        harness_.p.router.cancellation = draw(4) > 0;
+        harness_.program.router.cancellation = draw(4) > 0;
         harness_.begin(seed);
     }
 
@@ -454,7 +455,7 @@
             const bool is_answered = known.client->finals > 0 || known.client->begun > 0 ||
                                      known.client->disconnected || is_decoding_without_timeout(known);
             if (!is_answered) {
-                EXPECT_LE(harness_.environment.clock, known.deadline + harness_.p.router.answer_slack)
+                EXPECT_LE(harness_.environment.clock, known.deadline + harness_.program.router.answer_slack)
                     << known.id << " unanswered";
             }
         }
