--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -141,7 +141,7 @@
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 529);
     EXPECT_EQ(environment.sent.size(), 1u) << "a decode was sent after the deadline";
-    EXPECT_EQ(environment.let_go.size(), 1u);
+    EXPECT_EQ(environment.releases.size(), 1u);
     EXPECT_EQ(lifecycle->open(), 0u);
 }
 
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -62,7 +62,8 @@
 struct FakeGatewayEnvironment : gateway::Environment {
     Millis clock = 1000;
     std::vector<SentAttempt> sent;
-    std::vector<std::pair<std::string, std::string>> let_go;  // releases: address, id of the prefill attempt
+    // Address and id of the prefill attempt, per release.
+    std::vector<std::pair<std::string, std::string>> releases;
     Millis now() override { return clock; }
     Millis wall_ms() override { return 1e12 + clock; }
     void start_exchange(const std::string& address, proxy::UpstreamRequest request,
@@ -81,7 +82,7 @@
     }
     void send_detached(const std::string& address, proxy::UpstreamRequest request, Millis) override {
         EXPECT_EQ(request.target, "/abort_request");
-        let_go.emplace_back(address, api::Json::parse(request.body)["rid"].get<std::string>());
+        releases.emplace_back(address, api::Json::parse(request.body)["rid"].get<std::string>());
     }
     void log(const char*, const char*, api::Json) override {}
 };
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -34,7 +34,7 @@
     EXPECT_NE(client.stream.find("message_stop"), std::string::npos);
     EXPECT_NE(client.stream.find("\"output_tokens\":2"), std::string::npos);
     EXPECT_TRUE(last().exchange->is_reusable());
-    EXPECT_TRUE(environment.let_go.empty());
+    EXPECT_TRUE(environment.releases.empty());
     expect_no_more_attempts(2);
 }
 
@@ -55,8 +55,8 @@
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
-    ASSERT_EQ(environment.let_go.size(), 1u);
-    EXPECT_EQ(environment.let_go[0].second, id + ".0");
+    ASSERT_EQ(environment.releases.size(), 1u);
+    EXPECT_EQ(environment.releases[0].second, id + ".0");
     last().exchange->on_data(read_answer(last().id()));  // the response arrives after the cancellation
     expect_no_more_attempts(1);
 }
@@ -67,8 +67,8 @@
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
-    ASSERT_EQ(environment.let_go.size(), 1u);
-    EXPECT_EQ(environment.let_go[0].second, id + ".0");
+    ASSERT_EQ(environment.releases.size(), 1u);
+    EXPECT_EQ(environment.releases[0].second, id + ".0");
     expect_no_more_attempts(2);
 }
 
@@ -79,7 +79,7 @@
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
-    EXPECT_TRUE(environment.let_go.empty());  // the decode engine had fetched the KV cache
+    EXPECT_TRUE(environment.releases.empty());  // the decode engine had fetched the KV cache
     answer(last(), delta("b"));
     expect_no_more_attempts(2);
 }
@@ -100,8 +100,8 @@
     answer(last(), http_response(200, "application/json", "{\"choices\":[]}"));
     ASSERT_EQ(environment.sent.size(), 2u);
     EXPECT_TRUE(last().read());
-    ASSERT_EQ(environment.let_go.size(), 1u);  // it may still have left a KV cache
-    EXPECT_EQ(environment.let_go[0].second, first);
+    ASSERT_EQ(environment.releases.size(), 1u);  // it may still have left a KV cache
+    EXPECT_EQ(environment.releases[0].second, first);
 }
 
 TEST_F(RequestLifecycleTest, MissingKvCacheLeadsToAnotherPrefill) {
@@ -121,7 +121,7 @@
     EXPECT_FALSE(last().read());
     EXPECT_NE(last().address, first);
     EXPECT_NE(last().request.body.find("remote_request_id"), std::string::npos);
-    EXPECT_TRUE(environment.let_go.empty());
+    EXPECT_TRUE(environment.releases.empty());
 }
 
 TEST_F(RequestLifecycleTest, BrokenStreamEndsOnceAndIsNotRetried) {
@@ -155,7 +155,7 @@
     EXPECT_EQ(client.status, 500);
     EXPECT_EQ(client.should_retry, false);
     EXPECT_EQ(environment.sent.size(), 2u);
-    EXPECT_EQ(environment.let_go.size(), 1u);
+    EXPECT_EQ(environment.releases.size(), 1u);
     expect_no_more_attempts(2);
 }
 
@@ -191,7 +191,7 @@
     EXPECT_GE(environment.sent.size(), 2u);
     std::size_t prefills = 0;
     for (const auto& sent : environment.sent) prefills += sent.read();
-    EXPECT_EQ(environment.let_go.size(), prefills);
+    EXPECT_EQ(environment.releases.size(), prefills);
     expect_no_more_attempts(environment.sent.size());
 }
 
@@ -234,7 +234,7 @@
     read_done();
     EXPECT_EQ(client.finals, 1);
     EXPECT_EQ(client.status, 529);
-    EXPECT_EQ(environment.let_go.size(), 1u);
+    EXPECT_EQ(environment.releases.size(), 1u);
     expect_no_more_attempts(1);
 }
 
@@ -317,7 +317,7 @@
     EXPECT_EQ(unsafe.status, 500);
     EXPECT_EQ(unsafe.should_retry, false);
     EXPECT_NE(streaming.stream.find("event: error"), std::string::npos);
-    EXPECT_EQ(environment.let_go.size(), 3u);
+    EXPECT_EQ(environment.releases.size(), 3u);
     EXPECT_EQ(lifecycle->open(), 0u);
 }
 
@@ -480,7 +480,7 @@
     }
 
     bool is_released(const SentAttempt& prefill) const {
-        const auto& releases = harness_.environment.let_go;
+        const auto& releases = harness_.environment.releases;
         return std::any_of(releases.begin(), releases.end(), [&](const auto& release) {
             return release.second == prefill.id() && release.first == prefill.address;
         });
