--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -84,7 +84,7 @@
     finish_poll();
     ASSERT_EQ(environment.sent.size(), 2u);
     EXPECT_FALSE(last().read());
-    EXPECT_EQ(client.finals, 0);
+    EXPECT_EQ(client.final_calls, 0);
 }
 
 TEST_F(StallTest, AnEngineThatDidNotAnswerDuringAStallTimesOut) {
@@ -138,7 +138,7 @@
     stall_for(30000);
     prefill->on_data(read_answer(last().id()));  // the sockets are handled before the timers
     finish_poll();
-    EXPECT_EQ(client.finals, 1);
+    EXPECT_EQ(client.final_calls, 1);
     EXPECT_EQ(client.status, 529);
     EXPECT_EQ(environment.sent.size(), 1u) << "a decode was sent after the deadline";
     EXPECT_EQ(environment.releases.size(), 1u);
@@ -155,8 +155,8 @@
     stall_for(30000);
     decode->on_data(stream_head() + delta("a"));
     finish_poll();
-    EXPECT_EQ(client.finals, 1);
-    EXPECT_EQ(client.begun, 0);
+    EXPECT_EQ(client.final_calls, 1);
+    EXPECT_EQ(client.stream_begins, 0);
     EXPECT_TRUE(last().closed);
     EXPECT_EQ(lifecycle->open(), 0u);
 }
@@ -243,7 +243,7 @@
         arrive(short_lived_client);
         read_done();
         answer(last(), stream_head() + delta("a") + stop_event() + usage_event(1) + done_event());
-        EXPECT_EQ(short_lived_client.finals, 1);
+        EXPECT_EQ(short_lived_client.final_calls, 1);
     }
     // The Router's own timers remain: one per request until its deadline.
     EXPECT_LE(lifecycle->pending_timers(), timers_before + 50);
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -14,31 +14,31 @@
 
 // Records the response that a client gets, and fails the test on calls that break the order of calls.
 struct FakeClient : gateway::Client {
-    std::string stream;  // the body so far
-    int begun = 0;       // calls of begin_stream()
-    int finals = 0;      // calls that end the response
+    std::string stream;     // the body so far
+    int stream_begins = 0;  // calls of begin_stream()
+    int final_calls = 0;    // calls that end the response
     int status = 0;
     std::optional<bool> should_retry;
     Millis retry_after = gateway::kNoRetryAfter;
     bool disconnected = false;  // set by the test; no call may follow
     void begin_stream() override {
         EXPECT_FALSE(disconnected);
-        ++begun;
+        ++stream_begins;
         status = 200;
     }
     void send_body(std::string bytes) override {
         EXPECT_FALSE(disconnected);
-        EXPECT_EQ(finals, 0);
+        EXPECT_EQ(final_calls, 0);
         stream += bytes;
     }
     void finish_stream() override {
-        ++finals;
+        ++final_calls;
         EXPECT_FALSE(disconnected);
     }
     void send_complete(int response_status, std::string bytes, Millis retry_after_ms,
                        std::optional<bool> retry_allowed) override {
         EXPECT_FALSE(disconnected);
-        ++finals;
+        ++final_calls;
         status = response_status;
         stream += bytes;
         retry_after = retry_after_ms;
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -29,8 +29,8 @@
     EXPECT_FALSE(last().read());
     EXPECT_NE(last().request.body.find("remote_request_id"), std::string::npos);
     answer(last(), stream_head() + delta("a") + delta("b") + stop_event() + usage_event(2) + done_event());
-    EXPECT_EQ(client.finals, 1);
-    EXPECT_EQ(client.begun, 1);
+    EXPECT_EQ(client.final_calls, 1);
+    EXPECT_EQ(client.stream_begins, 1);
     EXPECT_NE(client.stream.find("message_stop"), std::string::npos);
     EXPECT_NE(client.stream.find("\"output_tokens\":2"), std::string::npos);
     EXPECT_TRUE(last().exchange->is_reusable());
@@ -42,9 +42,9 @@
     arrive(client, 0, false);
     read_done();
     answer(last(), stream_head() + delta("a") + delta("b"));
-    EXPECT_EQ(client.finals, 0);
+    EXPECT_EQ(client.final_calls, 0);
     answer(last(), stop_event() + usage_event(2) + done_event());
-    EXPECT_EQ(client.finals, 1);
+    EXPECT_EQ(client.final_calls, 1);
     EXPECT_EQ(client.status, 200);
     EXPECT_NE(client.stream.find("\"text\":\"ab\""), std::string::npos);
     expect_no_more_attempts(2);
@@ -88,7 +88,7 @@
     const auto id = arrive(client);
     read_done();
     answer(last(), stream_head() + delta("a") + stop_event() + done_event());
-    EXPECT_EQ(client.finals, 1);
+    EXPECT_EQ(client.final_calls, 1);
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
     expect_no_more_attempts(2);
@@ -129,7 +129,7 @@
     read_done();
     answer(last(), stream_head() + delta("a"));
     last().exchange->on_connection_closed();
-    EXPECT_EQ(client.finals, 1);
+    EXPECT_EQ(client.final_calls, 1);
     EXPECT_NE(client.stream.find("event: error"), std::string::npos);
     EXPECT_EQ(client.stream.find("message_stop"), std::string::npos);
     expect_no_more_attempts(2);
@@ -140,7 +140,7 @@
     read_done();
     answer(last(), stream_head() + delta("a"));
     last().exchange->on_connection_closed();
-    EXPECT_EQ(client.finals, 1);
+    EXPECT_EQ(client.final_calls, 1);
     EXPECT_EQ(client.status, 500);
     EXPECT_EQ(client.should_retry, true);
     expect_no_more_attempts(2);
@@ -151,7 +151,7 @@
     read_done();
     last().exchange->on_first_byte_sent();
     last().exchange->on_connection_closed();  // reset after the request was sent
-    EXPECT_EQ(client.finals, 1);
+    EXPECT_EQ(client.final_calls, 1);
     EXPECT_EQ(client.status, 500);
     EXPECT_EQ(client.should_retry, false);
     EXPECT_EQ(environment.sent.size(), 2u);
@@ -181,11 +181,11 @@
 TEST_F(RequestLifecycleTest, UnresponsiveEnginesLeadToOneAnswerWithinTheDeadline) {
     const Millis started_at = environment.clock;
     arrive(client);
-    for (int i = 0; i < 4000 && client.finals == 0; ++i) {
+    for (int i = 0; i < 4000 && client.final_calls == 0; ++i) {
         for (auto& sent : environment.sent) sent.exchange->on_first_byte_sent();
         advance(1);
     }
-    EXPECT_EQ(client.finals, 1);
+    EXPECT_EQ(client.final_calls, 1);
     EXPECT_LE(environment.clock - started_at,
               program.router.classes[0].deadline + program.router.answer_slack);
     EXPECT_GE(environment.sent.size(), 2u);
@@ -198,7 +198,7 @@
 TEST_F(RequestLifecycleTest, ClientTimeoutShorterThanTheDeadlineApplies) {
     const Millis started_at = environment.clock;
     arrive(client, 0, true, 300);
-    while (client.finals == 0) advance(1);
+    while (client.final_calls == 0) advance(1);
     EXPECT_LE(environment.clock - started_at, 300 + program.router.answer_slack);
     EXPECT_EQ(client.status, 529);
 }
@@ -208,7 +208,7 @@
     arrive(client, 0, false, 1000);
     read_done();
     answer(last(), stream_head() + delta("a"));
-    while (client.finals == 0) advance(1);
+    while (client.final_calls == 0) advance(1);
     EXPECT_LE(environment.clock - started_at, 1000);
     EXPECT_EQ(client.status, 504);
     EXPECT_TRUE(last().closed);
@@ -232,7 +232,7 @@
     engines = {engine(prefill_address == "10.0.0.1:80" ? 1 : 2, 0)};  // both decode engines are removed
     lifecycle->on_endpoint_list(engines, false);
     read_done();
-    EXPECT_EQ(client.finals, 1);
+    EXPECT_EQ(client.final_calls, 1);
     EXPECT_EQ(client.status, 529);
     EXPECT_EQ(environment.releases.size(), 1u);
     expect_no_more_attempts(1);
@@ -244,12 +244,12 @@
     read_done();
     answer(last(), stream_head() + delta("a"));
     advance(900);
-    EXPECT_EQ(client.finals, 0);
+    EXPECT_EQ(client.final_calls, 0);
     answer(last(), delta("b"));
     advance(900);
-    EXPECT_EQ(client.finals, 0);
+    EXPECT_EQ(client.final_calls, 0);
     advance(200);
-    EXPECT_EQ(client.finals, 1);
+    EXPECT_EQ(client.final_calls, 1);
     EXPECT_NE(client.stream.find("event: error"), std::string::npos);
     EXPECT_TRUE(last().closed);
 }
@@ -279,11 +279,11 @@
     lifecycle->on_client_congested(id, true);
     EXPECT_TRUE(last().paused);
     advance(3000);
-    EXPECT_EQ(client.finals, 0);
+    EXPECT_EQ(client.final_calls, 0);
     lifecycle->on_client_congested(id, false);
     EXPECT_FALSE(last().paused);
     answer(last(), stop_event() + done_event());
-    EXPECT_EQ(client.finals, 1);
+    EXPECT_EQ(client.final_calls, 1);
 }
 
 TEST_F(RequestLifecycleTest, RequestBeyondTheLimitOfOpenRequestsIsNotAccepted) {
@@ -294,7 +294,7 @@
     request.chat.messages = {{"user", "x"}};
     request.client = &client;
     EXPECT_FALSE(lifecycle->on_request(std::move(request)));
-    EXPECT_EQ(client.finals, 0);
+    EXPECT_EQ(client.final_calls, 0);
 }
 
 TEST_F(RequestLifecycleTest, EndAllAnswersEveryRequestAndReleasesItsLeases) {
@@ -312,7 +312,8 @@
     last().exchange->on_first_byte_sent();
     arrive(prefilling);
     lifecycle->end_all();
-    for (auto* each : {&prefilling, &waiting_for_decode, &streaming, &unsafe}) EXPECT_EQ(each->finals, 1);
+    for (auto* each : {&prefilling, &waiting_for_decode, &streaming, &unsafe})
+        EXPECT_EQ(each->final_calls, 1);
     EXPECT_EQ(prefilling.status, 529);
     EXPECT_EQ(unsafe.status, 500);
     EXPECT_EQ(unsafe.should_retry, false);
@@ -344,7 +345,7 @@
         harness_.advance(6000);
         EXPECT_EQ(harness_.lifecycle->open(), 0u);
         for (const auto& known : requests_)
-            EXPECT_EQ(known.client->finals + (known.client->disconnected ? 1 : 0), 1) << known.id;
+            EXPECT_EQ(known.client->final_calls + (known.client->disconnected ? 1 : 0), 1) << known.id;
         expect_kv_caches_fetched_or_released();
     }
 
@@ -377,7 +378,7 @@
             advance_engine(sent, 4 + draw(3) - (draw(6) ? 0 : 4 + draw(3)));
         } else if (event == 13 && !requests_.empty()) {
             auto& known = requests_[draw_index(requests_.size())];
-            if (known.client->finals == 0) known.client->disconnected = true;
+            if (known.client->final_calls == 0) known.client->disconnected = true;
             harness_.lifecycle->on_client_disconnected(known.id);
         } else if (event == 14) {
             send_endpoint_list();
@@ -451,8 +452,8 @@
 
     void expect_answers_in_time() const {
         for (const auto& known : requests_) {
-            EXPECT_LE(known.client->finals, 1) << known.id;
-            const bool is_answered = known.client->finals > 0 || known.client->begun > 0 ||
+            EXPECT_LE(known.client->final_calls, 1) << known.id;
+            const bool is_answered = known.client->final_calls > 0 || known.client->stream_begins > 0 ||
                                      known.client->disconnected || is_decoding_without_timeout(known);
             if (!is_answered) {
                 EXPECT_LE(harness_.environment.clock, known.deadline + harness_.program.router.answer_slack)
