--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -83,7 +83,7 @@
     prefill->on_data(read_answer(last().id()));
     finish_poll();
     ASSERT_EQ(environment.sent.size(), 2u);
-    EXPECT_FALSE(last().read());
+    EXPECT_FALSE(last().is_prefill());
     EXPECT_EQ(client.final_calls, 0);
 }
 
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -55,7 +55,7 @@
     bool paused = false;
     std::string id() const { return *http::find_header(request.headers, "x-request-id"); }
     // Whether this is a prefill request.
-    bool read() const { return request.body.find("\"do_remote_decode\":true") != std::string::npos; }
+    bool is_prefill() const { return request.body.find("\"do_remote_decode\":true") != std::string::npos; }
 };
 
 // Records what the RequestLifecycle does. Time advances only when the test sets `clock`.
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -23,10 +23,10 @@
 TEST_F(RequestLifecycleTest, StreamedRequestIsPrefilledThenDecoded) {
     arrive(client);
     ASSERT_EQ(environment.sent.size(), 1u);
-    EXPECT_TRUE(last().read());
+    EXPECT_TRUE(last().is_prefill());
     read_done();
     ASSERT_EQ(environment.sent.size(), 2u);
-    EXPECT_FALSE(last().read());
+    EXPECT_FALSE(last().is_prefill());
     EXPECT_NE(last().request.body.find("remote_request_id"), std::string::npos);
     answer(last(), stream_head() + delta("a") + delta("b") + stop_event() + usage_event(2) + done_event());
     EXPECT_EQ(client.final_calls, 1);
@@ -99,7 +99,7 @@
     const auto first = last().id();
     answer(last(), http_response(200, "application/json", "{\"choices\":[]}"));
     ASSERT_EQ(environment.sent.size(), 2u);
-    EXPECT_TRUE(last().read());
+    EXPECT_TRUE(last().is_prefill());
     ASSERT_EQ(environment.releases.size(), 1u);  // it may still have left a KV cache
     EXPECT_EQ(environment.releases[0].second, first);
 }
@@ -109,7 +109,7 @@
     read_done();
     answer(last(), http_response(424, "application/json", "{\"error\":{\"type\":\"kv_transfer_error\"}}"));
     ASSERT_EQ(environment.sent.size(), 3u);
-    EXPECT_TRUE(last().read());
+    EXPECT_TRUE(last().is_prefill());
 }
 
 TEST_F(RequestLifecycleTest, RejectedDecodeIsRetriedElsewhereWithTheSameKvCache) {
@@ -118,7 +118,7 @@
     const std::string first = last().address;
     answer(last(), http_response(429, "application/json", "{}"));
     ASSERT_EQ(environment.sent.size(), 3u);
-    EXPECT_FALSE(last().read());
+    EXPECT_FALSE(last().is_prefill());
     EXPECT_NE(last().address, first);
     EXPECT_NE(last().request.body.find("remote_request_id"), std::string::npos);
     EXPECT_TRUE(environment.releases.empty());
@@ -164,7 +164,7 @@
     read_done();
     last().exchange->on_connect_failed();
     ASSERT_EQ(environment.sent.size(), 3u);
-    EXPECT_FALSE(last().read());
+    EXPECT_FALSE(last().is_prefill());
 }
 
 TEST_F(RequestLifecycleTest, RejectionHasARetryAfter) {
@@ -190,7 +190,7 @@
               program.router.classes[0].deadline + program.router.answer_slack);
     EXPECT_GE(environment.sent.size(), 2u);
     std::size_t prefills = 0;
-    for (const auto& sent : environment.sent) prefills += sent.read();
+    for (const auto& sent : environment.sent) prefills += sent.is_prefill();
     EXPECT_EQ(environment.releases.size(), prefills);
     expect_no_more_attempts(environment.sent.size());
 }
@@ -223,7 +223,7 @@
     answer(prefill, read_answer(prefill.id()));
     lifecycle->tick();
     EXPECT_EQ(environment.sent.size(), 2u);
-    EXPECT_FALSE(last().read());
+    EXPECT_FALSE(last().is_prefill());
 }
 
 TEST_F(RequestLifecycleTest, DecodeEnginesRemovedDuringPrefillLeadToRejection) {
@@ -411,7 +411,7 @@
         exchange->on_first_byte_sent();
         if (step == 2) return exchange->on_data(http_response(draw(2) ? 500 : 429, "application/json", "{}"));
         if (step == 3 && parts_sent == 0) return exchange->on_data("HTTP/1.1 200 OK\r\ncontent-le");
-        if (sent.read()) return exchange->on_data(parts_sent++ ? "" : read_answer(sent.id()));
+        if (sent.is_prefill()) return exchange->on_data(parts_sent++ ? "" : read_answer(sent.id()));
         exchange->on_data(stream_part(parts_sent++));
     }
 
@@ -474,7 +474,7 @@
 
     void expect_kv_caches_fetched_or_released() {
         for (const auto& sent : harness_.environment.sent) {
-            if (!sent.read() || parts_sent_[sent.id()] == 0) continue;  // no response, so no KV cache
+            if (!sent.is_prefill() || parts_sent_[sent.id()] == 0) continue;  // no response, so no KV cache
             EXPECT_TRUE(is_released(sent) || is_fetched(sent))
                 << sent.id() << " may have leaked its KV cache";
         }
@@ -491,7 +491,7 @@
     bool is_fetched(const SentAttempt& prefill) {
         const auto& sent = harness_.environment.sent;
         return std::any_of(sent.begin(), sent.end(), [&](const SentAttempt& decode) {
-            return request_of(decode) == request_of(prefill) && !decode.read() &&
+            return request_of(decode) == request_of(prefill) && !decode.is_prefill() &&
                    decode.request.body.find("\"" + prefill.id() + "\"") != std::string::npos &&
                    (decode.exchange->begun() || parts_sent_[decode.id()] >= 2);
         });
