--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -148,7 +148,7 @@
 TEST_F(StallTest, AFirstTokenHandledAfterTheDeadlineBeginsNoStream) {
     arrive(client);
     lifecycle->after_poll(environment.clock);
-    read_done();
+    finish_prefill();
     lifecycle->after_poll(environment.clock);
     const auto decode = last().exchange;
     decode->on_first_byte_sent();
@@ -164,7 +164,7 @@
 TEST_F(StallTest, AStreamThatSentBytesDuringAStallIsNotIdle) {
     arrive(client);
     lifecycle->after_poll(environment.clock);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a"));
     lifecycle->after_poll(environment.clock);
     const auto decode = last().exchange;
@@ -241,7 +241,7 @@
     for (int i = 0; i < 50; ++i) {
         FakeClient short_lived_client;
         arrive(short_lived_client);
-        read_done();
+        finish_prefill();
         answer(last(), stream_head() + delta("a") + stop_event() + usage_event(1) + done_event());
         EXPECT_EQ(short_lived_client.final_calls, 1);
     }
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -208,7 +208,7 @@
         exchange->on_data(bytes);
     }
     // The prefill engine answers the latest attempt; the decode attempt is then the latest.
-    void read_done() { answer(last(), read_answer(last().id())); }
+    void finish_prefill() { answer(last(), read_answer(last().id())); }
     // Advances the clock by `ms` and handles each timer at its time.
     void advance(Millis ms) {
         const Millis until = environment.clock + ms;
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -24,7 +24,7 @@
     arrive(client);
     ASSERT_EQ(environment.sent.size(), 1u);
     EXPECT_TRUE(last().is_prefill());
-    read_done();
+    finish_prefill();
     ASSERT_EQ(environment.sent.size(), 2u);
     EXPECT_FALSE(last().is_prefill());
     EXPECT_NE(last().request.body.find("remote_request_id"), std::string::npos);
@@ -40,7 +40,7 @@
 
 TEST_F(RequestLifecycleTest, CompleteResponseIsSentOnceAtTheEnd) {
     arrive(client, 0, false);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a") + delta("b"));
     EXPECT_EQ(client.final_calls, 0);
     answer(last(), stop_event() + usage_event(2) + done_event());
@@ -63,7 +63,7 @@
 
 TEST_F(RequestLifecycleTest, ClientDisconnectsBetweenPrefillAndFirstToken) {
     const auto id = arrive(client);
-    read_done();
+    finish_prefill();
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
@@ -74,7 +74,7 @@
 
 TEST_F(RequestLifecycleTest, ClientDisconnectsDuringTheStream) {
     const auto id = arrive(client);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a"));
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
@@ -86,7 +86,7 @@
 
 TEST_F(RequestLifecycleTest, ClientDisconnectsInTheSameTurnAsTheLastEvent) {
     const auto id = arrive(client);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a") + stop_event() + done_event());
     EXPECT_EQ(client.final_calls, 1);
     client.disconnected = true;
@@ -106,7 +106,7 @@
 
 TEST_F(RequestLifecycleTest, MissingKvCacheLeadsToAnotherPrefill) {
     arrive(client);
-    read_done();
+    finish_prefill();
     answer(last(), http_response(424, "application/json", "{\"error\":{\"type\":\"kv_transfer_error\"}}"));
     ASSERT_EQ(environment.sent.size(), 3u);
     EXPECT_TRUE(last().is_prefill());
@@ -114,7 +114,7 @@
 
 TEST_F(RequestLifecycleTest, RejectedDecodeIsRetriedElsewhereWithTheSameKvCache) {
     arrive(client);
-    read_done();
+    finish_prefill();
     const std::string first = last().address;
     answer(last(), http_response(429, "application/json", "{}"));
     ASSERT_EQ(environment.sent.size(), 3u);
@@ -126,7 +126,7 @@
 
 TEST_F(RequestLifecycleTest, BrokenStreamEndsOnceAndIsNotRetried) {
     arrive(client);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a"));
     last().exchange->on_connection_closed();
     EXPECT_EQ(client.final_calls, 1);
@@ -137,7 +137,7 @@
 
 TEST_F(RequestLifecycleTest, BrokenCompleteResponseIsAnError) {
     arrive(client, 0, false);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a"));
     last().exchange->on_connection_closed();
     EXPECT_EQ(client.final_calls, 1);
@@ -148,7 +148,7 @@
 
 TEST_F(RequestLifecycleTest, UnsafeRequestThatMayHaveRunFailsWithoutRetry) {
     arrive(client, 1);
-    read_done();
+    finish_prefill();
     last().exchange->on_first_byte_sent();
     last().exchange->on_connection_closed();  // reset after the request was sent
     EXPECT_EQ(client.final_calls, 1);
@@ -161,7 +161,7 @@
 
 TEST_F(RequestLifecycleTest, UnsafeRequestThatWasNeverSentIsRetriedElsewhere) {
     arrive(client, 1);
-    read_done();
+    finish_prefill();
     last().exchange->on_connect_failed();
     ASSERT_EQ(environment.sent.size(), 3u);
     EXPECT_FALSE(last().is_prefill());
@@ -206,7 +206,7 @@
 TEST_F(RequestLifecycleTest, CompleteResponseBeyondTheClientTimeoutFailsInTime) {
     const Millis started_at = environment.clock;
     arrive(client, 0, false, 1000);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a"));
     while (client.final_calls == 0) advance(1);
     EXPECT_LE(environment.clock - started_at, 1000);
@@ -231,7 +231,7 @@
     const std::string prefill_address = last().address;
     engines = {engine(prefill_address == "10.0.0.1:80" ? 1 : 2, 0)};  // both decode engines are removed
     lifecycle->on_endpoint_list(engines, false);
-    read_done();
+    finish_prefill();
     EXPECT_EQ(client.final_calls, 1);
     EXPECT_EQ(client.status, 529);
     EXPECT_EQ(environment.releases.size(), 1u);
@@ -241,7 +241,7 @@
 TEST_F(RequestLifecycleTest, StreamWithoutDataTimesOut) {
     program.limits.stream_idle_ms = 1000;
     arrive(client);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a"));
     advance(900);
     EXPECT_EQ(client.final_calls, 0);
@@ -258,7 +258,7 @@
     program.limits.ping_ms = 300;
     program.limits.stream_idle_ms = 5000;
     arrive(client);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a"));
     const auto pings = [&] {
         std::size_t matches = 0;
@@ -274,7 +274,7 @@
 TEST_F(RequestLifecycleTest, SlowClientPausesItsEngineWithoutStreamTimeout) {
     program.limits.stream_idle_ms = 1000;
     const auto id = arrive(client);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a"));
     lifecycle->on_client_congested(id, true);
     EXPECT_TRUE(last().paused);
@@ -303,12 +303,12 @@
     FakeClient streaming;
     FakeClient unsafe;
     arrive(streaming);
-    read_done();
+    finish_prefill();
     answer(last(), stream_head() + delta("a"));
     arrive(waiting_for_decode);
-    read_done();
+    finish_prefill();
     arrive(unsafe, 1);
-    read_done();
+    finish_prefill();
     last().exchange->on_first_byte_sent();
     arrive(prefilling);
     lifecycle->end_all();
