--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -80,7 +80,7 @@
     stall_for(5000);
     lifecycle->tick();  // the timers run before the sockets are polled
     EXPECT_FALSE(last().closed);
-    prefill->on_data(read_answer(last().id()));
+    prefill->on_data(prefill_response(last().id()));
     finish_poll();
     ASSERT_EQ(environment.sent.size(), 2u);
     EXPECT_FALSE(last().is_prefill());
@@ -136,7 +136,7 @@
     const auto prefill = last().exchange;
     prefill->on_first_byte_sent();
     stall_for(30000);
-    prefill->on_data(read_answer(last().id()));  // the sockets are handled before the timers
+    prefill->on_data(prefill_response(last().id()));  // the sockets are handled before the timers
     finish_poll();
     EXPECT_EQ(client.final_calls, 1);
     EXPECT_EQ(client.status, 529);
@@ -201,7 +201,7 @@
     for (std::size_t i = 0; i < prefill_count; ++i) {
         const auto exchange = observer.sent[i].exchange;
         exchange->on_first_byte_sent();
-        exchange->on_data(read_answer(observer.sent[i].id()));
+        exchange->on_data(prefill_response(observer.sent[i].id()));
     }
     ASSERT_GT(observer.sent.size(), prefill_count);
     for (std::size_t i = prefill_count; i < observer.sent.size(); ++i)
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -95,7 +95,7 @@
 }
 
 // The successful response to the prefill attempt `id`.
-inline std::string read_answer(const std::string& id) {
+inline std::string prefill_response(const std::string& id) {
     return http_response(
         200, "application/json",
         "{\"usage\":{\"prompt_tokens\":100,\"completion_tokens\":1,\"prompt_tokens_details\":"
@@ -208,7 +208,7 @@
         exchange->on_data(bytes);
     }
     // The prefill engine answers the latest attempt; the decode attempt is then the latest.
-    void finish_prefill() { answer(last(), read_answer(last().id())); }
+    void finish_prefill() { answer(last(), prefill_response(last().id())); }
     // Advances the clock by `ms` and handles each timer at its time.
     void advance(Millis ms) {
         const Millis until = environment.clock + ms;
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -39,7 +39,8 @@
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
     static void finish_prefill(RawEngine&, Connection& connection) {
-        connection.stream->write(read_answer(*http::find_header(connection.parser->headers, "x-request-id")));
+        connection.stream->write(
+            prefill_response(*http::find_header(connection.parser->headers, "x-request-id")));
     }
 
 private:
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -57,7 +57,7 @@
     EXPECT_TRUE(last().closed);
     ASSERT_EQ(environment.releases.size(), 1u);
     EXPECT_EQ(environment.releases[0].second, id + ".0");
-    last().exchange->on_data(read_answer(last().id()));  // the response arrives after the cancellation
+    last().exchange->on_data(prefill_response(last().id()));  // the response arrives after the cancellation
     expect_no_more_attempts(1);
 }
 
@@ -220,7 +220,7 @@
     SentAttempt prefill = last();
     // The timeout is due, but the response is read first; then the timer fires in the same turn.
     environment.clock += 2500;
-    answer(prefill, read_answer(prefill.id()));
+    answer(prefill, prefill_response(prefill.id()));
     lifecycle->tick();
     EXPECT_EQ(environment.sent.size(), 2u);
     EXPECT_FALSE(last().is_prefill());
@@ -411,7 +411,7 @@
         exchange->on_first_byte_sent();
         if (step == 2) return exchange->on_data(http_response(draw(2) ? 500 : 429, "application/json", "{}"));
         if (step == 3 && parts_sent == 0) return exchange->on_data("HTTP/1.1 200 OK\r\ncontent-le");
-        if (sent.is_prefill()) return exchange->on_data(parts_sent++ ? "" : read_answer(sent.id()));
+        if (sent.is_prefill()) return exchange->on_data(parts_sent++ ? "" : prefill_response(sent.id()));
         exchange->on_data(stream_part(parts_sent++));
     }
 
--- a/tests/gateway/upstream_exchange_test.cpp
+++ b/tests/gateway/upstream_exchange_test.cpp
@@ -77,7 +77,7 @@
     return {
         {"complete stream", false, kCompleteStream, AfterResponse::nothing, AttemptResult::served, "ab",
          true},
-        {"complete prefill response", true, read_answer("x"), AfterResponse::nothing,
+        {"complete prefill response", true, prefill_response("x"), AfterResponse::nothing,
          AttemptResult::prefill_done, "", true},
         {"chunked prefill response", true, chunked_prefill, AfterResponse::nothing,
          AttemptResult::prefill_done, "", true},
@@ -135,8 +135,8 @@
          AfterResponse::nothing, AttemptResult::served, "a", false},
         {"bytes after the end of the message", false, kCompleteStream + "HTTP/1.1 200 OK\r\n",
          AfterResponse::nothing, AttemptResult::served, "ab", false},
-        {"two responses to one request", true, read_answer("x") + read_answer("y"), AfterResponse::nothing,
-         AttemptResult::prefill_done, "", false},
+        {"two responses to one request", true, prefill_response("x") + prefill_response("y"),
+         AfterResponse::nothing, AttemptResult::prefill_done, "", false},
         {"content-length shorter than the body", true, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}{}{}",
          AfterResponse::nothing, AttemptResult::error, "", false},
     };
