--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -209,7 +209,7 @@
 }
 
 TEST_F(StallTest, TheTimeThatARequestWaitedInTheSocketCountsTowardsItsTimeOut) {
-    const auto send_request = [&](Millis age, Millis patience) {
+    const auto send_aged_request = [&](Millis age, Millis patience) {
         gateway::NewRequest request;
         request.id = "req_age" + std::to_string(++count);
         request.chat.model = "m";
@@ -224,11 +224,11 @@
         request.answer = api::messages::streamed_response("msg_1", "m", 100, request.id);
         EXPECT_TRUE(lifecycle->on_request(std::move(request)));
     };
-    send_request(3000, 2000);  // its time-out has already passed
+    send_aged_request(3000, 2000);  // its time-out has already passed
     EXPECT_EQ(client.status, 529);
     EXPECT_TRUE(environment.sent.empty());
     client.status = 0;
-    send_request(1500, 2000);
+    send_aged_request(1500, 2000);
     EXPECT_EQ(environment.sent.size(), 1u);
     advance(450);
     EXPECT_EQ(client.status, 0);
