--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -372,7 +372,7 @@
     void apply_random_event() {
         const int event = draw(20);
         if (event < 4 && requests_.size() < kMaxRequests) {
-            send_request();
+            send_random_request();
         } else if (event < 13 && !harness_.environment.sent.empty()) {
             SentAttempt sent = harness_.environment.sent[draw_index(harness_.environment.sent.size())];
             advance_engine(sent, 4 + draw(3) - (draw(6) ? 0 : 4 + draw(3)));
@@ -389,7 +389,7 @@
         }
     }
 
-    void send_request() {
+    void send_random_request() {
         auto& known = requests_.emplace_back();
         known.stream = draw(3) > 0;
         const int cls = draw(3);
