--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -57,7 +57,7 @@
     FakeClient client;
     StallTest() {
         for (auto& class_settings : program.router.classes) class_settings.deadline = 20000;
-        begin();
+        start();
     }
     // The loop polls until its next timer, is stalled, and continues `ms` later.
     void stall_for(Millis ms) {
@@ -73,7 +73,7 @@
 };
 
 TEST_F(StallTest, AnAnswerReceivedDuringAStallIsHandledBeforeTheTimeOut) {
-    arrive(client);
+    send_request(client);
     lifecycle->after_poll(environment.clock);
     const auto prefill = last().exchange;
     prefill->on_first_byte_sent();
@@ -88,7 +88,7 @@
 }
 
 TEST_F(StallTest, AnEngineThatDidNotAnswerDuringAStallTimesOut) {
-    arrive(client);
+    send_request(client);
     lifecycle->after_poll(environment.clock);
     const std::string first_address = last().address;
     last().exchange->on_first_byte_sent();
@@ -102,7 +102,7 @@
 }
 
 TEST_F(StallTest, ARequestNotYetWrittenGetsItsFullTimeOut) {
-    arrive(client);
+    send_request(client);
     lifecycle->after_poll(environment.clock);
     stall_for(5000);  // the connection opened during the stall, and no byte was sent
     lifecycle->tick();
@@ -121,7 +121,7 @@
 }
 
 TEST_F(StallTest, AStallIsDetectedByTheFirstWriteOnAConnectionThatOpenedDuringIt) {
-    arrive(client);
+    send_request(client);
     lifecycle->after_poll(environment.clock);
     stall_for(5000);
     last().exchange->on_first_byte_sent();  // the first call that can detect the stall
@@ -131,7 +131,7 @@
 }
 
 TEST_F(StallTest, ADeadlineThatPassedDuringAStallPrecedesAReceivedAnswer) {
-    arrive(client);
+    send_request(client);
     lifecycle->after_poll(environment.clock);
     const auto prefill = last().exchange;
     prefill->on_first_byte_sent();
@@ -146,7 +146,7 @@
 }
 
 TEST_F(StallTest, AFirstTokenHandledAfterTheDeadlineBeginsNoStream) {
-    arrive(client);
+    send_request(client);
     lifecycle->after_poll(environment.clock);
     finish_prefill();
     lifecycle->after_poll(environment.clock);
@@ -162,7 +162,7 @@
 }
 
 TEST_F(StallTest, AStreamThatSentBytesDuringAStallIsNotIdle) {
-    arrive(client);
+    send_request(client);
     lifecycle->after_poll(environment.clock);
     finish_prefill();
     answer(last(), stream_head() + delta("a"));
@@ -193,7 +193,7 @@
     lifecycle = std::make_unique<RequestLifecycle>(program, 1, observer, api::messages::error_body);
     lifecycle->on_endpoint_list(engines, false);
     std::vector<std::unique_ptr<FakeClient>> clients;
-    for (int i = 0; i < 8; ++i) arrive(*clients.emplace_back(std::make_unique<FakeClient>()));
+    for (int i = 0; i < 8; ++i) send_request(*clients.emplace_back(std::make_unique<FakeClient>()));
     lifecycle->after_poll(observer.clock);
     lifecycle->before_poll(lifecycle->tick());
     observer.clock += 700;
@@ -240,7 +240,7 @@
     const auto timers_before = lifecycle->pending_timers();
     for (int i = 0; i < 50; ++i) {
         FakeClient short_lived_client;
-        arrive(short_lived_client);
+        send_request(short_lived_client);
         finish_prefill();
         answer(last(), stream_head() + delta("a") + stop_event() + usage_event(1) + done_event());
         EXPECT_EQ(short_lived_client.final_calls, 1);
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -175,12 +175,12 @@
     std::vector<settings::Engine> engines = {engine(1, 0), engine(2, 0), engine(11, 1), engine(12, 1)};
     int count = 0;  // requests so far, for their ids
 
-    void begin(std::uint64_t seed = 1) {
+    void start(std::uint64_t seed = 1) {
         lifecycle = std::make_unique<RequestLifecycle>(program, seed, environment, api::messages::error_body);
         lifecycle->on_endpoint_list(engines, false);
     }
     // Sends a request of the class and returns its id.
-    std::string arrive(FakeClient& client, int cls = 0, bool stream = true, Millis patience = 0) {
+    std::string send_request(FakeClient& client, int cls = 0, bool stream = true, Millis patience = 0) {
         gateway::NewRequest request;
         request.id = "req_" + std::to_string(++count);
         request.chat.model = "m";
--- a/tests/gateway/request_lifecycle_test.cpp
+++ b/tests/gateway/request_lifecycle_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 struct RequestLifecycleTest : ::testing::Test, LifecycleHarness {
-    RequestLifecycleTest() { begin(); }
+    RequestLifecycleTest() { start(); }
     FakeClient client;
     // Expects that no request is open, that `sends` attempts were sent in all, and that no more follow.
     void expect_no_more_attempts(std::size_t sends) {
@@ -21,7 +21,7 @@
 };
 
 TEST_F(RequestLifecycleTest, StreamedRequestIsPrefilledThenDecoded) {
-    arrive(client);
+    send_request(client);
     ASSERT_EQ(environment.sent.size(), 1u);
     EXPECT_TRUE(last().is_prefill());
     finish_prefill();
@@ -39,7 +39,7 @@
 }
 
 TEST_F(RequestLifecycleTest, CompleteResponseIsSentOnceAtTheEnd) {
-    arrive(client, 0, false);
+    send_request(client, 0, false);
     finish_prefill();
     answer(last(), stream_head() + delta("a") + delta("b"));
     EXPECT_EQ(client.final_calls, 0);
@@ -51,7 +51,7 @@
 }
 
 TEST_F(RequestLifecycleTest, ClientDisconnectsDuringPrefill) {
-    const auto id = arrive(client);
+    const auto id = send_request(client);
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
     EXPECT_TRUE(last().closed);
@@ -62,7 +62,7 @@
 }
 
 TEST_F(RequestLifecycleTest, ClientDisconnectsBetweenPrefillAndFirstToken) {
-    const auto id = arrive(client);
+    const auto id = send_request(client);
     finish_prefill();
     client.disconnected = true;
     lifecycle->on_client_disconnected(id);
@@ -73,7 +73,7 @@
 }
 
 TEST_F(RequestLifecycleTest, ClientDisconnectsDuringTheStream) {
-    const auto id = arrive(client);
+    const auto id = send_request(client);
     finish_prefill();
     answer(last(), stream_head() + delta("a"));
     client.disconnected = true;
@@ -85,7 +85,7 @@
 }
 
 TEST_F(RequestLifecycleTest, ClientDisconnectsInTheSameTurnAsTheLastEvent) {
-    const auto id = arrive(client);
+    const auto id = send_request(client);
     finish_prefill();
     answer(last(), stream_head() + delta("a") + stop_event() + done_event());
     EXPECT_EQ(client.final_calls, 1);
@@ -95,7 +95,7 @@
 }
 
 TEST_F(RequestLifecycleTest, PrefillWithoutTransferParametersIsReleasedAndRepeated) {
-    arrive(client);
+    send_request(client);
     const auto first = last().id();
     answer(last(), http_response(200, "application/json", "{\"choices\":[]}"));
     ASSERT_EQ(environment.sent.size(), 2u);
@@ -105,7 +105,7 @@
 }
 
 TEST_F(RequestLifecycleTest, MissingKvCacheLeadsToAnotherPrefill) {
-    arrive(client);
+    send_request(client);
     finish_prefill();
     answer(last(), http_response(424, "application/json", "{\"error\":{\"type\":\"kv_transfer_error\"}}"));
     ASSERT_EQ(environment.sent.size(), 3u);
@@ -113,7 +113,7 @@
 }
 
 TEST_F(RequestLifecycleTest, RejectedDecodeIsRetriedElsewhereWithTheSameKvCache) {
-    arrive(client);
+    send_request(client);
     finish_prefill();
     const std::string first = last().address;
     answer(last(), http_response(429, "application/json", "{}"));
@@ -125,7 +125,7 @@
 }
 
 TEST_F(RequestLifecycleTest, BrokenStreamEndsOnceAndIsNotRetried) {
-    arrive(client);
+    send_request(client);
     finish_prefill();
     answer(last(), stream_head() + delta("a"));
     last().exchange->on_connection_closed();
@@ -136,7 +136,7 @@
 }
 
 TEST_F(RequestLifecycleTest, BrokenCompleteResponseIsAnError) {
-    arrive(client, 0, false);
+    send_request(client, 0, false);
     finish_prefill();
     answer(last(), stream_head() + delta("a"));
     last().exchange->on_connection_closed();
@@ -147,7 +147,7 @@
 }
 
 TEST_F(RequestLifecycleTest, UnsafeRequestThatMayHaveRunFailsWithoutRetry) {
-    arrive(client, 1);
+    send_request(client, 1);
     finish_prefill();
     last().exchange->on_first_byte_sent();
     last().exchange->on_connection_closed();  // reset after the request was sent
@@ -160,7 +160,7 @@
 }
 
 TEST_F(RequestLifecycleTest, UnsafeRequestThatWasNeverSentIsRetriedElsewhere) {
-    arrive(client, 1);
+    send_request(client, 1);
     finish_prefill();
     last().exchange->on_connect_failed();
     ASSERT_EQ(environment.sent.size(), 3u);
@@ -170,7 +170,7 @@
 TEST_F(RequestLifecycleTest, RejectionHasARetryAfter) {
     engines = {engine(1, 0), engine(11, 1, EndpointStatus::draining)};
     lifecycle->on_endpoint_list(engines, false);
-    arrive(client);
+    send_request(client);
     EXPECT_EQ(client.status, 529);
     EXPECT_EQ(client.should_retry, true);
     EXPECT_GE(client.retry_after, 0);
@@ -180,7 +180,7 @@
 
 TEST_F(RequestLifecycleTest, UnresponsiveEnginesLeadToOneAnswerWithinTheDeadline) {
     const Millis started_at = environment.clock;
-    arrive(client);
+    send_request(client);
     for (int i = 0; i < 4000 && client.final_calls == 0; ++i) {
         for (auto& sent : environment.sent) sent.exchange->on_first_byte_sent();
         advance(1);
@@ -197,7 +197,7 @@
 
 TEST_F(RequestLifecycleTest, ClientTimeoutShorterThanTheDeadlineApplies) {
     const Millis started_at = environment.clock;
-    arrive(client, 0, true, 300);
+    send_request(client, 0, true, 300);
     while (client.final_calls == 0) advance(1);
     EXPECT_LE(environment.clock - started_at, 300 + program.router.answer_slack);
     EXPECT_EQ(client.status, 529);
@@ -205,7 +205,7 @@
 
 TEST_F(RequestLifecycleTest, CompleteResponseBeyondTheClientTimeoutFailsInTime) {
     const Millis started_at = environment.clock;
-    arrive(client, 0, false, 1000);
+    send_request(client, 0, false, 1000);
     finish_prefill();
     answer(last(), stream_head() + delta("a"));
     while (client.final_calls == 0) advance(1);
@@ -216,7 +216,7 @@
 }
 
 TEST_F(RequestLifecycleTest, ResponseReadBeforeItsTimeoutFiresInTheSameTurn) {
-    arrive(client);
+    send_request(client);
     SentAttempt prefill = last();
     // The timeout is due, but the response is read first; then the timer fires in the same turn.
     environment.clock += 2500;
@@ -227,7 +227,7 @@
 }
 
 TEST_F(RequestLifecycleTest, DecodeEnginesRemovedDuringPrefillLeadToRejection) {
-    arrive(client);
+    send_request(client);
     const std::string prefill_address = last().address;
     engines = {engine(prefill_address == "10.0.0.1:80" ? 1 : 2, 0)};  // both decode engines are removed
     lifecycle->on_endpoint_list(engines, false);
@@ -240,7 +240,7 @@
 
 TEST_F(RequestLifecycleTest, StreamWithoutDataTimesOut) {
     program.limits.stream_idle_ms = 1000;
-    arrive(client);
+    send_request(client);
     finish_prefill();
     answer(last(), stream_head() + delta("a"));
     advance(900);
@@ -257,7 +257,7 @@
 TEST_F(RequestLifecycleTest, IdleStreamGetsKeepalivePings) {
     program.limits.ping_ms = 300;
     program.limits.stream_idle_ms = 5000;
-    arrive(client);
+    send_request(client);
     finish_prefill();
     answer(last(), stream_head() + delta("a"));
     const auto pings = [&] {
@@ -273,7 +273,7 @@
 
 TEST_F(RequestLifecycleTest, SlowClientPausesItsEngineWithoutStreamTimeout) {
     program.limits.stream_idle_ms = 1000;
-    const auto id = arrive(client);
+    const auto id = send_request(client);
     finish_prefill();
     answer(last(), stream_head() + delta("a"));
     lifecycle->on_client_congested(id, true);
@@ -288,7 +288,7 @@
 
 TEST_F(RequestLifecycleTest, RequestBeyondTheLimitOfOpenRequestsIsNotAccepted) {
     program.limits.open_requests = 1;
-    arrive(client);
+    send_request(client);
     gateway::NewRequest request;
     request.id = "req_more";
     request.chat.messages = {{"user", "x"}};
@@ -302,15 +302,15 @@
     FakeClient waiting_for_decode;
     FakeClient streaming;
     FakeClient unsafe;
-    arrive(streaming);
+    send_request(streaming);
     finish_prefill();
     answer(last(), stream_head() + delta("a"));
-    arrive(waiting_for_decode);
+    send_request(waiting_for_decode);
     finish_prefill();
-    arrive(unsafe, 1);
+    send_request(unsafe, 1);
     finish_prefill();
     last().exchange->on_first_byte_sent();
-    arrive(prefilling);
+    send_request(prefilling);
     lifecycle->end_all();
     for (auto* each : {&prefilling, &waiting_for_decode, &streaming, &unsafe})
         EXPECT_EQ(each->final_calls, 1);
@@ -330,7 +330,7 @@
 public:
     explicit RandomRun(std::uint64_t seed) : random_(seed) {
         harness_.program.router.cancellation = draw(4) > 0;
-        harness_.begin(seed);
+        harness_.start(seed);
     }
 
     // Stops at the first failed expectation.
@@ -397,7 +397,7 @@
         known.has_timeout = patience > 0;
         known.deadline =
             harness_.environment.clock + (patience > 0 ? std::min(patience, kClassDeadline) : kClassDeadline);
-        known.id = harness_.arrive(*known.client, cls, known.stream, patience);
+        known.id = harness_.send_request(*known.client, cls, known.stream, patience);
     }
 
     // The attempt's engine fails in the way `step` says, or sends the next part of its response.
