--- a/tests/control/stall_detector_test.cpp
+++ b/tests/control/stall_detector_test.cpp
@@ -211,7 +211,7 @@
 TEST_F(StallTest, TheTimeThatARequestWaitedInTheSocketCountsTowardsItsTimeOut) {
     const auto send_aged_request = [&](Millis age, Millis patience) {
         gateway::NewRequest request;
-        request.id = "req_age" + std::to_string(++count);
+        request.id = "req_age" + std::to_string(++request_count);
         request.chat.model = "m";
         request.chat.messages = {{"user", "hello"}};
         request.chat.max_tokens = 10;
--- a/tests/gateway/fakes.h
+++ b/tests/gateway/fakes.h
@@ -173,7 +173,7 @@
     FakeGatewayEnvironment environment;
     std::unique_ptr<RequestLifecycle> lifecycle;
     std::vector<settings::Engine> engines = {engine(1, 0), engine(2, 0), engine(11, 1), engine(12, 1)};
-    int count = 0;  // requests so far, for their ids
+    int request_count = 0;  // requests so far, for their ids
 
     void start(std::uint64_t seed = 1) {
         lifecycle = std::make_unique<RequestLifecycle>(program, seed, environment, api::messages::error_body);
@@ -182,7 +182,7 @@
     // Sends a request of the class and returns its id.
     std::string send_request(FakeClient& client, int cls = 0, bool stream = true, Millis patience = 0) {
         gateway::NewRequest request;
-        request.id = "req_" + std::to_string(++count);
+        request.id = "req_" + std::to_string(++request_count);
         request.chat.model = "m";
         request.chat.messages = {{"user", "hello"}};
         request.chat.max_tokens = 10;
@@ -192,7 +192,7 @@
         request.tenant = 0;
         request.client = &client;
         request.patience = patience;
-        if (cls == 2) request.key = "t/k" + std::to_string(count);
+        if (cls == 2) request.key = "t/k" + std::to_string(request_count);
         request.answer = stream ? api::messages::streamed_response("msg_1", "m", 100, request.id)
                                 : api::messages::complete_response("msg_1", "m", request.id, 4096);
         std::string id = request.id;
