--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -4,6 +4,7 @@
 
 #include "net/event_loop.h"
 #include "net/socket_address.h"
+#include "settings/text_values.h"
 
 namespace gorsenotch::platform {
 namespace {
@@ -73,7 +74,8 @@
         const std::string seed = to_text(*it);
         const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
         if (error != std::errc() || end != seed.data() + seed.size())
-            throw ConfigError("seed: expected a hexadecimal number of up to 64 bits, got '" + seed + "'");
+            throw ConfigError("seed: expected a hexadecimal number of up to 64 bits, got '" +
+                              settings::escape_value(seed) + "'");
     }
     if (const auto it = json.find("limits"); it != json.end() && it->is_object()) {
         config.memory_mb = count_at(*it, "memory_mb");
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -9,6 +9,7 @@
 
 #include "net/event_loop.h"
 #include "net/socket_address.h"
+#include "settings/text_values.h"
 
 namespace gorsenotch::platform {
 namespace {
@@ -65,8 +66,8 @@
     discovered.dial_address = text_field(row, "dial");
     sockaddr_storage storage{};
     if (!net::parse_address(discovered.dial_address, storage))
-        throw ListError{"dial: expected an address such as 10.0.0.4:5000, got '" + discovered.dial_address +
-                        "'"};
+        throw ListError{"dial: expected an address such as 10.0.0.4:5000, got '" +
+                        settings::escape_value(discovered.dial_address) + "'"};
     endpoint.zone = index_field(named.zones, text_field(row, "site"), "site");
     endpoint.kind = index_field(named.kinds, text_field(row, "class"), "class");
     const double cell = number_field(row, "block", 0);
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -8,9 +8,13 @@
 #include <optional>
 #include <utility>
 
+#include "settings/text_values.h"
+
 namespace gorsenotch::platform {
 namespace {
 
+using settings::escape_value;
+
 constexpr double kMaxAmount = 1e12;
 
 bool is_visible_ascii(std::string_view text) {
@@ -142,7 +146,8 @@
             *slot = &value;
         }
         if (name == "transfer-encoding" && value != "chunked")
-            return RequestError{400, "transfer-encoding: expected chunked, got \"" + value + "\""};
+            return RequestError{400,
+                                "transfer-encoding: expected chunked, got \"" + escape_value(value) + "\""};
         // Guards against dropping a header that an endpoint uses, such as its idempotency key, tracing and
         // content headers. The cost is forwarding bytes that no endpoint reads.
         if (!is_forwarded(name)) continue;
@@ -157,7 +162,7 @@
     if (!header || header->empty() || header->size() > kMaxTransactionLength || !is_visible_ascii(*header))
         return RequestError{400, "x-txn: expected 1 to 128 visible ASCII characters"};
     if (header->find('/') != std::string::npos || header->find('?') != std::string::npos)
-        return RequestError{400, "x-txn: must not contain / or ?, got \"" + *header + "\""};
+        return RequestError{400, "x-txn: must not contain / or ?, got \"" + escape_value(*header) + "\""};
     transaction = *header;
     return std::nullopt;
 }
@@ -165,7 +170,8 @@
 Rejection read_class(const settings::NamedSettings& named, const std::string* lane, Arrival& arrival) {
     if (!lane) return RequestError{400, "x-lane: header is required"};
     const auto cls = named.classes.find(*lane);
-    if (cls == named.classes.end()) return RequestError{400, "x-lane: unknown class \"" + *lane + "\""};
+    if (cls == named.classes.end())
+        return RequestError{400, "x-lane: unknown class \"" + escape_value(*lane) + "\""};
     arrival.cls = cls->second;
     return std::nullopt;
 }
@@ -189,7 +195,7 @@
     if (remaining <= 0 || (unit != 'm' && unit != 'u') || remaining > kMaxRemaining)
         return RequestError{
             400, "x-remaining: expected a number above 0 and up to 1e9, followed by m or u, got \"" +
-                     *header + "\""};
+                     escape_value(*header) + "\""};
     arrival.deadline = unit == 'm' ? remaining : remaining / 1000;
     return std::nullopt;
 }
@@ -202,8 +208,8 @@
     if (!known.estimate) return std::nullopt;
     const double work = parse_amount(*known.estimate);
     if (work < 0)
-        return RequestError{400,
-                            "x-estimate: expected a non-negative number, got \"" + *known.estimate + "\""};
+        return RequestError{
+            400, "x-estimate: expected a non-negative number, got \"" + escape_value(*known.estimate) + "\""};
     arrival.length_hint = work / 1000;
     return std::nullopt;
 }
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -15,7 +15,7 @@
 
 double parse_number(const std::string& path, const std::string& text) {
     const auto value = to_number<double>(text);
-    if (!value) throw SettingsError(path + ": expected a number, got '" + text + "'");
+    if (!value) throw SettingsError(path + ": expected a number, got '" + escape_value(text) + "'");
     return *value;
 }
 
@@ -36,7 +36,7 @@
 std::size_t list_length(const SettingValues& values, const std::string& path) {
     const double number = values.number_or(path, 0);
     if (number < 0 || number > kMaxListLength)
-        throw SettingsError(path + ": out of range, got '" + values.text(path, "") +
+        throw SettingsError(path + ": out of range, got '" + escape_value(values.text(path, "")) +
                             "', expected 0 to 10000");
     return static_cast<std::size_t>(number);
 }
@@ -44,7 +44,7 @@
 int integer(const SettingValues& values, const std::string& path, int fallback) {
     const double number = values.number_or(path, fallback);
     if (std::abs(number) > kMaxInteger)
-        throw SettingsError(path + ": out of range, got '" + values.text(path, "") +
+        throw SettingsError(path + ": out of range, got '" + escape_value(values.text(path, "")) +
                             "', expected -1e9 to 1e9");
     return static_cast<int>(number);
 }
@@ -144,7 +144,8 @@
 bool SettingValues::flag(const std::string& path) const {
     const std::string word = text(path, "-");
     const auto value = to_bool(word);
-    if (!value) throw SettingsError(path + ": expected 1, true, 0, false or -, got '" + word + "'");
+    if (!value)
+        throw SettingsError(path + ": expected 1, true, 0, false or -, got '" + escape_value(word) + "'");
     return *value;
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -100,15 +100,16 @@
 
 void check_class(SectionReader& reader, const Element& element, const ClassSettings& cls) {
     if (cls.latency_objective > cls.deadline)
-        reader.add_fault(element, "aim-ms must not exceed deadline-ms, got " + element.text("aim-ms") +
-                                      " and " + element.text("deadline-ms"));
+        reader.add_fault(element, "aim-ms must not exceed deadline-ms, got " +
+                                      escape_value(element.text("aim-ms")) + " and " +
+                                      escape_value(element.text("deadline-ms")));
     // Without a window, a retry could arrive after the engines have forgotten the first attempt.
     if (cls.idempotency == Idempotency::with_key && cls.dedup_window <= 0)
         reader.add_fault(element,
                          "effect 'by_key' requires window-ms above 0: how long engines remember a key");
     if (cls.idempotency != Idempotency::with_key && cls.dedup_window > 0)
         reader.add_fault(element, "window-ms is valid only for effect 'by_key', got effect '" +
-                                      element.text("effect") + "'");
+                                      escape_value(element.text("effect")) + "'");
 }
 
 // Without a key an engine cannot detect a duplicate: such a request counts as unsafe, in a class of its own.
@@ -146,8 +147,8 @@
         const double memory_tokens = element.number("memory-tokens");
         program.router.kinds.push_back({role, memory_tokens});
         if (memory_tokens < 1)
-            reader.add_fault(element,
-                             "memory-tokens must be 1 or more, got " + element.text("memory-tokens"));
+            reader.add_fault(element, "memory-tokens must be 1 or more, got " +
+                                          escape_value(element.text("memory-tokens")));
     }
 }
 
@@ -224,7 +225,8 @@
                     [&](const ClassSettings& cls) { return settings.connect_timeout >= cls.deadline; });
     if (reaches_deadline)
         reader.add_fault(element, "dial-timeout-ms must be below every class's deadline-ms, got " +
-                                      element.text("dial-timeout-ms") + ": no second server could be tried");
+                                      escape_value(element.text("dial-timeout-ms")) +
+                                      ": no second server could be tried");
 }
 
 void read_guarantees(SectionReader& reader, const Element& element) {
@@ -238,9 +240,11 @@
     settings.initial_capacity = element.number("start-capacity");
     settings.slow_start_duration = element.number("warm-ms");
     if (settings.initial_capacity <= 0)
-        reader.add_fault(element, "start-capacity must be above 0, got " + element.text("start-capacity"));
+        reader.add_fault(
+            element, "start-capacity must be above 0, got " + escape_value(element.text("start-capacity")));
     if (settings.overload_factor < 1)
-        reader.add_fault(element, "fall-multiple must be 1 or more, got " + element.text("fall-multiple"));
+        reader.add_fault(
+            element, "fall-multiple must be 1 or more, got " + escape_value(element.text("fall-multiple")));
 }
 
 // ---- <fleet> ----
--- a/src/settings/text_values.h
+++ b/src/settings/text_values.h
@@ -1,5 +1,6 @@
 // Parses values in operators' texts: numbers, booleans and words from a set. Returns nothing if the text is
-// no such value; the caller, which knows the location of the text, reports the error.
+// no such value; the caller, which knows the location of the text, reports the error. Also escapes values for
+// such reports.
 #pragma once
 
 #include <array>
@@ -8,6 +9,7 @@
 #include <cstddef>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <type_traits>
 
 namespace gorsenotch::settings {
@@ -48,4 +50,23 @@
     return std::nullopt;
 }
 
+// A value as error messages show it: its first 64 bytes, followed by "..." if there are more. Control bytes
+// and bytes above 126 are shown as \xNN, quotes and backslashes after a backslash.
+inline std::string escape_value(std::string_view value) {
+    constexpr std::size_t kMaxShownBytes = 64;
+    constexpr char kHexDigits[] = "0123456789abcdef";
+    std::string escaped;
+    for (const char character : value.substr(0, kMaxShownBytes)) {
+        const auto byte = static_cast<unsigned char>(character);
+        if (byte < ' ' || byte > '~') {
+            escaped.append("\\x").append(1, kHexDigits[byte / 16]).append(1, kHexDigits[byte % 16]);
+            continue;
+        }
+        if (character == '"' || character == '\'' || character == '\\') escaped += '\\';
+        escaped += character;
+    }
+    if (value.size() > kMaxShownBytes) escaped += "...";
+    return escaped;
+}
+
 }  // namespace gorsenotch::settings
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -260,6 +260,26 @@
         EXPECT_EQ(error_text(head).rfind(name, 0), 0u) << head << error_text(head);
 }
 
+// Guards against an error that repeats many KiB of a header, or bytes that a terminal or a log interprets.
+TEST_F(RequestHeadTest, ErrorsShowAtMost64EscapedBytesOfAHeader) {
+    const std::string value = "\"\xc3\t" + std::string(200, 'x');
+    const std::string shown = "\"\\\"\\xc3\\x09" + std::string(61, 'x') + "...\"";
+    EXPECT_EQ(error_text(replace_once(kHead, "chat", value)), "x-lane: unknown class " + shown);
+    EXPECT_EQ(error_text(replace_once(kHead, "4800m", value)),
+              "x-remaining: expected a number above 0 and up to 1e9, followed by m or u, got " + shown);
+    EXPECT_EQ(error_text(replace_once(kHead, "12000", value)),
+              "x-estimate: expected a non-negative number, got " + shown);
+    EXPECT_EQ(error_text(replace_once(kHead, "9b1f", "/\"" + std::string(100, 'x'))),
+              "x-txn: must not contain / or ?, got \"/\\\"" + std::string(62, 'x') + "...\"");
+    http::Parser parser(http::Parser::Kind::request, http::Limits{std::size_t{16} * 1024, 64, kMaxBodyBytes});
+    parser.feed("POST /v1/chat/completions HTTP/1.1\r\n" + kHead + "Transfer-Encoding: " + value +
+                ", chunked\r\n\r\n");
+    ASSERT_EQ(parser.fault(), http::Fault::none);
+    const auto result = read_head(config.named, parser);
+    ASSERT_TRUE(std::holds_alternative<RequestError>(result));
+    EXPECT_EQ(std::get<RequestError>(result).message, "transfer-encoding: expected chunked, got " + shown);
+}
+
 // ---- upstream exchange ----------------------------------------------------------------------------------
 
 // An exchange that records its events and its end.
