--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -56,7 +56,6 @@
 }
 
 DiscoveredEndpoint read_row(const Json& row, const settings::NamedSettings& named) {
-    if (!row.is_object()) throw ListError{"expected an object"};
     DiscoveredEndpoint discovered;
     discovered.name = text_field(row, "host");
     Endpoint& endpoint = discovered.endpoint;
@@ -80,10 +79,12 @@
 std::vector<DiscoveredEndpoint> read_rows(const Json& rows, const settings::NamedSettings& named) {
     std::vector<DiscoveredEndpoint> endpoints;
     for (std::size_t i = 0; i < rows.size(); ++i) {
+        const std::string path = "hosts[" + std::to_string(i) + "]";
+        if (!rows[i].is_object()) throw ListError{path + ": expected an object"};
         try {
             endpoints.push_back(read_row(rows[i], named));
         } catch (const ListError& error) {
-            throw ListError{"hosts[" + std::to_string(i) + "]." + error.message};
+            throw ListError{path + "." + error.message};
         }
     }
     return endpoints;
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -98,7 +98,7 @@
         {"{\"seq\":5,\"whole\":true}", "hosts"},
         {"{\"whole\":true,\"hosts\":[]}", "seq"},
         {list_text(5, true, row("x", "lost")), "hosts[0].health"},
-        {list_text(5, true, row("x", "up") + ",7"), "hosts[1]"},
+        {list_text(5, true, row("x", "up") + ",7"), "hosts[1]: expected an object"},
         {list_text(5, true, replace_once(row("x", "up"), "decode", "poet")), "hosts[0].class"},
         {list_text(5, true, replace_once(row("x", "up"), "10.0.0.9:1", "here")), "hosts[0].dial"},
         {list_text(3, false, row("x", "up")), "went back"},
