--- a/bench/cost.cpp
+++ b/bench/cost.cpp
@@ -274,7 +274,7 @@
         {loop, setup.relay_address, render_request("/v1/chat/completions"), "\"content\":"},
         {loop, setup.gateway_address, render_request("/v1/messages"), "text_delta"}};
     std::vector<RoundResult> rounds[2];
-    loop.on_slow_turn = [&](Millis took, const net::EventLoop::Activities&) {
+    loop.on_slow_iteration = [&](Millis took, const net::EventLoop::Activities&) {
         ++own_slow_turns.count;
         own_slow_turns.longest = std::max(own_slow_turns.longest, took);
     };
--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -401,7 +401,8 @@
 void Engine::on_prefill_done(const std::string& id, double cached_tokens) {
     const auto it = active_requests_.find(id);
     const double prompt_tokens = it == active_requests_.end() ? cached_tokens : it->second.job.prompt;
-    record("held", {{"id", id}, {"did", (prompt_tokens - cached_tokens) / options_.config.pace.read_per_s}});
+    record("held", {{"id", id},
+                    {"did", (prompt_tokens - cached_tokens) / options_.config.pace.prefill_tokens_per_s}});
     if (it == active_requests_.end())
         return;  // the client has disconnected and this kind does not cancel: the KV state stays until its
                  // lease ends
@@ -425,7 +426,7 @@
                         {"kv_transfer_params",
                          {{"do_remote_prefill", true},
                           {"do_remote_decode", false},
-                          {"remote_engine_id", std::to_string(options_.server)},
+                          {"remote_engine_id", std::to_string(options_.endpoint_id)},
                           {"remote_block_ids", Json::array({1})},
                           {"remote_request_id", id},
                           {"cached_tokens", static_cast<long>(cached_tokens)},
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -39,12 +39,12 @@
 struct EngineOptions {
     std::string address, control;  // HOST:PORT each; empty control: no control port
     std::string record;            // record file; empty: no records
-    std::string keys;  // folder shared by the engines of one dedup scope; empty: keys stay in memory
-    EndpointId server = 0;
+    std::string dedup_folder;  // folder shared by the engines of one dedup scope; empty: keys stay in memory
+    EndpointId endpoint_id = 0;
     std::string model_name = "local-model";
     EngineConfig config;
     bool cold = false;
-    std::vector<std::string> args;  // of this process, for a restart
+    std::vector<std::string> command_line;  // of this process, for a restart
 };
 
 // The sockets, orders and records around a Model. Owns its connections. Not thread-safe: used in the event
--- a/src/fake_engine/model.cpp
+++ b/src/fake_engine/model.cpp
@@ -45,7 +45,7 @@
 }
 
 double Model::work_seconds(const Job& job, bool is_prefill) const {
-    if (is_prefill) return job.prompt / config_.pace.read_per_s;
+    if (is_prefill) return job.prompt / config_.pace.prefill_tokens_per_s;
     const Millis step = config_.pace.step + config_.pace.per_stream * config_.pace.slots;
     const int tokens = std::min(job.max_tokens, config_.pace.answer_tokens);
     return tokens * step / 1000 / config_.pace.slots;
@@ -78,7 +78,7 @@
         cached_prefixes_[hash] = lru_.begin();
         cached_tokens_ += added_tokens;
     }
-    while (cached_tokens_ > config_.pace.kept_tokens && !lru_.empty()) {
+    while (cached_tokens_ > config_.pace.cache_tokens && !lru_.empty()) {
         cached_tokens_ -= lru_.back().second;
         cached_prefixes_.erase(lru_.back().first);
         lru_.pop_back();
@@ -116,7 +116,7 @@
     used_tokens_ += prefill_job_.prompt;
     prefill_cached_tokens_ = cached_prefix_tokens(prefill_job_);
     const double uncached_tokens = std::max(1.0, prefill_job_.prompt - prefill_cached_tokens_);
-    prefill_until_ = now + 1000 * uncached_tokens / (config_.pace.read_per_s * speed_fraction(now));
+    prefill_until_ = now + 1000 * uncached_tokens / (config_.pace.prefill_tokens_per_s * speed_fraction(now));
 }
 
 void Model::start_decodes(Millis now) {
@@ -133,7 +133,7 @@
         const bool needs_fetch = running.job.has_state;
         if (!needs_fetch)
             running.ready_at =
-                now + 1000 * running.job.prompt / (config_.pace.read_per_s * speed_fraction(now));
+                now + 1000 * running.job.prompt / (config_.pace.prefill_tokens_per_s * speed_fraction(now));
         running_.push_back(std::move(running));
         if (needs_fetch) events_.fetch_state(id);
     }
@@ -149,7 +149,7 @@
     for (auto it = running_.begin(); it != running_.end(); ++it) {
         if (it->job.id != id) continue;
         if (succeeded) {
-            it->ready_at = now + 1000 * it->job.prompt / config_.pace.fetch_per_s;
+            it->ready_at = now + 1000 * it->job.prompt / config_.pace.fetch_tokens_per_s;
         } else {
             used_tokens_ -= it->job.prompt;
             running_.erase(it);
@@ -260,7 +260,7 @@
             newest.ready = false;
             const double recomputed_tokens = newest.job.prompt + newest.generated;
             newest.ready_at =
-                now + 1000 * recomputed_tokens / (config_.pace.read_per_s * speed_fraction(now));
+                now + 1000 * recomputed_tokens / (config_.pace.prefill_tokens_per_s * speed_fraction(now));
         }
     }
     start_decodes(now);
--- a/src/fake_engine/model.h
+++ b/src/fake_engine/model.h
@@ -3,10 +3,10 @@
 // Events. It replaces a real engine in tests and fault scenarios on loopback; its timings do not represent
 // real engines.
 //
-// A prefill engine processes its queue in FIFO order, one prompt at a time at read_per_s tokens per second,
-// and skips the cached prefix. The KV state then uses memory until it is fetched, aborted or its lease
-// expires. A decode engine uses a slot and memory while it fetches the KV state and generates; each step
-// generates one token for every running request.
+// A prefill engine processes its queue in FIFO order, one prompt at a time at prefill_tokens_per_s tokens per
+// second, and skips the cached prefix. The KV state then uses memory until it is fetched, aborted or its
+// lease expires. A decode engine uses a slot and memory while it fetches the KV state and generates; each
+// step generates one token for every running request.
 #pragma once
 
 #include <deque>
--- a/src/fault_scenario/plan.cpp
+++ b/src/fault_scenario/plan.cpp
@@ -128,14 +128,14 @@
     plan.name = root.text("name");
     plan.settings_file = (std::filesystem::path(file).parent_path() / root.text("settings")).string();
     plan.length = root.number("length-ms");
-    plan.seed = root.large("seed");
+    plan.seed = root.unsigned_integer("seed");
     auto program = settings::load(plan.settings_file, errors_found);
     if (!program) {
         errors = settings::render(plan.settings_file, errors_found);
         return std::nullopt;
     }
     plan.program = std::move(*program);
-    plan.gateways = root.child("gateways").whole("count");
+    plan.gateways = root.child("gateways").integer("count");
     PlanParser parser(plan, errors_found);
     for (const auto& element : root.children("engines")) plan.pools.push_back(parser.parse_pool(element));
     for (const auto& element : root.children("load")) plan.loads.push_back(parser.parse_load(element));
--- a/src/fault_scenario/scenario.cpp
+++ b/src/fault_scenario/scenario.cpp
@@ -157,7 +157,8 @@
 
 void Scenario::on_start_timeout() {
     if (processes_ready_ || ended_) return;
-    fail_with_system_error("not all processes were ready within 15 s; see the logs in " + options_.out);
+    fail_with_system_error("not all processes were ready within 15 s; see the logs in " +
+                           options_.output_folder);
 }
 
 // Ends the run without a verdict: the scenario can't run on this system.
--- a/src/fault_scenario/scenario.h
+++ b/src/fault_scenario/scenario.h
@@ -26,8 +26,8 @@
 
 // Options of a scenario run.
 struct ScenarioOptions {
-    std::string self;  // path of this program's executable
-    std::string out;   // folder for records and logs; deleted and created at the start
+    std::string executable;     // path of this program's executable
+    std::string output_folder;  // folder for records and logs; deleted and created at the start
     std::optional<std::uint64_t> seed;
 };
 
--- a/src/fault_scenario/scripted_clients.cpp
+++ b/src/fault_scenario/scripted_clients.cpp
@@ -316,7 +316,7 @@
     const auto* should_retry = http::find_header(attempt.parser.headers, "x-should-retry");
     const bool may_retry = should_retry && *should_retry == "true";
     Millis wait = kDefaultRetryWait;
-    if (const auto* advised = http::find(attempt.parser.headers, "retry-after-ms"))
+    if (const auto* advised = http::find_header(attempt.parser.headers, "retry-after-ms"))
         wait = std::min(kMaxRetryWait, std::atof(advised->c_str()));
     attempt.ended = true;
     attempt.timer->fire_after(kLingerTimeout);
--- a/src/invariants/record_checker.h
+++ b/src/invariants/record_checker.h
@@ -61,7 +61,7 @@
     std::vector<Finding> findings;
     Service service;
     // True if there is no violation.
-    bool kept() const;
+    bool all_hold() const;
 };
 
 Verdict check_records(const std::vector<Record>& records, const CheckerSettings& settings);
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -115,8 +115,8 @@
             require(!chat.messages.empty() && chat.prompt_tokens > 0,
                     "an accepted request has messages and prompt tokens");
             const auto engine_request = dialect->decode_request(chat, {"req_1.0", "", "c", 0}, "");
-            std::string why;
-            const auto sent = api::parse_json(engine_request.body, why);
+            std::string reason;
+            const auto sent = api::parse_json(engine_request.body, reason);
             require(sent.is_object() && sent["messages"].size() == chat.messages.size(),
                     "the engine request is well-formed and has the same number of messages");
         }
@@ -148,7 +148,7 @@
         return true;
     });
     exchange.on_connection_closed();
-    require(end_count == 1 && exchange.is_over(), "the attempt has ended when the connection has closed");
+    require(end_count == 1 && exchange.has_outcome(), "the attempt has ended when the connection has closed");
     require(!exchange.is_reusable(), "a closed connection is not reusable");
     exchange.time_out(), exchange.cancel(), exchange.on_stream_stalled(), exchange.on_data("x");
     return text + "|" + std::to_string(result);
@@ -204,7 +204,7 @@
 void discovery(std::string_view bytes) {
     const auto names = make_named_settings();
     platform::EndpointList hosts(names, 0);
-    std::string why;
+    std::string reason;
     require(
         hosts
             .apply(
@@ -213,8 +213,9 @@
                 platform::EndpointList::Source::same_address, 0, reason)
             .has_value(),
         "a valid list is accepted");
-    const auto update = hosts.take(std::string(bytes), platform::EndpointList::Source::same_address, 0, why);
-    require(update.has_value() == why.empty(), "either an update or a reason for the refusal");
+    const auto update =
+        hosts.apply(std::string(bytes), platform::EndpointList::Source::same_address, 0, reason);
+    require(update.has_value() == reason.empty(), "either an update or a reason for the refusal");
     if (!update) require(hosts.all().size() == 1 && hosts.version() == 1, "a refused list changes nothing");
     for (const auto& [id, host] : hosts.all())
         require(host.endpoint.id == id && !host.dial_address.empty(),
@@ -229,8 +230,8 @@
     parser.feed(bytes);
     if (!headers_complete) return;
     const auto result = platform::read_head(names, parser);
-    if (const auto* refusal = std::get_if<platform::Refusal>(&result)) {
-        require(refusal->status >= 400 && refusal->status < 500 && !refusal->why.empty(),
+    if (const auto* refusal = std::get_if<platform::RequestError>(&result)) {
+        require(refusal->status >= 400 && refusal->status < 500 && !refusal->message.empty(),
                 "a refusal has a reason");
         return;
     }
@@ -243,7 +244,7 @@
     forwarded.feed(inbound.head + "content-length: 0\r\n\r\n");
     require(complete && forwarded.target == parser.target,
             "the forwarded head is one well-formed request to the same target");
-    const auto* id = http::find(forwarded.headers, "x-txn");
+    const auto* id = http::find_header(forwarded.headers, "x-txn");
     require(id && *id == inbound.txn, "the forwarded request has the client's id");
 }
 
@@ -262,7 +263,7 @@
         text += events;
     };
     exchange.on_ended = [&](const platform::AttemptOutcome& outcome) {
-        require(++end_count == 1 && outcome.begun == (first_count == 1),
+        require(++end_count == 1 && outcome.stream_begun == (first_count == 1),
                 "the attempt ends once, and the outcome tells whether the stream had begun");
         result = static_cast<int>(outcome.result);
     };
@@ -272,7 +273,7 @@
         return true;
     });
     exchange.on_connection_closed();
-    require(end_count == 1 && exchange.is_over() && !exchange.is_reusable(),
+    require(end_count == 1 && exchange.has_outcome() && !exchange.is_reusable(),
             "the attempt has ended when the connection has closed, which is not reusable");
     exchange.abort(AttemptResult::timed_out, ""), exchange.on_data("x"), exchange.on_not_sent();
     return text + "|" + std::to_string(result);
--- a/tests/invariants/record_checker_test.cpp
+++ b/tests/invariants/record_checker_test.cpp
@@ -119,7 +119,7 @@
     EXPECT_EQ(verdict.service.answered, 1);
     EXPECT_DOUBLE_EQ(verdict.service.value, 1);
     EXPECT_DOUBLE_EQ(verdict.service.p50, 40);
-    EXPECT_TRUE(verdict.kept());
+    EXPECT_TRUE(verdict.all_hold());
     EXPECT_NE(format_verdict(verdict).find("each request has one final answer"), std::string::npos);
 }
 
@@ -341,16 +341,16 @@
         return check_records(builder.records, checker_settings());
     };
     const auto in_time = late(4200);
-    EXPECT_TRUE(in_time.kept()) << format_verdict(in_time);
+    EXPECT_TRUE(in_time.all_hold()) << format_verdict(in_time);
     EXPECT_EQ(in_time.findings[0].excused, 1);
-    EXPECT_FALSE(late(5300).kept());  // later than suspension_recovery
+    EXPECT_FALSE(late(5300).all_hold());  // later than suspension_recovery
     // The suspension of another gateway excuses nothing.
     RecordBuilder builder;
     builder.client_request().prefill().engine_event(1, 1100, "let_go", 0);
     builder.add("runner", 1100, "stop_gateway", {{"gateway", "other"}, {"until", 4100}});
     builder.add("client-0", 4200, "answer",
                 {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
-    EXPECT_FALSE(check_records(builder.records, checker_settings()).kept());
+    EXPECT_FALSE(check_records(builder.records, checker_settings()).all_hold());
 }
 
 TEST(RecordCheckerSuspension, DoesNotExcuseAttemptsSentAfterTheDeadline) {
@@ -361,7 +361,7 @@
     builder.add("client-0", 4200, "answer",
                 {{"c", "1.0"}, {"id", kRequest}, {"status", 529}, {"ending", "refused"}});
     const auto verdict = check_records(builder.records, checker_settings());
-    ASSERT_FALSE(verdict.kept());
+    ASSERT_FALSE(verdict.all_hold());
     EXPECT_EQ(verdict.findings[1].broken, 1);
     EXPECT_NE(verdict.findings[1].example.find("sent after the client's deadline"), std::string::npos);
 }
