--- a/src/router/wait_estimator.cpp
+++ b/src/router/wait_estimator.cpp
@@ -19,11 +19,11 @@
       in_flight_requests_(in_flight_requests) {}
 
 Millis WaitEstimator::expected_wait(Millis now, const RequestState& request) {
-    const double requests_ahead = in_flight_requests_.count_not_streaming();
-    const double queued_kilotokens = shortest_prefill_queue(now, request);
-    if (queued_kilotokens + requests_ahead <= 0)
+    const double attempts_ahead = in_flight_requests_.count_not_streaming();
+    const double queued_kilotokens = shortest_prefill_queue_kilotokens(now, request);
+    if (queued_kilotokens + attempts_ahead <= 0)
         return 0;  // nothing is queued; the request's own work is not a wait
-    const double decode_endpoints = eligible_decode_endpoints(now, request);
+    const double decode_endpoints = estimate_eligible_decode_endpoints(now, request);
     const Millis decode_wait = completion_times_.typical(Stage::decode_queued, request);
     // The queue is the same for a long prompt as for a typical one, so the own part is limited to a typical
     // prompt.
@@ -33,11 +33,10 @@
                                                      : completion_times_.typical(Stage::prefill, request) *
                                                            (queued_kilotokens + own_kilotokens);
     return std::max(prefill_wait + decode_wait,
-                    decode_wait * (1 + requests_ahead / std::max(1.0, decode_endpoints)));
+                    decode_wait * (1 + attempts_ahead / std::max(1.0, decode_endpoints)));
 }
 
-// Returns the length in thousands of tokens; 0 if no endpoint is eligible.
-double WaitEstimator::shortest_prefill_queue(Millis now, const RequestState& request) {
+double WaitEstimator::shortest_prefill_queue_kilotokens(Millis now, const RequestState& request) {
     std::optional<double> shortest;
     const std::uint64_t key = prefix_affinity_.prefill_window_key(request);
     for (const Role role : {Role::prefill, Role::mixed}) {
@@ -52,7 +51,7 @@
     return shortest.value_or(0);
 }
 
-double WaitEstimator::eligible_decode_endpoints(Millis now, const RequestState& request) {
+double WaitEstimator::estimate_eligible_decode_endpoints(Millis now, const RequestState& request) {
     const EndpointRing& ring = registry_.decode_capable();
     const auto& candidates = EndpointRegistry::candidates(ring, prefix_affinity_.decode_window_key(request),
                                                           SearchScope::window, window_);
--- a/src/router/wait_estimator.h
+++ b/src/router/wait_estimator.h
@@ -1,4 +1,4 @@
-// Estimates the time to first token of a new request.
+// Estimates how long a request waits for its first token behind the other requests of this gateway.
 #pragma once
 
 #include <vector>
@@ -21,14 +21,18 @@
                   const CompletionTimes& completion_times, const Eligibility& eligibility,
                   const PrefixAffinity& prefix_affinity, const InFlightRequests& in_flight_requests);
 
-    // Returns the expected wait in the shortest prefill queue of this gateway and then behind all its
-    // requests that are not streaming yet. Requests in prefill are included, as they join the decode queues
-    // next.
+    // Returns 0 if no request is queued or waits for its first token. Else returns the greater of two
+    // estimates: a prefill behind this gateway's shortest prefill queue plus one decode wait; or the decode
+    // wait behind all attempts in flight of this gateway that are not streaming yet, shared by the eligible
+    // decode endpoints. Prefill attempts are included, as they join the decode queues next. Both estimates
+    // include the request's own prefill and decode wait, if it has these before it.
     Millis expected_wait(Millis now, const RequestState& request);
 
 private:
-    double shortest_prefill_queue(Millis now, const RequestState& request);
-    double eligible_decode_endpoints(Millis now, const RequestState& request);
+    // Returns the length in thousands of tokens; 0 if no endpoint is eligible.
+    double shortest_prefill_queue_kilotokens(Millis now, const RequestState& request);
+    // Extrapolates from a sample to the fleet, so the number may be fractional.
+    double estimate_eligible_decode_endpoints(Millis now, const RequestState& request);
 
     const EndpointRegistry& registry_;
     const FleetStats& fleet_stats_;
