--- a/src/router/endpoint_registry.h
+++ b/src/router/endpoint_registry.h
@@ -14,7 +14,8 @@
 
 using EndpointRing = stats::HashRing<EndpointState>;
 
-// The endpoints that a selection considers: a window of a large fleet, or all endpoints.
+// The endpoints that a selection considers: a window, which is a segment of a large hash ring, or all
+// endpoints.
 enum class SearchScope { window, all };
 
 // Owns the EndpointState of each endpoint and the hash rings of the healthy ones. Only this class adds,
