--- a/src/router/settings_validation.cpp
+++ b/src/router/settings_validation.cpp
@@ -17,7 +17,7 @@
     const auto& kinds = settings.kinds;
     const bool prefill = settings.local_prefill || std::any_of(kinds.begin(), kinds.end(), can_prefill);
     require(prefill && std::any_of(kinds.begin(), kinds.end(), can_decode),
-            "kinds: some must read and some must write");
+            "kinds: at least one must prefill and at least one must decode");
 }
 
 }  // namespace
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -224,7 +224,7 @@
                     [&](const ClassSettings& cls) { return settings.connect_timeout >= cls.deadline; });
     if (reaches_deadline)
         reader.add_fault(element, "dial-timeout-ms must be below every class's deadline-ms, got " +
-                                      element.text("dial-timeout-ms") + ": no second server could be tried");
+                                      element.text("dial-timeout-ms") + ": no second engine could be tried");
 }
 
 void read_guarantees(SectionReader& reader, const Element& element) {
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -70,13 +70,13 @@
         {"127.0.1.2:8101", "127.0.1.1:8101", "duplicate address 127.0.1.1:8101"},
         {"127.0.1.2:8101", "somewhere", "engine: "},
         {"kind=\"decode\" zone", "kind=\"write\" zone", "kind: unknown name 'write'"},
-        {"role=\"write\"", "role=\"read\"", "some must read and some must write"},
+        {"role=\"write\"", "role=\"read\"", "at least one must prefill and at least one must decode"},
         {"role=\"read\"", "role=\"sing\"", "kind: "},
         {"memory-tokens=\"100000\"", "memory-tokens=\"0\"", "memory-tokens must be 1 or more, got 0"},
         {"worth=\"3\"", "worth=\"3\" effect=\"by_key\"", "requires window-ms above 0"},
         {"worth=\"3\"", "worth=\"3\" window-ms=\"100\"", "only for effect 'by_key', got effect 'repeatable'"},
         {"<fleet>", "<routing dial-timeout-ms=\"3000\"/><fleet>",
-         "got 3000: no second server could be tried"},
+         "got 3000: no second engine could be tried"},
         {"<fleet>", "<guarantees start-capacity=\"0\"/><fleet>", "start-capacity must be above 0, got 0"},
         {"<fleet>", "<guarantees fall-multiple=\"0.5\"/><fleet>", "fall-multiple must be 1 or more, got 0.5"},
         {"sha256=\"", "sha256=\"0", "key: "},
@@ -105,7 +105,7 @@
     EXPECT_EQ(std::count(reported.begin(), reported.end(), '\n'), 3) << reported;
 }
 
-TEST(SettingsFile, AddsAnUnsafeCopyOfAKeyedClassForRequestsWithoutAKey) {
+TEST(SettingsFile, AddsAnUnsafeCopyOfAClassWithIdempotencyKeysForRequestsWithoutOne) {
     std::vector<FileFault> faults;
     const auto program = parse(read_source_file("days/settings.xml"), "f.xml", faults);
     ASSERT_TRUE(program);
