--- a/src/state/event_codec.h
+++ b/src/state/event_codec.h
@@ -1,5 +1,5 @@
-// Encodes events as the JSON objects of a decision journal and decodes them. The field names are stored data
-// and must not change: journals written by earlier versions are read with them.
+// Encodes events as the JSON objects of a decision journal and decodes them. The field names must not change:
+// journals written by earlier versions contain them.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,8 +10,9 @@
 
 // The journal's JSON object for `event`, without its time, which the journal adds.
 nlohmann::json event_to_json(const Event& event);
-// Decodes an event. `json` may be damaged in any way: if it is not a valid event, throws JournalError or
-// nlohmann::json::exception. A number out of its field's range is an error, never undefined behaviour.
+// Decodes an event. `json` may be damaged in any way: if it is not a valid event, throws JournalError
+// (state/journal_error.h) or nlohmann::json::exception. A number out of its field's range is an error, never
+// undefined behaviour.
 Event event_from_json(const nlohmann::json& json);
 
 }  // namespace gorsenotch::state
