--- a/src/state/decision_journal.h
+++ b/src/state/decision_journal.h
@@ -15,10 +15,10 @@
 namespace gorsenotch::state {
 
 // Opens `file` for appending and writes the seed; returns null if the file cannot be written. After a failed
-// write nothing more is written, since a journal with a gap cannot be replayed, and `on_stopped` is called
-// once with the reason. The observer owns the file; it is not synced.
+// write nothing more is written, since a journal with a gap cannot be replayed, and `on_write_failed` is
+// called once with the reason. The observer owns the file; it is not synced.
 std::unique_ptr<DecisionObserver> open_journal(
     const std::string& file, std::uint64_t seed,
-    std::function<void(const std::string& reason)> on_stopped = nullptr);
+    std::function<void(const std::string& reason)> on_write_failed = nullptr);
 
 }  // namespace gorsenotch::state
