--- a/src/state/snapshot_store.cpp
+++ b/src/state/snapshot_store.cpp
@@ -56,7 +56,7 @@
     return line.data();
 }
 
-// The generation number in a header line; 0 if the line is not a header.
+// The generation number in a header line, which begins with kFormat; 0 if the line is not a header.
 unsigned long parse_generation_number(const std::string& header_line) {
     unsigned long number = 0;
     if (std::sscanf(header_line.c_str(), "gorsenotch-saved 1 %lu", &number) != 1) return 0;
@@ -75,7 +75,7 @@
 SnapshotStore::Generation SnapshotStore::read(Slot slot) const {
     Generation generation;
     std::ifstream in(path(slot), std::ios::binary);
-    if (!in) return generation;
+    if (!in) return generation;  // a file that cannot be opened counts as missing
     std::string header_line;
     std::getline(in, header_line);
     std::ostringstream body;
@@ -107,7 +107,7 @@
 std::optional<SnapshotError> SnapshotStore::save(const std::string& text) {
     const unsigned long first = read(Slot::first).number;
     const unsigned long second = read(Slot::second).number;
-    // Replace the missing or damaged generation, else the older one.
+    // Replace the slot whose file is missing or damaged, else the one with the lower generation number.
     const Slot slot = first < second || first == 0 ? Slot::first : Slot::second;
     const std::string temporary = folder_ + "/" + name_ + ".new";
     const bool saved = write_file(temporary, format_header(std::max(first, second) + 1, text) + text) &&
--- a/src/state/snapshot_store.h
+++ b/src/state/snapshot_store.h
@@ -16,7 +16,9 @@
 // The kind of a snapshot error.
 enum class SnapshotErrorCode {
     damaged_generation,  // one or both files were skipped
-    write_failed         // a system call failed; the previously saved text remains
+    // A system call failed. load() returns the previously saved text, or the new one if only the sync of the
+    // folder failed.
+    write_failed
 };
 
 // A failed save or a skipped generation.
@@ -39,13 +41,15 @@
 
     // Returns nullopt once the text is synced to disk, else the error.
     [[nodiscard]] std::optional<SnapshotError> save(const std::string& text);
-    // Returns the newest intact generation and reports damaged ones.
+    // Returns the newest intact generation and reports damaged ones. A file that cannot be opened counts as
+    // missing and is not reported.
     LoadedSnapshot load() const;
 
 private:
-    enum class Slot : char { first = 'a', second = 'b' };  // the files' extensions
+    // One of the two files, by its extension; it holds one generation.
+    enum class Slot : char { first = 'a', second = 'b' };
     struct Generation {
-        unsigned long number = 0;  // 0: missing or damaged
+        unsigned long number = 0;  // counts the saves; 0: the file is missing, unreadable or damaged
         std::string text;
         std::string fault;
     };
