--- a/src/settings/section_reader.cpp
+++ b/src/settings/section_reader.cpp
@@ -13,8 +13,9 @@
     return 0;
 }
 
-void SectionReader::read_names(const Element& list, const char* child, std::vector<std::string>& names) {
-    for (const auto& element : list.children(child)) {
+void SectionReader::read_names(const Element& list, const char* child_element,
+                               std::vector<std::string>& names) {
+    for (const auto& element : list.children(child_element)) {
         const std::string name = element.text("name");
         if (std::find(names.begin(), names.end(), name) != names.end())
             add_fault(element, "duplicate name '" + name + "'");
--- a/src/settings/section_reader.h
+++ b/src/settings/section_reader.h
@@ -23,8 +23,9 @@
     }
     // The index in `names` of the name in `attribute`; 0, with a fault added, if the name is unknown.
     int index_of(const Element& element, const char* attribute, const std::vector<std::string>& names);
-    // Appends the names of the list's children; adds a fault for each duplicate.
-    void read_names(const Element& list, const char* child, std::vector<std::string>& names);
+    // Appends the attribute `name` of each <child_element> of the list; adds a fault for each duplicate,
+    // which is appended too.
+    void read_names(const Element& list, const char* child_element, std::vector<std::string>& names);
 
 private:
     Program& program_;
