--- a/src/settings/deployment_settings.h
+++ b/src/settings/deployment_settings.h
@@ -1,7 +1,8 @@
-// Converts the operators' settings, by their names, to the Router's Settings. Both formats (the simulator's
-// pairs and the configuration file's JSON) are first converted to SettingValues, so that the mapping exists
-// only once, in the source file of this header. Units: as the settings' names say; times become ms. Errors:
-// SettingsError names the setting.
+// Converts the platform's settings, such as `LetGoByMs`, to the Router's Settings. For the simulator's
+// adapter and `gorsenotch node` only; `gorsenotch serve` reads an XML file, see settings/settings.h. Both
+// formats (the simulator's pairs and the node's JSON configuration) are first converted to SettingValues, so
+// that the mapping exists only once, in the source file of this header. Units: as the settings' names say;
+// times become ms. Errors: SettingsError names the setting.
 #pragma once
 
 #include <map>
@@ -20,10 +21,12 @@
 };
 
 // Values by path, such as `Lanes.0.Name`. A list of plain values is one value of several items; the length of
-// a list of objects is stored under `.count`. The value "-" means absent.
+// a list of objects is stored under `.count`. number_or() and flag() take the value "-" as absent, the others
+// do not.
 class SettingValues {
 public:
     void set(const std::string& path, std::vector<std::string> items) { values_[path] = std::move(items); }
+    // Whether the path was set, to whatever value.
     bool has(const std::string& path) const { return values_.count(path) > 0; }
     // Returns `fallback` if absent. Throws SettingsError if the value is not a number.
     double number_or(const std::string& path, double fallback) const;
