--- a/src/settings/text_values.h
+++ b/src/settings/text_values.h
@@ -32,7 +32,7 @@
     return value;
 }
 
-// "-" stands for an absent value, which is false.
+// "-" stands for an absent value and gives false.
 inline std::optional<bool> to_bool(const std::string& text) {
     if (text == "1" || text == "true") return true;
     if (text == "0" || text == "false" || text == "-") return false;
