--- a/src/control/kv_lease.cpp
+++ b/src/control/kv_lease.cpp
@@ -9,8 +9,9 @@
 constexpr Millis kDefaultDuration = 1000;  // if the settings give no release time-out
 
 // Fractions of the duration.
-// Proof of arrival may come until this point. The rest is reserved for a release that meets several
-// unresponsive endpoints in turn (0.45 of the duration), and for a delay of this process (150 ms).
+// Proof of arrival may come until this point. The rest, with the 300 ms that the platform tolerates beyond
+// the setting, is reserved for a release that meets several unresponsive endpoints in turn (0.45 of the
+// duration), and for a delay of this process (150 ms).
 constexpr double kProofFraction = 0.6;
 // A decode that begins late gets this much time to arrive.
 constexpr double kLateDecodeFraction = 0.1;
