--- a/src/control/drain_schedule.h
+++ b/src/control/drain_schedule.h
@@ -25,10 +25,10 @@
 
     // How many of the `open_streams` to migrate now. May be called at any interval.
     std::size_t streams_to_migrate(Millis now, std::size_t open_streams);
-    // Whether new requests are rejected. This begins late in the drain, as the zone may have no other
-    // gateway.
+    // Query: whether new requests are to be rejected. This begins late in the drain, as the zone may have no
+    // other gateway.
     bool stop_accepting(Millis now) const { return now >= stop_accepting_at_; }
-    // Whether all requests that still lack a final response must get one now.
+    // Query: whether all requests that still lack a final response must get one now.
     bool answer_remaining(Millis now) const { return now >= answer_remaining_at_; }
 
 private:
