--- a/src/platform/lease_keeper.h
+++ b/src/platform/lease_keeper.h
@@ -48,7 +48,8 @@
     void abandon_reservation(const RequestState& request);
 
     // Releases everything that may be held for the request, or restarts a release in progress. Does not wait
-    // for an attempt in flight: a release does not affect an attempt that has arrived, see control/kv_lease.
+    // for an attempt in flight: a release does not affect a decode that has arrived, but it frees the KV
+    // cache that a prefill in flight stores, see control/kv_lease.
     void release(RequestState& request, ReleaseReason reason);
     // The latest release of the request has neither ended nor been withdrawn.
     bool release_in_progress(const RequestState& request) const;
