--- a/src/platform/client_connections.h
+++ b/src/platform/client_connections.h
@@ -43,7 +43,8 @@
     int port() const { return listener_ ? listener_->port() : 0; }
     // Makes the readiness check fail; requests are still served.
     void drain() { group_.draining = true; }
-    // Stops accepting: connections are closed after their answers, and idle ones at once. To be called
+    // Accepts the connections in the accept queue, then closes the listener. Idle connections are closed at
+    // once, the others after their answers. If accepting fails temporarily, the listener stays open: call
     // repeatedly until listening() is false.
     void stop_accepting();
     bool listening() const { return listener_ != nullptr; }
