--- a/src/platform/client_connection.h
+++ b/src/platform/client_connection.h
@@ -51,8 +51,8 @@
     std::size_t max_connections = 300;                   // excluding those that are ending
     std::size_t max_body_bytes = std::size_t{16} << 20;  // total of all requests being read
     Millis request_timeout = 2000;  // from the first to the last byte of a request; also for a first request
-    Millis min_idle = 2000;         // before an idle connection may be closed to make room
-    Millis max_idle = 10000;
+    Millis min_idle = 2000;         // idle time before a connection may be closed to make room
+    Millis max_idle = 10000;        // idle time after which a connection is closed
 };
 
 // Counts since the start, for the status line.
