--- a/src/platform/status_reporter.cpp
+++ b/src/platform/status_reporter.cpp
@@ -93,12 +93,14 @@
     fields["client_disconnected"] = counters.client_disconnected;
     fields["migrated"] = counters.migrated;
     fields["attempts"] = counters.attempts;
+    // `results` counts attempts; `outcomes` counts requests.
     fields["results"] = results_by_name(counters);
     fields["outcomes"] = counts_by_name(kOutcomeNames, lifecycle.access_log().outcomes());
     fields["outcomes"]["not_logged"] = lifecycle.access_log().not_logged();
     fields["end_causes"] = counts_by_name(kEndCauseNames, lifecycle.access_log().causes());
     fields["violations"] =
         counts_by_name(control::kInvariantNames, lifecycle.invariant_checker().violations());
+    // Sends that were prevented, by reason.
     fields["send_blocks"] = counts_by_name(control::kSendBlockReasonNames, counters.send_blocks);
 }
 
@@ -111,6 +113,7 @@
     fields["release_reasons"] = counts_by_name(kReleaseReasons, counters.release_reasons);
     fields["health_checks"] = {{"sent", lifecycle.health_checker().checks_sent()},
                                {"unanswered", lifecycle.health_checker().checks_unanswered()}};
+    // Overrun leases that do not count as violations, as no endpoint responded.
     fields["leases_unanswered"] = lifecycle.invariant_checker().unanswered_leases();
     fields["longest_lease_ms"] = std::round(counters.longest_lease);
 }
@@ -123,6 +126,7 @@
     fields["upstream_connection_ends"] = counts_by_name(proxy::kConnectionEndNames, upstream.ended_by_cause);
     fields["new_connections"] = {upstream.new_connections, upstream.new_broken};
     fields["reused_connections"] = {upstream.reused, upstream.reused_broken};
+    // Client connections, not requests.
     fields["accepted"] = clients.accepted;
     fields["connections_rejected"] = clients.of(EndReason::at_capacity);
     fields["evicted"] = clients.of(EndReason::evicted);
