--- a/src/platform/access_log.h
+++ b/src/platform/access_log.h
@@ -53,6 +53,7 @@
     "in_time",  "late_prefill", "late_decode", "slow_stream", "rejected_unsent",
     "rejected", "failed",       "broken",      "migrated",    "client_disconnected"};
 
+// In the order of EndCause. EndCause::shed_load is logged as load_shed.
 constexpr std::array<const char*, kEndCauses> kEndCauseNames = {
     "deadline",           "load_shed",       "no_decode_endpoint",
     "attempts_exhausted", "may_have_run",    "retry_budget",
@@ -106,7 +107,9 @@
 };
 
 // The history of a lease: "lease 612 prefill_done at r1, acquired 23, expiring 623; w0 sent 23 unconfirmed".
-// The first number is the age of the lease at `now`; the others are ms since `arrived`.
+// The first number is the age of the lease at `now`, in ms; the others are ms since `arrived`. "expiring":
+// when the time limit for proof of arrival passed. "unconfirmed": no response proves that the attempt
+// arrived.
 std::string describe_timeline(const control::KvLease::Timeline& timeline, Millis arrived, Millis now,
                               const std::string& holder, const std::string& awaited);
 
