--- a/include/gorsenotch/events.h
+++ b/include/gorsenotch/events.h
@@ -1,5 +1,6 @@
 // The events that a host reports to a Router. Times are in milliseconds on the host's monotonic clock,
-// lengths in tokens; classes, tenants, zones and kinds are indices into Settings.
+// lengths in tokens except Arrival::length_hint, which is a time; classes, tenants, zones and kinds are
+// indices into Settings.
 #pragma once
 
 #include <cstdint>
