--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -107,7 +107,7 @@
     load_initial_endpoint_list();
     if (!program_.fleet_file.empty())
         fleet_watcher_ = std::make_unique<net::FileWatcher>(
-            loop_, program_.fleet_file, kFleetFilePollInterval, [this] { reload_fleet(); });
+            loop_, program_.fleet_file, kFleetFilePollInterval, [this] { reload_endpoint_list(); });
     wakeup_timer_.wake();
     return server_->listen();
 }
@@ -132,7 +132,7 @@
     }
 }
 
-void Gateway::reload_fleet() {
+void Gateway::reload_endpoint_list() {
     const net::ActivityScope activity(loop_, "list");
     std::string text;
     std::string why;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,5 +1,5 @@
-// One gateway process: its HTTP server, RequestLifecycle, connections to engines and endpoint list, on one
-// event loop.
+// The gateway process of `gorsenotch serve`: the Messages API's HTTP server, RequestLifecycle, connections to
+// engines and endpoint list, on one event loop. For `gorsenotch node` see platform/node.h.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,8 @@
     std::string journal_file;  // records the Router's events and actions; empty: none
 };
 
-// Owns all parts of the process. Installs its hooks in the event loop and removes them on destruction.
+// Owns all parts of the process. Implements Environment, through which the lifecycle uses the clocks, the
+// connections to engines and the log. Installs its hooks in the event loop and removes them on destruction.
 // Threading: the loop's thread; endpoint lists are saved on the thread pool. Must be destroyed before the
 // loop.
 class Gateway : public Environment {
@@ -34,11 +35,13 @@
     // Starts to serve clients. Returns 0, or the libuv error code if listening failed.
     int start();
     int port() const { return server_->port(); }
-    // Stops accepting, lets open requests finish within limits.drain_ms, answers the rest with an error, then
-    // calls `done`.
+    // Accepts the connections in the accept queue, closes the listener, rejects requests that still arrive on
+    // open connections, lets open requests finish within limits.drain_ms, answers the rest with an error,
+    // then calls `done`.
     void drain(std::function<void()> done);
     // Number of open requests.
     std::size_t open() const { return lifecycle_->open(); }
+    // The most response bytes that have been queued at any time for one client.
     std::size_t peak_queued_bytes() const { return server_->peak_queued_bytes(); }
 
 private:
@@ -53,7 +56,7 @@
     void on_stall(Millis duration) override;
 
     void load_initial_endpoint_list();
-    void reload_fleet();
+    void reload_endpoint_list();
     void save_endpoint_list(std::string text);
     void on_slow_turn(Millis length, const net::EventLoop::Activities& activities);
     void continue_drain();
@@ -63,7 +66,8 @@
     const ServeOptions options_;
     std::unique_ptr<state::DecisionObserver> journal_;
     std::shared_ptr<state::SnapshotStore> snapshot_store_;  // shared with the thread pool
-    std::optional<std::string> unsaved_endpoint_list_;      // newer than the one being saved
+    // Still to be saved: newer than the list being saved, or the one whose save failed.
+    std::optional<std::string> unsaved_endpoint_list_;
     bool saving_ = false;
     bool save_failed_ = false;            // at the latest attempt
     bool fleet_file_unreadable_ = false;  // at the latest attempt
