--- a/src/cli/exit_code.h
+++ b/src/cli/exit_code.h
@@ -4,7 +4,8 @@
 namespace gorsenotch::cli {
 
 constexpr int kExitSuccess = 0;
-constexpr int kExitViolation = 1;     // an invariant was violated, or a replay gave different decisions
+// An invariant was violated, a scenario was not completed, or a replay gave different decisions.
+constexpr int kExitViolation = 1;
 constexpr int kExitUsageError = 2;    // invalid command line
 constexpr int kExitInvalidInput = 3;  // invalid input file, or an option value that does not fit the file
 constexpr int kExitSystemError = 4;   // such as an address in use or a process that cannot be started
