--- a/src/cli/scenario_command.cpp
+++ b/src/cli/scenario_command.cpp
@@ -70,8 +70,10 @@
     command->add_option("--seed", arguments->options.seed, "random seed, overrides the scenario's");
     command->add_option("--seeds", arguments->seeds, "number of runs, with consecutive seeds")
         ->check(CLI::Range(1, 1000));
-    command->add_option("--out", arguments->options.out,
-                        "folder for records and logs; its content is deleted first");
+    command->add_option(
+        "--out", arguments->options.out,
+        "folder for records and logs, with --seeds above 1 a subfolder per seed; the folder that a run "
+        "writes to is emptied first");
     return {command, [arguments] { return run_scenario(*arguments); }};
 }
 
