--- a/tests/platform/access_log_test.cpp
+++ b/tests/platform/access_log_test.cpp
@@ -22,8 +22,8 @@
     const AccessLog log(settings);
     RequestRecord record;
     record.prompt_tokens = 2000;  // latency objective: 1,200 ms
-    record.attempts = {{"r", true, false, AttemptResult::prefill_done, 0, 100},
-                       {"w", false, false, AttemptResult::served, 100, 2000}};
+    record.attempts = {{"r", /*is_prefill=*/true, /*in_flight=*/false, AttemptResult::prefill_done, 0, 100},
+                       {"w", /*is_prefill=*/false, /*in_flight=*/false, AttemptResult::served, 100, 2000}};
     record.first_token = 200, record.ended = 2000, record.completion_tokens = 100;
     EXPECT_EQ(log.classify_served(record), RequestOutcome::in_time);
     record.completion_tokens = 20;
@@ -68,9 +68,10 @@
     EXPECT_EQ(completion_tokens("\"completion_tokens\":-5"), 0);
 }
 
-TEST(AccessLog, TheLeaseTimelineShowsOriginTimesAndConfirmation) {
+TEST(AccessLog, TheLeaseTimelineShowsItsOriginItsTimesAndWhetherItWasConfirmed) {
     control::KvLease::Timeline timeline;
     timeline.acquired = 1023, timeline.expiring = 1623, timeline.written = 1024;
+    // 677 ms is the lease's age. The other times are ms since the arrival of the request at 1000.
     EXPECT_EQ(describe_timeline(timeline, 1000, 1700, "r1", "w1"),
               "lease 677 prefill_done at r1, acquired 23, expiring 623; w1 sent 24 unconfirmed");
     timeline.arrived = 1650, timeline.released = 1640;
