--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -7,7 +7,7 @@
 namespace gorsenotch::test {
 namespace {
 
-TEST_F(ClientConnectionsTest, AnUnacceptedConnectionIsServedWhenTheGatewayStops) {
+TEST_F(ClientConnectionsTest, AConnectionInTheAcceptQueueIsServedWhenTheGatewayStops) {
     const int port = clients->port();
     BlockingClient peer(port);
     peer.send(post_request("t1"));
@@ -44,7 +44,7 @@
     run_until([&] { return one.look(), two.look(), !one.text.empty() && !two.text.empty(); });
 }
 
-TEST_F(FewConnectionsTest, AConnectionWithAnUnreadRequestIsNotEvicted) {
+TEST_F(FewConnectionsTest, AConnectionWithAnUnreadRequestIsNotEvictedButTheNextOldestIdleOneIs) {
     BlockingClient first(clients->port());
     BlockingClient second(clients->port());
     run_until([&] { return clients->connections() == 2; });
@@ -62,7 +62,7 @@
     EXPECT_FALSE(first.reset || second.reset || third.reset);
 }
 
-TEST_F(FewConnectionsTest, EndingConnectionsAreBoundedUnderAConnectionFlood) {
+TEST_F(FewConnectionsTest, ClosingConnectionsAreBoundedUnderAConnectionFlood) {
     BlockingClient one(clients->port());
     BlockingClient two(clients->port());
     one.send(post_request("t1")), two.send(post_request("t2"));
