--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -51,7 +51,8 @@
 
 struct EndpointListTest : ::testing::Test {
     Config config = parse_config(kConfig, "", "");
-    EndpointList endpoints{config.named, -1000};
+    static constexpr Millis kClockOffset = -1000;  // from Unix time to the monotonic clock
+    EndpointList endpoints{config.named, kClockOffset};
     Millis now_ms = 10000;
     std::string rejection;
     std::optional<EndpointUpdate> apply(const std::string& text,
@@ -79,7 +80,7 @@
     const auto changed = apply(list_text(5, false, row("w2", "up", 5000) + "," + row("w1", "draining")));
     ASSERT_TRUE(changed);
     EXPECT_EQ(changed->kind, EndpointUpdate::Kind::incremental);
-    EXPECT_EQ(changed->endpoints[0].started_at, 4000);  // on the monotonic clock
+    EXPECT_EQ(changed->endpoints[0].started_at, 4000);  // 5000 on the wall clock
     EXPECT_EQ(changed->endpoints[1].status, EndpointStatus::draining);
     EXPECT_EQ(changed->endpoints[1].id, cached->endpoints[2].id) << "the id of a name does not change";
     EXPECT_EQ(endpoints.all().size(), 4u);
@@ -112,7 +113,7 @@
     EXPECT_TRUE(apply(list_text(5, true, row("x", "up")))) << rejection;
 }
 
-TEST_F(EndpointListTest, AnOlderFullListIsAcceptedWhenRepeated) {
+TEST_F(EndpointListTest, AnOlderFullListIsAcceptedTheThirdTime) {
     ASSERT_TRUE(apply(config.cached_list));
     const std::string older = list_text(2, true, row("x", "up"));
     EXPECT_FALSE(apply(older));
@@ -131,8 +132,9 @@
     EXPECT_TRUE(apply(list_text(3, false, row("x", "up"))));
 }
 
-// Guards against relying on wall clocks, which may be wrong or stepped on this host or on another.
-TEST_F(EndpointListTest, AnIncarnationThatAppearsLaterStartsNowWhateverItsWallClockTime) {
+// Guards against relying on wall clocks, which may be wrong or stepped on this host or on another. An
+// incarnation is one start of an endpoint's process.
+TEST_F(EndpointListTest, AfterTheFirstFullListANewIncarnationStartsWhenItAppears) {
     ASSERT_TRUE(apply(list_text(1, true, row("w1", "up", 5000) + "," + row("w2", "up"))));
     for (const long born : {7000L, 3600000L, 6000L}) {
         now_ms += 1000;
@@ -184,15 +186,16 @@
     "X-Labels: prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800\r\nX-Estimate: 12000\r\n";
 
 TEST_F(RequestHeadTest, ReadsAllThatTheRouterNeeds) {
+    // X-Resent: "1" marks a retry, "again" the continuation of an interrupted stream.
     const auto result = read(kHead + "Host: here\r\nConnection: keep-alive\r\nX-Resent: again\r\n");
     ASSERT_TRUE(std::holds_alternative<Inbound>(result));
     const Inbound& inbound = std::get<Inbound>(result);
     EXPECT_EQ(inbound.txn, "9b1f");
-    EXPECT_EQ(inbound.arrival.deadline, 4800);
+    EXPECT_EQ(inbound.arrival.deadline, 4800);  // ms from the arrival; becomes a clock time later
     EXPECT_EQ(inbound.arrival.prompt_tokens, 5120);
     EXPECT_EQ(inbound.arrival.shared_prefix_tokens, 2048);
     EXPECT_EQ(inbound.arrival.max_tokens, 800);
-    EXPECT_EQ(inbound.arrival.length_hint, 12);
+    EXPECT_EQ(inbound.arrival.length_hint, 12);  // ms; X-Estimate is in us
     EXPECT_NE(inbound.arrival.shared_prefix, 0u);
     EXPECT_NE(inbound.arrival.session, 0u);
     EXPECT_TRUE(inbound.arrival.resumed);
@@ -290,7 +293,7 @@
         Kind kind;
         std::string bytes;
         AttemptResult result;
-        double detail;
+        double detail;  // see AttemptEnded::detail
         bool reusable;
     };
     const Case cases[] = {
@@ -317,7 +320,7 @@
         {Kind::decode, kStreamHead + "zz\r\n", AttemptResult::error, 0, false},
         {Kind::decode, kStreamHead + "c0000000\r\nxxxx", AttemptResult::error, 0, false},
         {Kind::decode, kStreamHead + chunked("data: half"), AttemptResult::error, 0,
-         false},  // followed by "zz"
+         false},  // the loop below then feeds "zz\r\n"
         {Kind::decode, kStreamHead + chunked("data: a\n\n") + "c0000000\r\nxxxx", AttemptResult::reset, 0,
          false},
         {Kind::decode, kStreamHead + chunked("data: a\n\n") + "2\r\nabcdef\r\n", AttemptResult::reset, 0,
@@ -325,6 +328,7 @@
         {Kind::lease_call, "HTTP/1.1 204 No Content\r\n\r\n", AttemptResult::served, 0, true},
     };
     for (const auto& expected : cases) {
+        // A complete response to a lease call counts as served whatever its status.
         for (const std::size_t piece : {std::size_t{1}, std::size_t{2}, std::size_t{7}, std::size_t{50000}}) {
             RecordedExchange recorded(expected.kind);
             recorded.feed(expected.bytes, piece);
