--- a/tests/platform/status_reporter_test.cpp
+++ b/tests/platform/status_reporter_test.cpp
@@ -1,4 +1,4 @@
-// The status line: it has every documented field, with the counts of the components.
+// The status line: its field names do not change, and its values are the counts of the components.
 #include "platform/status_reporter.h"
 
 #include <set>
@@ -75,10 +75,13 @@
     EXPECT_EQ(fields["arrived"], 1);
     EXPECT_EQ(fields["served"], 1);
     EXPECT_EQ(fields["attempts"], 2);
+    // `results` counts attempts; `served` and `outcomes` count requests.
     EXPECT_EQ(fields["results"]["prefill_done"], 1);
     EXPECT_EQ(fields["results"]["served"], 1);
     EXPECT_EQ(fields["outcomes"]["in_time"], 1);
+    // Lease releases: started, calls repeated, failed.
     EXPECT_EQ(fields["released"], nlohmann::json::array({0, 0, 0}));
+    // Upstream connections: opened and used, and how many of them broke.
     EXPECT_EQ(fields["new_connections"], nlohmann::json::array({0, 0}));
 }
 
