--- a/tests/proxy/connection_pool_test.cpp
+++ b/tests/proxy/connection_pool_test.cpp
@@ -67,6 +67,7 @@
 
     static ConnectionPool::Config config() {
         ConnectionPool::Config config;
+        // No reuse in the loop iteration of the last response, nor within the reuse policy's 25 ms after it.
         config.cooldown = config.learn_reuse = true;
         return config;
     }
@@ -82,7 +83,8 @@
         pool.start(server.address(), "DELETE /x HTTP/1.1\r\n\r\n", call);
         return call;
     }
-    // Completes one exchange on a new connection, which is then idle long enough to be reused.
+    // Completes one exchange on a new connection, which is then idle for more than the reuse
+    // policy's 25 ms.
     void complete_exchange() {
         std::optional<platform::AttemptOutcome> outcome;
         start(outcome);
@@ -137,7 +139,7 @@
 
 // Guards against a duplicate response that arrives some milliseconds after the first and is taken for the
 // response to the next request on that connection.
-TEST_F(ConnectionPoolTest, DoesNotTakeADuplicateResponseForThatOfTheNextRequest) {
+TEST_F(ConnectionPoolTest, DoesNotReuseAConnectionRightAfterItsResponse) {
     std::optional<platform::AttemptOutcome> first;
     start(first);
     run(10);
