--- a/tests/router/abandoned_prefills_test.cpp
+++ b/tests/router/abandoned_prefills_test.cpp
@@ -10,7 +10,7 @@
 using router::RequestState;
 using router::Stage;
 
-TEST(AbandonedPrefills, StayReservedForAsLongAsTheyHaveRun) {
+TEST(AbandonedPrefills, TheirTokensStayReservedForAsLongAgainAsTheyHaveRun) {
     RouterComponents fleet;
     RequestState& request = fleet.send_request("r", 1, Stage::prefill, 100);
     fleet.abandoned_prefills.add(400, fleet.endpoint(1), request);
@@ -22,7 +22,7 @@
     EXPECT_EQ(fleet.endpoint(1).load.reserved_tokens, 0);
 }
 
-TEST(AbandonedPrefills, OtherStagesDoNotCount) {
+TEST(AbandonedPrefills, AnAttemptInAnotherStageReservesNothing) {
     RouterComponents fleet;
     const RequestState& request = fleet.send_request("r", 11, Stage::decode_queued, 100);
     fleet.abandoned_prefills.add(400, fleet.endpoint(11), request);
