--- a/tests/router/endpoint_registry_test.cpp
+++ b/tests/router/endpoint_registry_test.cpp
@@ -16,16 +16,18 @@
     EXPECT_EQ(fleet.registry.with_role(Role::prefill).size(), 2u);
     EXPECT_EQ(fleet.registry.with_role(Role::decode).size(), 2u);
     EXPECT_EQ(fleet.registry.decode_capable().size(), 2u);
+    // By cell; the cell of a test endpoint has the number of its zone.
     EXPECT_EQ(fleet.registry.decode_capable_in(1).size(), 1u);
     EXPECT_TRUE(fleet.registry.decode_capable_in(7).empty());
 }
 
-TEST(EndpointRegistry, AFullUpdateRemovesUnlistedEndpointsAndErasesThemAfterTheRetentionTime) {
+TEST(EndpointRegistry, AFullUpdateRemovesUnlistedEndpointsAndErasesThemOnceUnlistedForTheRetentionTime) {
     RouterComponents fleet;
     fleet.registry.apply(100, full_list({prefill_endpoint(1), decode_endpoint(11)}));
     EXPECT_EQ(fleet.registry.with_role(Role::prefill).size(), 1u);
     ASSERT_NE(fleet.registry.find(2), nullptr);
     EXPECT_EQ(fleet.endpoint(2).info.status, EndpointStatus::removed);
+    // The retention time of 60 s begins with the latest update that listed the endpoint, here at 0.
     fleet.registry.erase_removed(60000);
     EXPECT_NE(fleet.registry.find(2), nullptr);
     fleet.registry.erase_removed(60001);
@@ -68,17 +70,18 @@
     EXPECT_EQ(fleet.registry.find(3), nullptr);
 }
 
-TEST(EndpointRegistry, ReportedLoadBeyondTheOwnLoadIsAttributedToOthers) {
+TEST(EndpointRegistry, ReportedLoadBeyondThisGatewaysReservationsIsAttributedToOtherGateways) {
     RouterComponents fleet;
     fleet.send_request("r", 1, router::Stage::prefill);
     LoadReport report;
     EXPECT_FALSE(fleet.registry.apply_load_report(5, fleet.endpoint(1), report));
     report.memory_utilization = 0.5;
     EXPECT_TRUE(fleet.registry.apply_load_report(5, fleet.endpoint(1), report));
-    EXPECT_EQ(fleet.endpoint(1).load.tokens_used_by_others, 49000);
+    // Half of the memory of 100,000 tokens is in use; this gateway has reserved 1,000.
+    EXPECT_EQ(fleet.endpoint(1).load.tokens_used_by_others, 0.5 * 100000 - 1000);
 }
 
-TEST(EndpointRegistry, ALargeFleetIsSearchedByWindowAndThenInFull) {
+TEST(EndpointRegistry, ALargeFleetIsSearchedByARingWindowAndThenInFull) {
     RouterComponents fleet;
     std::vector<Endpoint> listed;
     for (EndpointId id = 1; id <= 200; ++id) listed.push_back(prefill_endpoint(id));
