--- a/tests/router/wait_estimator_test.cpp
+++ b/tests/router/wait_estimator_test.cpp
@@ -17,11 +17,13 @@
 
 TEST(WaitEstimator, TheQueueIsSharedByTheEligibleDecodeEndpoints) {
     RouterComponents fleet;
+    // 20 attempts wait at two decode endpoints. The wait of the new request itself is one decode wait more.
     for (int i = 0; i < 20; ++i) fleet.send_request("queued" + std::to_string(i), 11, Stage::decode_queued);
     const RequestState& request = fleet.add_request("r");
-    EXPECT_DOUBLE_EQ(fleet.wait_estimator.expected_wait(0, request), 1000.0 / 12 * (1 + 20.0 / 2));
+    constexpr Millis kDecodeWait = 1000.0 / 12;  // the prior: a twelfth of the latency objective
+    EXPECT_DOUBLE_EQ(fleet.wait_estimator.expected_wait(0, request), kDecodeWait * (1 + 20.0 / 2));
     fleet.endpoint(12).info.status = EndpointStatus::draining;
-    EXPECT_DOUBLE_EQ(fleet.wait_estimator.expected_wait(0, request), 1000.0 / 12 * (1 + 20.0 / 1));
+    EXPECT_DOUBLE_EQ(fleet.wait_estimator.expected_wait(0, request), kDecodeWait * (1 + 20.0 / 1));
 }
 
 }  // namespace
