--- a/tests/state/stored_data_test.cpp
+++ b/tests/state/stored_data_test.cpp
@@ -24,7 +24,8 @@
     return program ? *program : settings::Program{};
 }
 
-// A copy of the stored endpoint list's two generations, without the file `omitted_file`.
+// Copies the stored endpoint list's two files, fleet.a and fleet.b, except `omitted_file`. An absent file is
+// not an error.
 class StoredListCopy {
 public:
     explicit StoredListCopy(const std::string& omitted_file = "") {
@@ -79,7 +80,7 @@
     }
 }
 
-TEST(StoredData, TheStoredRecordsGetTheSameVerdict) {
+TEST(StoredData, TheStoredRecordsGetTheVerdictOfTheVersionThatWroteThem) {
     std::vector<std::string> files;
     for (const auto& entry : std::filesystem::directory_iterator(kStoredFolder + "/records"))
         files.push_back(entry.path().string());
@@ -96,10 +97,11 @@
     checker_settings.overload_window = program.router.overload_window;
     const auto verdict = invariants::check_records(records, checker_settings);
     EXPECT_TRUE(verdict.kept());
-    const std::vector<long> cases = {399, 811, 394, 109, 398, 42, 2, 400};
-    ASSERT_EQ(verdict.findings.size(), cases.size());
-    for (std::size_t i = 0; i < cases.size(); ++i)
-        EXPECT_EQ(verdict.findings[i].cases, cases[i]) << verdict.findings[i].what;
+    // Finding::cases, in the order of the checks.
+    const std::vector<long> expected_cases = {399, 811, 394, 109, 398, 42, 2, 400};
+    ASSERT_EQ(verdict.findings.size(), expected_cases.size());
+    for (std::size_t i = 0; i < expected_cases.size(); ++i)
+        EXPECT_EQ(verdict.findings[i].cases, expected_cases[i]) << verdict.findings[i].what;
     EXPECT_EQ(verdict.service.asked, 399);
     EXPECT_EQ(verdict.service.answered, 390);
     EXPECT_EQ(verdict.service.refused, 2);
