--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -226,7 +226,7 @@
     if (reaches_deadline)
         reader.add_fault(element, "dial-timeout-ms must be below every class's deadline-ms, got " +
                                       escape_value(element.text("dial-timeout-ms")) +
-                                      ": no second server could be tried");
+                                      ": no second engine could be tried");
 }
 
 void read_guarantees(SectionReader& reader, const Element& element) {
