--- a/tests/control/drain_schedule_test.cpp
+++ b/tests/control/drain_schedule_test.cpp
@@ -8,7 +8,8 @@
 
 TEST(DrainSchedule, AllStreamsAreMigratedAtAnEvenPaceBeforeTheKill) {
     for (const Millis step : {5.0, 20.0, 90.0}) {
-        constexpr Millis kOrderedAt = 1000, kKillAt = 4700;
+        constexpr Millis kOrderedAt = 1000;
+        constexpr Millis kKillAt = 4700;
         control::DrainSchedule schedule(kOrderedAt, kKillAt, /*resume=*/true);
         std::size_t open = 100;
         std::size_t most = 0;
